--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/AttemptFailure.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/AttemptFailure.java
@@ -1,18 +1,18 @@
 package org.teaseldeal.core;
 
-/** How an attempt ended without its answer, and what that says about whether it ran. */
+/** The way in which an attempt ended without its answer, and whether the request may have run. */
 public enum AttemptFailure {
-  /** No byte of the request was written; it was not run. */
+  /** No byte of the request was written, so it did not run. */
   NOT_SENT(false),
-  /** The server refused it before running it. */
+  /** The server refused the request before running it. */
   REFUSED_BY_SERVER(false),
   /** The request was written, and the connection ended before an answer began. */
   LOST_BEFORE_ANSWER(true),
-  /** The answer broke off. */
+  /** The answer ended before it was complete. */
   LOST_MID_ANSWER(true),
-  /** The server ran it and answered with an error. */
+  /** The server ran the request and answered with an error. */
   SERVER_ERROR(true),
-  /** A resume was asked for, and the server does not know the request. */
+  /** The request's stream was to be resumed, but the server does not know the request. */
   RESUME_UNKNOWN(true);
 
   private final boolean mayHaveRun;
@@ -21,7 +21,7 @@
     this.mayHaveRun = mayHaveRun;
   }
 
-  /** Whether the server may have run the request. */
+  /** Returns whether the server may have run the request. */
   public boolean mayHaveRun() {
     return mayHaveRun;
   }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/BearerToken.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/BearerToken.java
@@ -1,6 +1,6 @@
 package org.teaseldeal.core;
 
-/** A caller's secret; its text form never shows it, so that it can't reach a log. */
+/** A caller's secret. Its text form never contains the secret, so that it can't reach a log. */
 public record BearerToken(String secret) {
   @Override
   public String toString() {
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/CallId.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/CallId.java
@@ -1,4 +1,4 @@
 package org.teaseldeal.core;
 
-/** Numbers one caller's HTTP exchange within an instance. */
+/** The number of one caller's HTTP exchange within an instance. */
 public record CallId(long number) {}
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/CoreCounters.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/CoreCounters.java
@@ -5,10 +5,10 @@
 import java.util.TreeMap;
 import org.teaseldeal.api.ErrorKind;
 
-/** Plain counters of one instance; they only grow, and only its one thread writes them. */
+/** Counters of one instance. They only grow, and only the instance's single thread writes them. */
 public final class CoreCounters {
   private final long[] counts = new long[Counter.values().length];
-  private final long[] refusals = new long[ErrorKind.values().length];
+  private final long[] problemCounts = new long[ErrorKind.values().length];
 
   /** Adds one. */
   public void increment(Counter counter) {
@@ -20,27 +20,27 @@
     counts[counter.ordinal()] += amount;
   }
 
-  /** Takes over a count that is kept elsewhere. */
+  /** Sets {@code counter} to a count that is maintained elsewhere. */
   public void set(Counter counter, long value) {
     counts[counter.ordinal()] = value;
   }
 
-  /** Counts a final answer that is an error. */
+  /** Counts a final answer that is an error of {@code kind}. */
   public void countProblem(ErrorKind kind) {
-    refusals[kind.ordinal()]++;
+    problemCounts[kind.ordinal()]++;
   }
 
-  /** The present value of {@code counter}. */
+  /** Returns the current value of {@code counter}. */
   public long value(Counter counter) {
     return counts[counter.ordinal()];
   }
 
-  /** How many callers were given an error of {@code kind}. */
+  /** Returns how many callers received an error of {@code kind}. */
   public long problems(ErrorKind kind) {
-    return refusals[kind.ordinal()];
+    return problemCounts[kind.ordinal()];
   }
 
-  /** Every counter by its name, the errors as {@code problem_} and their kind. */
+  /** Returns all counters by their names. An error kind's name is {@code problem_} and the kind. */
   public SortedMap<String, Long> values() {
     SortedMap<String, Long> values = new TreeMap<>();
     for (Counter counter : Counter.values()) {
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/Counter.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/Counter.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** What an instance counts, refusals apart, which are counted by error kind. */
+/** The counters of an instance, except for refusals, which are counted by error kind. */
 public enum Counter {
   CALLS,
   ANSWERS,
@@ -48,7 +48,7 @@
   ORDERS_FAILED,
   ORDER_DEVIATIONS;
 
-  /** The name in metrics: lower case with underscores. */
+  /** Returns the name in metrics: lower case with underscores. */
   public String label() {
     return name().toLowerCase(Locale.ROOT);
   }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/InstanceConfig.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/InstanceConfig.java
@@ -6,11 +6,11 @@
 import org.teaseldeal.api.Preconditions;
 
 /**
- * What an instance is told about itself when it starts.
+ * The configuration with which an instance starts.
  *
- * @param incarnation names this run; a restarted process is given another
- * @param peerAddress {@code host:port} where other instances reach it
- * @param streams the number of streams of the ledger, the same for the whole fleet
+ * @param incarnation identifies this run of the process; a restarted process gets another one
+ * @param peerAddress {@code host:port} at which other instances reach this instance
+ * @param streams the number of streams of the ledger, which is the same for the whole fleet
  */
 public record InstanceConfig(
     InstanceId instance,
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/InstanceCore.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/InstanceCore.java
@@ -11,25 +11,29 @@
 /**
  * One entry instance without its sockets.
  *
- * <p>Events go in, commands come out. The same events, ticks, clock readings and random numbers
- * give the same commands. Not thread-safe: one thread does everything. Call {@link #tick()} every
- * few milliseconds and after a batch of events, then carry out {@link #drainCommands()} in order.
+ * <p>The instance takes events and produces commands. The same events, ticks, clock readings and
+ * random numbers produce the same commands. Not thread-safe: one thread makes all calls. Call
+ * {@link #tick()} every few milliseconds and after each batch of events, then carry out the result
+ * of {@link #drainCommands()} in order.
  */
 public final class InstanceCore {
   private final InstanceSystems systems;
 
-  /** Creates an instance that reads settings with the standard parser. */
+  /** Creates an instance with the standard policies. */
   public InstanceCore(InstanceConfig config, InstantSource clock, RandomGenerator random) {
     this(config, InstanceParts.standard(), clock, random);
   }
 
-  /** Creates an instance with other parts than an ordinary one's. */
+  /** Creates an instance with the given policies instead of the standard ones. */
   public InstanceCore(
       InstanceConfig config, InstanceParts parts, InstantSource clock, RandomGenerator random) {
     this.systems = new InstanceSystems(config, parts, clock, random);
   }
 
-  /** Takes in one event; what follows from it may need {@link #tick()} to come out. */
+  /**
+   * Processes one event. Some of the resulting commands are only produced by the next {@link
+   * #tick()}.
+   */
   public void handle(InstanceEvent event) {
     systems.handle(event);
   }
@@ -39,32 +43,38 @@
     systems.tick();
   }
 
-  /** Takes the commands given since the last call, in the order to carry them out. */
+  /**
+   * Returns and clears the commands produced since the last call, in the order in which to carry
+   * them out.
+   */
   public List<InstanceCommand> drainCommands() {
     return systems.drainCommands();
   }
 
-  /** Whether new requests are taken: settings and ledger are caught up, and no drain goes on. */
+  /**
+   * Returns whether new requests are accepted: the settings and the ledger are read up to date and
+   * the instance isn't draining.
+   */
   public boolean ready() {
     return systems.ready();
   }
 
-  /** How far each stream of the ledger has been read. */
+  /** Returns the position up to which each stream of the ledger has been read. */
   public List<InstanceDump.Stream> streams() {
     return systems.streams();
   }
 
-  /** The highest revision of settings in force here. */
+  /** Returns the highest revision of the settings in force at this instance. */
   public long settingsRevision() {
     return systems.settingsRevision();
   }
 
-  /** A copy of every table, without tokens and prompts. */
+  /** Returns a copy of all tables, without bearer tokens and prompts. */
   public InstanceDump dump() {
     return systems.dump();
   }
 
-  /** The instance's counters, which go on counting. */
+  /** Returns the live counters of the instance. */
   public CoreCounters counters() {
     return systems.counters();
   }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/InstanceDump.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/InstanceDump.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import java.util.SortedMap;
 
-/** A copy of an instance's tables for people and programs; holds no token and no prompt. */
+/**
+ * A copy of an instance's tables for operators and tools. It contains no bearer token and no
+ * prompt.
+ */
 public record InstanceDump(
     String instance,
     String incarnation,
@@ -28,7 +31,7 @@
     List<Suspect> suspects,
     List<OrderPool> orderPools,
     SortedMap<String, Long> counters) {
-  /** One stream of the ledger as it is read here. */
+  /** The read state of one stream of the ledger at this instance. */
   public record Stream(int index, long foldedTo, boolean caughtUp, boolean reachable) {}
 
   /** A caller's request. */
@@ -55,7 +58,7 @@
       Instant startedAt,
       Instant lastProgress) {}
 
-  /** A backend server as seen here. */
+  /** A backend server as this instance sees it. */
   public record Server(
       String id,
       String pool,
@@ -69,7 +72,7 @@
       int reportedRunning,
       int reportedWaiting) {}
 
-  /** Another instance. */
+  /** Another instance of the fleet. */
   public record Peer(
       String incarnation,
       String instance,
@@ -80,10 +83,10 @@
       Instant heardAt,
       int unacknowledgedTransfers) {}
 
-  /** The queue before a pool. */
+  /** The admission queue of a pool. */
   public record Pool(String name, int waiting, double meanSeconds) {}
 
-  /** The tokens of a service that are at hand here. */
+  /** The tokens of a service that are leased by this instance. */
   public record Budget(
       String service,
       long idle,
@@ -92,29 +95,31 @@
       double tokensPerSecond,
       boolean leaseAsked) {}
 
-  /** Tokens asked of a peer. */
+  /** A pending request for tokens from a peer. */
   public record Transfer(long number, String giver, String service, long wanted, Instant askedAt) {}
 
-  /** A charge or write-off that the log has not shown yet. */
+  /** A charge or write-off that has not yet been read back from the log. */
   public record Charge(String origin, long number, Instant since) {}
 
   /**
-   * A pool whose engines are ordered.
+   * A pool whose engines receive orders.
    *
-   * @param term the fencing number in force, zero for none
-   * @param engines those that this instance compares; empty if it isn't the holder
+   * @param term the fencing token of the current term, or zero if there is none
+   * @param engines the engines that this instance compares with the settings; empty if it doesn't
+   *     hold the term
    */
   public record OrderPool(
       String pool, long term, String holder, boolean taking, List<OrderEngine> engines) {}
 
   /**
-   * An engine as its orders' holder sees it.
+   * An engine as seen by the instance that sends its orders.
    *
-   * @param highestSeen the fencing number that it named when it refused an order, zero for none
+   * @param highestSeen the fencing token that the engine named when it refused an order, or zero if
+   *     there was none
    */
   public record OrderEngine(
       String server, boolean agreed, int unanswered, Instant askAt, long highestSeen) {}
 
-  /** A request that was in flight on servers as they failed. */
+  /** A request that was in flight on servers when they failed. */
   public record Suspect(String fingerprint, List<String> endedServers, Instant until) {}
 }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/InstanceLimits.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/InstanceLimits.java
@@ -4,45 +4,51 @@
 import org.teaseldeal.api.Preconditions;
 
 /**
- * Bounds of one instance that the settings tree leaves to the program.
+ * Limits of one instance that are fixed in the program and not part of the settings tree.
  *
- * @param heartbeatInterval how often peers hear of this instance
- * @param peerSilence how long a peer may be silent before its backed-up charges are appended here
- * @param logSilence how long the log may be silent before it counts as unreachable
- * @param confirmationBound how long a whole answer waits for its charge to be kept elsewhere
- * @param drawBound how long a request waits for one peer's tokens before it looks elsewhere
- * @param retryAfter the time to come back when nothing better is known
- * @param usageAskInterval how often an engine is asked what an abandoned attempt used
- * @param usageAskBound how long it is asked before the whole reservation is written off
- * @param maxResumes resumes of one run without progress in between
- * @param resumePause the pause before a resume that follows a failed one
- * @param maxAttempts servers that one request may be tried on
- * @param quarantine how long a request that ended two servers stays refused
- * @param maxStoredAnswer bytes of the largest answer that is stored with its claim
- * @param drainBound how long a drain waits for the log before the instance stops without it
+ * @param heartbeatInterval the interval between heartbeats to peers
+ * @param peerSilenceTimeout how long a peer may be silent before this instance appends the peer's
+ *     charges that it stores
+ * @param logSilenceTimeout how long the log may be silent before it counts as unreachable
+ * @param confirmationTimeout how long a complete answer waits until its charge is read back from
+ *     the log or stored by a peer
+ * @param transferTimeout how long a request waits for the tokens of one peer before another source
+ *     is tried
+ * @param retryAfter the retry delay that callers are given when no better estimate is known
+ * @param usageQueryInterval the interval at which an engine is queried for the usage of an
+ *     abandoned attempt
+ * @param usageQueryTimeout how long an engine is queried before the whole reservation is written
+ *     off
+ * @param maxResumes the largest number of resumes of one run without progress in between
+ * @param resumeDelay the delay before a resume that follows a failed one
+ * @param maxAttempts the largest number of attempts for one request
+ * @param quarantineDuration how long a request that was in flight on two failed servers stays
+ *     refused
+ * @param maxStoredAnswerBytes the largest answer in bytes that is stored with its claim
+ * @param drainTimeout how long a drain waits for the log before the instance stops without it
  */
 public record InstanceLimits(
     Duration heartbeatInterval,
-    Duration peerSilence,
-    Duration logSilence,
-    Duration confirmationBound,
-    Duration drawBound,
+    Duration peerSilenceTimeout,
+    Duration logSilenceTimeout,
+    Duration confirmationTimeout,
+    Duration transferTimeout,
     Duration retryAfter,
-    Duration usageAskInterval,
-    Duration usageAskBound,
+    Duration usageQueryInterval,
+    Duration usageQueryTimeout,
     int maxResumes,
-    Duration resumePause,
+    Duration resumeDelay,
     int maxAttempts,
-    Duration quarantine,
-    int maxStoredAnswer,
-    Duration drainBound) {
+    Duration quarantineDuration,
+    int maxStoredAnswerBytes,
+    Duration drainTimeout) {
   public InstanceLimits {
     Preconditions.requirePositive(heartbeatInterval.toMillis(), "heartbeat interval");
     Preconditions.requirePositive(maxResumes, "max resumes");
     Preconditions.requirePositive(maxAttempts, "max attempts");
   }
 
-  /** The limits of an ordinary instance. */
+  /** Returns the limits of a production instance. */
   public static InstanceLimits standard() {
     return new InstanceLimits(
         Duration.ofMillis(500),
@@ -61,22 +67,22 @@
         Duration.ofSeconds(30));
   }
 
-  /** These limits with another bound of the drain. */
-  public InstanceLimits withDrainBound(Duration bound) {
+  /** Returns a copy with another time-out for the drain. */
+  public InstanceLimits withDrainBound(Duration timeout) {
     return new InstanceLimits(
         heartbeatInterval,
-        peerSilence,
-        logSilence,
-        confirmationBound,
-        drawBound,
+        peerSilenceTimeout,
+        logSilenceTimeout,
+        confirmationTimeout,
+        transferTimeout,
         retryAfter,
-        usageAskInterval,
-        usageAskBound,
+        usageQueryInterval,
+        usageQueryTimeout,
         maxResumes,
-        resumePause,
+        resumeDelay,
         maxAttempts,
-        quarantine,
-        maxStoredAnswer,
-        bound);
+        quarantineDuration,
+        maxStoredAnswerBytes,
+        timeout);
   }
 }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/ListedInstance.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/ListedInstance.java
@@ -3,6 +3,6 @@
 import org.teaseldeal.api.DataCentre;
 import org.teaseldeal.api.InstanceId;
 
-/** One entry instance as the platform lists it; {@code peerAddress} is {@code host:port}. */
+/** One entry instance in the platform's list. {@code peerAddress} is {@code host:port}. */
 public record ListedInstance(
     InstanceId id, String peerAddress, DataCentre dataCentre, boolean leaving) {}
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/Payload.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/Payload.java
@@ -3,17 +3,17 @@
 import java.util.OptionalLong;
 import org.teaseldeal.api.Preconditions;
 
-/** What a caller asks to have run. */
+/** The request that a caller wants to run. */
 public sealed interface Payload {
-  /** The body as the backend server is to be given it. */
+  /** Returns the body that is sent to the backend server. */
   byte[] body();
 
   /**
    * A chat completion.
    *
-   * @param inputTokenBound no fewer than the input tokens that the engine will count; UTF-8 bytes
-   *     of the prompt are such a bound
-   * @param maxOutputTokens the caller's own cap, if it named one
+   * @param inputTokenBound an upper bound of the input tokens that the engine will count, such as
+   *     the number of UTF-8 bytes of the prompt
+   * @param maxOutputTokens the caller's own cap on the output, if it set one
    * @param stream whether the caller wants server-sent events
    */
   record ModelCall(byte[] body, long inputTokenBound, OptionalLong maxOutputTokens, boolean stream)
@@ -23,7 +23,7 @@
     }
   }
 
-  /** A call of a plain service: {@code path} starts with a slash and includes the query. */
+  /** A call of a plain service. {@code path} starts with a slash and includes the query. */
   record PlainCall(String method, String path, String contentType, byte[] body)
       implements Payload {}
 }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/command/InstanceCommand.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/command/InstanceCommand.java
@@ -14,31 +14,31 @@
 import org.teaseldeal.ledger.LogCommand;
 import org.teaseldeal.wire.gen.peer.Message;
 
-/** Something that an instance wants done; carried out in order. */
+/** An output of an instance. Commands are carried out in order. */
 public sealed interface InstanceCommand {
-  /** Gives the caller its final answer: an error before any byte of an answer. */
+  /** Sends the caller an error as its final answer, before any byte of an answer. */
   record Refuse(CallId call, RequestId request, Problem problem) implements InstanceCommand {}
 
-  /** Gives the caller the next frame of its answer. */
+  /** Sends the caller the next frame of its answer. */
   record SendFrame(CallId call, RequestId request, byte[] data) implements InstanceCommand {}
 
-  /** Ends the caller's answer, which is whole. */
+  /** Ends the caller's answer after it has been sent completely. */
   record FinishStream(CallId call, RequestId request, Usage usage) implements InstanceCommand {}
 
-  /** Ends the caller's answer, which is not whole, so that the caller can tell. */
+  /** Ends the caller's incomplete answer in a way that the caller can detect. */
   record BreakStream(CallId call, RequestId request, Problem problem) implements InstanceCommand {}
 
-  /** Gives the caller a plain service's whole answer. */
+  /** Sends the caller a plain service's complete answer. */
   record AnswerPlain(CallId call, RequestId request, int status, String contentType, byte[] body)
       implements InstanceCommand {}
 
   /**
-   * Starts an attempt, or with {@code resumeFrom} continues the request's stream from that
-   * position.
+   * Starts an attempt or, if {@code resumeFrom} is present, continues the request's stream from
+   * that position.
    *
-   * @param model the model name to ask the engine for; empty for plain services
-   * @param maxOutputTokens the cap to send to the engine; zero for plain services
-   * @param priority lower first
+   * @param model the model name that is sent to the engine; empty for plain services
+   * @param maxOutputTokens the output cap that is sent to the engine; zero for plain services
+   * @param priority the rank of the request's priority class; lower ranks are served first
    */
   record StartAttempt(
       AttemptId attempt,
@@ -56,37 +56,38 @@
   record CancelAttempt(AttemptId attempt, RequestId request, String address)
       implements InstanceCommand {}
 
-  /** Drops an attempt's connection without cancelling the request at its engine. */
+  /** Closes an attempt's connection without cancelling the request at its engine. */
   record DropAttempt(AttemptId attempt) implements InstanceCommand {}
 
-  /** Asks an engine what a request has used. */
+  /** Queries an engine for the usage of a request. */
   record AskUsage(AttemptId attempt, RequestId request, String address)
       implements InstanceCommand {}
 
-  /** Asks an engine which models, adapters and role it has. */
+  /** Queries an engine for its models, adapters and role. */
   record AskOrderState(BackendServerId server, String address) implements InstanceCommand {}
 
   /**
-   * Gives an engine an order.
+   * Sends an order to an engine.
    *
-   * @param fencing the term of the one that orders
-   * @param number comes back with what becomes of the order
+   * @param fencing the fencing token, which is the term of the instance that sends the order
+   * @param number identifies the order in the event that reports its result
    */
   record SendOrder(
       BackendServerId server, String address, long fencing, long number, EngineOrder order)
       implements InstanceCommand {}
 
-  /** Something to do at the platform's log. */
+  /** An operation on the platform's log. */
   record AtLog(LogCommand command) implements InstanceCommand {}
 
-  /** A message to another instance by its peer address. */
+  /** Sends a message to the peer address of another instance. */
   record SendPeer(String address, Message message) implements InstanceCommand {}
 
   /**
-   * A request has ended; for the log only.
+   * Reports for the event log that a request has ended.
    *
-   * @param outcome {@code answered}, {@code caller-gone} or the label of the error given
-   * @param revision the largest revision of the settings in force
+   * @param outcome {@code answered}, {@code caller-gone} or the label of the error that was
+   *     returned
+   * @param revision the highest revision of the settings in force
    */
   record RequestEnded(
       RequestId request,
@@ -97,6 +98,6 @@
       long revision)
       implements InstanceCommand {}
 
-  /** Nothing is left to do: the process may end. */
+  /** All work is done and the process may exit. */
   record Stop() implements InstanceCommand {}
 }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/command/package-info.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/command/package-info.java
@@ -1,4 +1,4 @@
-/** What an instance wants done, as typed commands that the network side carries out. */
+/** Outputs of an instance, as typed commands that the network layer carries out. */
 @NullMarked
 package org.teaseldeal.core.command;
 
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/event/InstanceEvent.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/event/InstanceEvent.java
@@ -17,13 +17,13 @@
 import org.teaseldeal.ledger.LogEvent;
 import org.teaseldeal.wire.gen.peer.Message;
 
-/** Something that happened to an instance. */
+/** An input to an instance. */
 public sealed interface InstanceEvent {
   /**
-   * A caller's whole request has arrived.
+   * A caller's complete request has arrived.
    *
-   * @param service {@code team/service}, or {@code service} of the token's own team
-   * @param timeout how long the caller will wait, if it said so
+   * @param service {@code team/service}, or {@code service} for the team of the bearer token
+   * @param timeout how long the caller will wait, if it stated a time-out
    */
   record CallerRequest(
       CallId call,
@@ -38,17 +38,17 @@
   record CallerGone(CallId call) implements InstanceEvent {}
 
   /**
-   * A frame of an engine's answer.
+   * A frame of an engine's answer has arrived.
    *
-   * @param position how many frames of the answer came before it
+   * @param position the number of frames of the answer that precede this one
    * @param data the JSON text of the server-sent event, without the {@code data:} prefix
    */
   record FrameReceived(AttemptId attempt, long position, byte[] data) implements InstanceEvent {}
 
-  /** An engine's answer is whole: {@code frames} frames in all. */
+  /** An engine's answer is complete and consists of {@code frames} frames. */
   record StreamFinished(AttemptId attempt, long frames, Usage usage) implements InstanceEvent {}
 
-  /** A plain service's answer is whole. */
+  /** A plain service's complete answer has arrived. */
   record PlainAnswered(AttemptId attempt, int status, String contentType, byte[] body)
       implements InstanceEvent {}
 
@@ -56,31 +56,34 @@
   record AttemptFailed(AttemptId attempt, AttemptFailure failure, String detail)
       implements InstanceEvent {}
 
-  /** An engine said what an attempt used, or that it does not know the request. */
+  /** An engine reported the usage of an attempt, or empty if it does not know the request. */
   record UsageKnown(AttemptId attempt, Optional<Usage> usage) implements InstanceEvent {}
 
-  /** An engine could not be asked what an attempt used. */
+  /** Querying an engine for the usage of an attempt failed. */
   record UsageUnknown(AttemptId attempt, String detail) implements InstanceEvent {}
 
-  /** An engine said what it has. */
+  /** An engine reported its models, adapters and role. */
   record OrderStateReported(BackendServerId server, EngineState state) implements InstanceEvent {}
 
-  /** An engine could not be asked what it has. */
+  /** Querying an engine for its state failed. */
   record OrderStateUnknown(BackendServerId server, String detail) implements InstanceEvent {}
 
-  /** An engine took the order with the number {@code number}. */
+  /** An engine accepted the order with the number {@code number}. */
   record OrderAnswered(BackendServerId server, long number) implements InstanceEvent {}
 
-  /** An engine refused an order, since it has seen the fencing number {@code highest}. */
+  /** An engine refused an order because it has already seen the fencing token {@code highest}. */
   record OrderRefused(BackendServerId server, long number, long highest) implements InstanceEvent {}
 
-  /** An order got no answer, or another than these; it may have been carried out. */
+  /**
+   * An order was not answered, or with neither acceptance nor refusal. It may have been carried
+   * out.
+   */
   record OrderFailed(BackendServerId server, long number, String detail) implements InstanceEvent {}
 
-  /** News of the platform's log. */
+  /** A response of the platform's log. */
   record LogNews(LogEvent event) implements InstanceEvent {}
 
-  /** The platform's list, which may lag. */
+  /** The platform's list has been read. It may lag behind. */
   record ListRead(List<ListedInstance> instances, List<ListedServer> servers)
       implements InstanceEvent {
     public ListRead {
@@ -89,17 +92,17 @@
     }
   }
 
-  /** The platform's list could not be read. */
+  /** Reading the platform's list failed. */
   record ListFailed(String detail) implements InstanceEvent {}
 
-  /** A backend server's load report, {@code age} old when it arrived. */
+  /** A backend server's load report, which was {@code age} old when it arrived. */
   record LoadReported(
       BackendServerId server, int running, int waiting, double cacheUse, Duration age)
       implements InstanceEvent {}
 
-  /** A message of another instance. */
+  /** A message from another instance has arrived. */
   record PeerReceived(IncarnationId sender, Message message) implements InstanceEvent {}
 
-  /** The instance is asked to shut down without cutting off a request. */
+  /** The instance is to shut down without interrupting requests in flight. */
   record DrainRequested() implements InstanceEvent {}
 }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/event/package-info.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/event/package-info.java
@@ -1,4 +1,4 @@
-/** What happens to an instance, as typed events that the network side hands in. */
+/** Inputs to an instance, as typed events that the network layer delivers. */
 @NullMarked
 package org.teaseldeal.core.event;
 
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/package-info.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/package-info.java
@@ -1,4 +1,7 @@
-/** One entry instance as tables and the systems run over them each tick, without a socket. */
+/**
+ * One entry instance, made up of tables and of systems that process them on each tick, without
+ * sockets.
+ */
 @NullMarked
 package org.teaseldeal.core;
 
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/part/ClaimConfirmation.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/part/ClaimConfirmation.java
@@ -4,21 +4,22 @@
 import org.teaseldeal.ledger.entry.Entry;
 import org.teaseldeal.ledger.outcome.Outcome;
 
-/** Finds out whether a claim was won. */
+/** Determines whether this instance won the claim of a request. */
 @FunctionalInterface
 public interface ClaimConfirmation {
-  /** Appends an entry and gives its outcome as the log's order settled it. */
+  /** Appends an entry and passes on its outcome as the order of the log decides it. */
   @FunctionalInterface
   interface Ledger {
     void submit(Entry entry, Consumer<Outcome> then);
   }
 
   /**
-   * Reads the claim back from the log. Two instances can append claims of one key at the same
-   * moment; whoever ran its own without reading the order would run the request a second time.
+   * Reads the claim back from the log. Two instances can append claims for one key at the same
+   * moment. An instance that ran its own request without reading the log's order would run the
+   * request a second time.
    */
   ClaimConfirmation READ_BACK = (claim, ledger, then) -> ledger.submit(claim, then);
 
-  /** Claims, and calls {@code then} with the outcome. */
+  /** Appends the claim and calls {@code then} with its outcome. */
   void claim(Entry.Claim claim, Ledger ledger, Consumer<Outcome> then);
 }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/part/FrameFilter.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/part/FrameFilter.java
@@ -1,27 +1,34 @@
 package org.teaseldeal.core.part;
 
-/** Judges a frame of a present attempt by its position. */
+/** Decides by its position whether a frame of a current attempt is passed on to the caller. */
 @FunctionalInterface
 public interface FrameFilter {
-  /** What to do with a frame. */
+  /** How a frame relates to the answer that the caller has received so far. */
   enum Verdict {
-    /** It is the next one of the caller's answer. */
+    /** The frame is the next one of the caller's answer. */
     NEXT,
-    /** The caller has it. */
-    REPEATED,
-    /** Frames before it are missing: the answer is resumed from the first of them. */
-    AHEAD
+    /** The caller already has the frame. */
+    DUPLICATE,
+    /**
+     * Frames before this one are missing, so the answer is resumed from the first missing frame.
+     */
+    GAP
   }
 
-  /** Takes exactly the next position; anything else would be spliced into the caller's answer. */
+  /**
+   * Accepts only the frame at the next position. Any other frame would corrupt the caller's answer
+   * with data from another position or another request.
+   */
   FrameFilter EXACT =
       (expected, position) -> {
         if (position == expected) {
           return Verdict.NEXT;
         }
-        return position < expected ? Verdict.REPEATED : Verdict.AHEAD;
+        return position < expected ? Verdict.DUPLICATE : Verdict.GAP;
       };
 
-  /** Judges the frame at {@code position} where {@code expected} comes next. */
-  Verdict judge(long expected, long position);
+  /**
+   * Classifies the frame at {@code position} when the next expected position is {@code expected}.
+   */
+  Verdict classify(long expected, long position);
 }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/part/InstanceParts.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/part/InstanceParts.java
@@ -6,212 +6,223 @@
 import org.teaseldeal.decisions.QueueRule;
 import org.teaseldeal.ledger.fold.SettingsValidator;
 
-/** The exchangeable parts of an instance; each {@code with} gives a copy with one part changed. */
+/**
+ * The replaceable policies of an instance. Each {@code with} method returns a copy with one policy
+ * replaced.
+ */
 public final class InstanceParts {
-  /** Two servers are enough: a third would end too, and the caller sends the request again. */
-  private static final int SERVERS_BEFORE_QUARANTINE = 2;
+  /**
+   * Two failed servers are enough evidence. A third server would fail too, and the caller sends the
+   * request again.
+   */
+  private static final int GONE_SERVERS_BEFORE_QUARANTINE = 2;
 
   private SettingsValidator validator = SettingsValidator.STANDARD;
-  private PlacementPolicy placement = PlacementPolicy.TWO_CHOICES;
-  private QueueRule queue = QueueRule.FAIR;
-  private FrameFilter frames = FrameFilter.EXACT;
-  private ClaimConfirmation claims = ClaimConfirmation.READ_BACK;
-  private CreditMemory credits = CreditMemory.ONCE;
-  private LeavingMemory leaving = LeavingMemory.STICKY;
-  private ReservationRule reservations = ReservationRule.WORST_CASE;
-  private AbandonedRuns abandonedRuns = AbandonedRuns.RESERVED;
-  private RerunRule reruns = RerunRule.IDEMPOTENT_ONLY;
-  private Predicate<SuspectRow> quarantine =
-      suspect -> suspect.ended.size() >= SERVERS_BEFORE_QUARANTINE;
-  private OrderRight orderRight = OrderRight.HOLDER_IN_CONTACT;
-  private OrderWatch orderWatch = OrderWatch.ALWAYS;
+  private PlacementPolicy placementPolicy = PlacementPolicy.TWO_CHOICES;
+  private QueueRule queueRule = QueueRule.FAIR;
+  private FrameFilter frameFilter = FrameFilter.EXACT;
+  private ClaimConfirmation claimConfirmation = ClaimConfirmation.READ_BACK;
+  private TransferDeduplication transferDeduplication = TransferDeduplication.CREDIT_ONCE;
+  private LeavingServerRule leavingServerRule = LeavingServerRule.KEEP_FOREVER;
+  private ReservationRule reservationRule = ReservationRule.WORST_CASE;
+  private AbandonedRunRule abandonedRunRule = AbandonedRunRule.KEEP_RESERVED;
+  private RerunRule rerunRule = RerunRule.IDEMPOTENT_ONLY;
+  private Predicate<SuspectRow> quarantineRule =
+      suspect -> suspect.goneServers.size() >= GONE_SERVERS_BEFORE_QUARANTINE;
+  private OrderAuthority orderAuthority = OrderAuthority.HOLDER_IN_CONTACT;
+  private EngineRecheckRule engineRecheckRule = EngineRecheckRule.ALWAYS;
 
   private InstanceParts() {}
 
   private InstanceParts(InstanceParts other) {
     validator = other.validator;
-    placement = other.placement;
-    queue = other.queue;
-    frames = other.frames;
-    claims = other.claims;
-    credits = other.credits;
-    leaving = other.leaving;
-    reservations = other.reservations;
-    abandonedRuns = other.abandonedRuns;
-    reruns = other.reruns;
-    quarantine = other.quarantine;
-    orderRight = other.orderRight;
-    orderWatch = other.orderWatch;
-  }
-
-  /** The parts of an ordinary instance. */
+    placementPolicy = other.placementPolicy;
+    queueRule = other.queueRule;
+    frameFilter = other.frameFilter;
+    claimConfirmation = other.claimConfirmation;
+    transferDeduplication = other.transferDeduplication;
+    leavingServerRule = other.leavingServerRule;
+    reservationRule = other.reservationRule;
+    abandonedRunRule = other.abandonedRunRule;
+    rerunRule = other.rerunRule;
+    quarantineRule = other.quarantineRule;
+    orderAuthority = other.orderAuthority;
+    engineRecheckRule = other.engineRecheckRule;
+  }
+
+  /** Returns the policies of a production instance. */
   public static InstanceParts standard() {
     return new InstanceParts();
   }
 
-  /** Reads settings from the log. */
+  /** Returns the parser and validator of settings that are read from the log. */
   public SettingsValidator validator() {
     return validator;
   }
 
-  /** These parts with another reader of settings. */
+  /** Returns a copy with another parser and validator of settings. */
   public InstanceParts withValidator(SettingsValidator other) {
     InstanceParts copy = new InstanceParts(this);
     copy.validator = other;
     return copy;
   }
 
-  /** Chooses the backend server of a request. */
-  public PlacementPolicy placement() {
-    return placement;
+  /** Returns the policy that chooses the backend server of a request. */
+  public PlacementPolicy placementPolicy() {
+    return placementPolicy;
   }
 
-  /** These parts with another placement. */
+  /** Returns a copy with another placement policy. */
   public InstanceParts withPlacement(PlacementPolicy other) {
     InstanceParts copy = new InstanceParts(this);
-    copy.placement = other;
+    copy.placementPolicy = other;
     return copy;
   }
 
-  /** These parts with a queue that an instance's file can choose. */
+  /** Returns a copy with one of the queue rules that an instance's settings file can name. */
   public InstanceParts withQueue(QueueChoice choice) {
     return withQueue(choice.rule());
   }
 
-  /** These parts with a placement that an instance's file can choose. */
+  /**
+   * Returns a copy with one of the placement policies that an instance's settings file can name.
+   */
   public InstanceParts withPlacement(PlacementChoice choice) {
     return withPlacement(choice.policy());
   }
 
-  /** How requests wait for one. */
-  public QueueRule queue() {
-    return queue;
+  /** Returns the rule that orders and bounds the requests that wait for a backend server. */
+  public QueueRule queueRule() {
+    return queueRule;
   }
 
-  /** These parts with another queue. */
+  /** Returns a copy with another queue rule. */
   public InstanceParts withQueue(QueueRule other) {
     InstanceParts copy = new InstanceParts(this);
-    copy.queue = other;
+    copy.queueRule = other;
     return copy;
   }
 
-  /** Which frames belong to an answer. */
-  public FrameFilter frames() {
-    return frames;
+  /** Returns the filter that decides which frames belong to a caller's answer. */
+  public FrameFilter frameFilter() {
+    return frameFilter;
   }
 
-  /** These parts with another filter of frames. */
-  public InstanceParts withFrames(FrameFilter other) {
+  /** Returns a copy with another frame filter. */
+  public InstanceParts withFrameFilter(FrameFilter other) {
     InstanceParts copy = new InstanceParts(this);
-    copy.frames = other;
+    copy.frameFilter = other;
     return copy;
   }
 
-  /** When a claim counts as won. */
-  public ClaimConfirmation claims() {
-    return claims;
+  /** Returns how this instance confirms that it won a claim. */
+  public ClaimConfirmation claimConfirmation() {
+    return claimConfirmation;
   }
 
-  /** These parts with another confirmation of claims. */
+  /** Returns a copy with another confirmation of claims. */
   public InstanceParts withClaims(ClaimConfirmation other) {
     InstanceParts copy = new InstanceParts(this);
-    copy.claims = other;
+    copy.claimConfirmation = other;
     return copy;
   }
 
-  /** Which transfers were credited. */
-  public CreditMemory credits() {
-    return credits;
+  /** Returns the rule that prevents a transfer from being credited twice. */
+  public TransferDeduplication transferDeduplication() {
+    return transferDeduplication;
   }
 
-  /** These parts with another memory of credited transfers. */
-  public InstanceParts withCredits(CreditMemory other) {
+  /** Returns a copy with another deduplication of transfers. */
+  public InstanceParts withTransferDeduplication(TransferDeduplication other) {
     InstanceParts copy = new InstanceParts(this);
-    copy.credits = other;
+    copy.transferDeduplication = other;
     return copy;
   }
 
-  /** Which servers are leaving. */
-  public LeavingMemory leaving() {
-    return leaving;
+  /** Returns the rule that decides which backend servers still count as leaving. */
+  public LeavingServerRule leavingServerRule() {
+    return leavingServerRule;
   }
 
-  /** These parts with another memory of leaving servers. */
-  public InstanceParts withLeaving(LeavingMemory other) {
+  /** Returns a copy with another rule for leaving servers. */
+  public InstanceParts withLeavingServerRule(LeavingServerRule other) {
     InstanceParts copy = new InstanceParts(this);
-    copy.leaving = other;
+    copy.leavingServerRule = other;
     return copy;
   }
 
-  /** The tokens set aside for a request. */
-  public ReservationRule reservations() {
-    return reservations;
+  /** Returns the rule that decides how many tokens are reserved for a request. */
+  public ReservationRule reservationRule() {
+    return reservationRule;
   }
 
-  /** These parts with another rule of reservations. */
+  /** Returns a copy with another reservation rule. */
   public InstanceParts withReservations(ReservationRule other) {
     InstanceParts copy = new InstanceParts(this);
-    copy.reservations = other;
+    copy.reservationRule = other;
     return copy;
   }
 
-  /** Whether their tokens stay reserved. */
-  public AbandonedRuns abandonedRuns() {
-    return abandonedRuns;
+  /** Returns the rule that decides whether the tokens of an abandoned run stay reserved. */
+  public AbandonedRunRule abandonedRunRule() {
+    return abandonedRunRule;
   }
 
-  /** These parts with another treatment of abandoned runs. */
-  public InstanceParts withAbandonedRuns(AbandonedRuns other) {
+  /** Returns a copy with another rule for abandoned runs. */
+  public InstanceParts withAbandonedRunRule(AbandonedRunRule other) {
     InstanceParts copy = new InstanceParts(this);
-    copy.abandonedRuns = other;
+    copy.abandonedRunRule = other;
     return copy;
   }
 
-  /** What may be run again. */
-  public RerunRule reruns() {
-    return reruns;
+  /** Returns the rule that decides which requests may run a second time. */
+  public RerunRule rerunRule() {
+    return rerunRule;
   }
 
-  /** These parts with another rule of reruns. */
+  /** Returns a copy with another rerun rule. */
   public InstanceParts withReruns(RerunRule other) {
     InstanceParts copy = new InstanceParts(this);
-    copy.reruns = other;
+    copy.rerunRule = other;
     return copy;
   }
 
-  /** Whether a request has ended too many servers to be run again. */
-  public Predicate<SuspectRow> quarantine() {
-    return quarantine;
+  /**
+   * Returns the rule that decides whether a request was in flight on too many failed servers to be
+   * run again.
+   */
+  public Predicate<SuspectRow> quarantineRule() {
+    return quarantineRule;
   }
 
-  /** These parts with another rule of quarantine. */
-  public InstanceParts withQuarantine(Predicate<SuspectRow> other) {
+  /** Returns a copy with another quarantine rule. */
+  public InstanceParts withQuarantineRule(Predicate<SuspectRow> other) {
     InstanceParts copy = new InstanceParts(this);
-    copy.quarantine = other;
+    copy.quarantineRule = other;
     return copy;
   }
 
-  /** Whether this instance may order engines now. */
-  public OrderRight orderRight() {
-    return orderRight;
+  /** Returns the rule that decides whether this instance may send orders to engines now. */
+  public OrderAuthority orderAuthority() {
+    return orderAuthority;
   }
 
-  /** These parts with another right to order engines. */
-  public InstanceParts withOrderRight(OrderRight other) {
+  /** Returns a copy with another rule for the authority to send orders. */
+  public InstanceParts withOrderAuthority(OrderAuthority other) {
     InstanceParts copy = new InstanceParts(this);
-    copy.orderRight = other;
+    copy.orderAuthority = other;
     return copy;
   }
 
-  /** Whether an engine is asked again. */
-  public OrderWatch orderWatch() {
-    return orderWatch;
+  /** Returns the rule that decides whether the state of an engine is queried again. */
+  public EngineRecheckRule engineRecheckRule() {
+    return engineRecheckRule;
   }
 
-  /** These parts with another watch of engines. */
-  public InstanceParts withOrderWatch(OrderWatch other) {
+  /** Returns a copy with another rule for querying engines again. */
+  public InstanceParts withEngineRecheckRule(EngineRecheckRule other) {
     InstanceParts copy = new InstanceParts(this);
-    copy.orderWatch = other;
+    copy.engineRecheckRule = other;
     return copy;
   }
 }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/part/PlacementChoice.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/part/PlacementChoice.java
@@ -2,7 +2,10 @@
 
 import org.teaseldeal.decisions.PlacementPolicy;
 
-/** The placements that an instance's file can choose; all but the first are baselines. */
+/**
+ * The placement policies that an instance's settings file can name. All but the first are baselines
+ * for comparison.
+ */
 public enum PlacementChoice {
   TWO_CHOICES(PlacementPolicy.TWO_CHOICES),
   LEAST_OUTSTANDING(PlacementPolicy.LEAST_OUTSTANDING),
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/part/QueueChoice.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/part/QueueChoice.java
@@ -2,7 +2,10 @@
 
 import org.teaseldeal.decisions.QueueRule;
 
-/** The queues that an instance's file can choose; the second is a baseline. */
+/**
+ * The queue rules that an instance's settings file can name. The second is a baseline for
+ * comparison.
+ */
 public enum QueueChoice {
   FAIR(QueueRule.FAIR),
   UNBOUNDED(QueueRule.UNBOUNDED);
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/part/RerunRule.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/part/RerunRule.java
@@ -2,12 +2,12 @@
 
 import org.teaseldeal.settings.ServiceSettings;
 
-/** Whether a request that may have run may be run on another server. */
+/** Decides whether a request that may already have run may run on another server. */
 @FunctionalInterface
 public interface RerunRule {
-  /** Only if its service says that running it again does no harm. */
+  /** Allows a rerun only if the service is declared idempotent in its settings. */
   RerunRule IDEMPOTENT_ONLY = ServiceSettings::idempotent;
 
-  /** Whether a request of {@code service} may be run again. */
-  boolean mayRunAgain(ServiceSettings service);
+  /** Returns whether a request of {@code service} may run again. */
+  boolean mayRerun(ServiceSettings service);
 }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/part/ReservationRule.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/part/ReservationRule.java
@@ -3,12 +3,13 @@
 import org.teaseldeal.core.Payload;
 import org.teaseldeal.settings.ServiceSettings;
 
-/** How many tokens are set aside for an attempt before it starts. */
+/** Decides how many tokens are reserved for an attempt before it starts. */
 @FunctionalInterface
 public interface ReservationRule {
   /**
-   * All that the attempt may use: the bound of its input and the cap on its output that the engine
-   * is sent, or a plain call's fixed cost. With less, engines could use more than the budget holds.
+   * Reserves the most tokens that the attempt can use: the upper bound of its input plus the cap on
+   * its output that is sent to the engine, or the fixed cost of a plain call. With a smaller
+   * reservation, engines could use more tokens than the budget holds.
    */
   ReservationRule WORST_CASE =
       (payload, service, outputCap) ->
@@ -16,6 +17,6 @@
               ? Math.addExact(call.inputTokenBound(), outputCap)
               : service.tokensPerCall();
 
-  /** The tokens to set aside. */
+  /** Returns the number of tokens to reserve. */
   long tokens(Payload payload, ServiceSettings service, long outputCap);
 }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/part/package-info.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/part/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Parts of an instance on which what must always hold rests, one interface each.
+ * Replaceable policies on which the safety guarantees of an instance depend, one interface each.
  *
- * <p>Each has its production form as a constant. A proof passes another form to the instance and
- * expects the checks to report what then goes wrong.
+ * <p>Each interface has its production implementation as a constant. A test passes a weaker
+ * implementation to the instance and expects the checks to report the resulting fault.
  */
 @NullMarked
 package org.teaseldeal.core.part;
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/LostAttempts.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/AttemptRecovery.java
@@ -13,64 +13,66 @@
 import org.teaseldeal.core.table.Stage;
 
 /**
- * Decides what becomes of a request whose attempt ended without its answer.
+ * Decides how a request continues after an attempt ended without its answer.
  *
- * <p>It is tried again only where that can't run it twice or splice its answer; else its caller is
- * told what is known about whether it ran.
+ * <p>The request is tried again only if that can't run it twice or mix two answers. Otherwise its
+ * caller is told what is known about whether it ran.
  */
-final class LostAttempts {
+final class AttemptRecovery {
   private final Context context;
-  private final Endings endings;
+  private final RequestCompletion completion;
   private final SettlementSystem settlement;
-  private final SuspectSystem suspects;
-  private final RerunRule reruns;
+  private final QuarantineSystem quarantine;
+  private final RerunRule rerunRule;
   private final Consumer<RequestRow> retry;
 
-  LostAttempts(
+  AttemptRecovery(
       Context context,
-      Endings endings,
+      RequestCompletion completion,
       SettlementSystem settlement,
-      SuspectSystem suspects,
-      RerunRule reruns,
+      QuarantineSystem quarantine,
+      RerunRule rerunRule,
       Consumer<RequestRow> retry) {
     this.context = context;
-    this.endings = endings;
+    this.completion = completion;
     this.settlement = settlement;
-    this.suspects = suspects;
-    this.reruns = reruns;
+    this.quarantine = quarantine;
+    this.rerunRule = rerunRule;
     this.retry = retry;
   }
 
-  /** The server ran the request and answered with an error. */
+  /** Handles an attempt that the server ran and answered with an error. */
   void onServerError(AttemptRow attempt, String detail) {
-    close(attempt);
+    remove(attempt);
     settlement.abandon(attempt, false);
     RequestRow request = attempt.request;
     request.attempt = null;
     request.mayHaveRun = true;
-    endings.fail(request, ErrorKind.BACKEND_REFUSED, detail);
+    completion.fail(request, ErrorKind.BACKEND_REFUSED, detail);
   }
 
-  /** No server was given the request: its tokens serve the next try. */
-  void notRun(AttemptRow attempt, ErrorKind kind, String detail) {
-    close(attempt);
+  /** Handles an attempt that did not run. Its reserved tokens are used for the next attempt. */
+  void onNotRun(AttemptRow attempt, ErrorKind kind, String detail) {
+    remove(attempt);
     RequestRow request = attempt.request;
     request.attempt = null;
     request.reservation = attempt.reservation;
-    // A connection that was refused gave no server any work, so trying another adds none: the share
-    // of retries is for those that do.
+    // A refused connection gave no server any work, so the retry adds none. The retry budget limits
+    // only retries that add work.
     boolean unsent = kind == ErrorKind.NO_BACKEND_SERVER;
-    if (mayTryAgain(request, unsent)) {
+    if (mayRetry(request, unsent)) {
       request.stage = Stage.WAITING_FOR_TOKENS;
       retry.accept(request);
       return;
     }
-    endings.fail(request, kind, detail, context.limits().retryAfter());
+    completion.fail(request, kind, detail, context.limits().retryAfter());
   }
 
-  /** Gives a run up that may have run; its tokens stay reserved until its usage is known. */
-  void lose(AttemptRow attempt, String detail) {
-    close(attempt);
+  /**
+   * Abandons a run that may have taken place. Its tokens stay reserved until its usage is known.
+   */
+  void abandon(AttemptRow attempt, String detail) {
+    remove(attempt);
     cancel(attempt);
     settlement.abandon(attempt, false);
     RequestRow request = attempt.request;
@@ -78,77 +80,80 @@
     request.mayHaveRun = true;
     request.triedServers.add(attempt.server.id);
     if (request.streams() && request.framesSent > 0) {
-      endings.fail(request, ErrorKind.STREAM_BROKEN, detail);
+      completion.fail(request, ErrorKind.STREAM_BROKEN, detail);
       return;
     }
-    if (suspects.quarantined(request.fingerprint)) {
-      endings.fail(
+    if (quarantine.isQuarantined(request.fingerprint)) {
+      completion.fail(
           request, ErrorKind.QUARANTINED, "it was in flight on two servers as they failed");
       return;
     }
-    if (reruns.mayRunAgain(request.service) && !request.detached && mayTryAgain(request, false)) {
+    if (rerunRule.mayRerun(request.service) && !request.detached && mayRetry(request, false)) {
       request.frames.clear();
       request.frameBytes = 0;
       request.stage = Stage.WAITING_FOR_TOKENS;
       retry.accept(request);
       return;
     }
-    endings.fail(request, ErrorKind.BACKEND_FAILED, detail);
+    completion.fail(request, ErrorKind.BACKEND_FAILED, detail);
   }
 
-  private boolean mayTryAgain(RequestRow request, boolean unsent) {
+  private boolean mayRetry(RequestRow request, boolean unsent) {
     PoolRow pool = context.tables.pools.get(request.service.pool());
     boolean allowed =
         request.attempts < context.limits().maxAttempts()
             && context.now().isBefore(request.deadline)
             && pool != null
-            && (unsent || pool.retries.tryRetry());
+            && (unsent || pool.retryBudget.tryRetry());
     if (allowed) {
       context.count(Counter.RETRIES);
     }
     return allowed;
   }
 
-  /** Ends a request whose caller has left, or whose deadline has passed as {@code problem} says. */
-  void leave(RequestRow request, @Nullable Problem problem) {
+  /**
+   * Ends a request whose caller closed its connection, or whose deadline has passed if {@code
+   * problem} is given.
+   */
+  void endEarly(RequestRow request, @Nullable Problem problem) {
     AttemptRow attempt = request.attempt;
     if (attempt == null) {
-      endings.forget(request);
+      completion.endWithoutAnswer(request);
       return;
     }
-    // A claimed run is not repeated for the caller's next try, so it goes on and its answer is
-    // stored: cancelled, the caller could never learn what became of it.
+    // A claimed request is not run again for the caller's next try, so the run continues and its
+    // answer is stored. If the run were cancelled, the caller could never learn the outcome.
     if (request.claimHeld) {
       if (problem != null && !request.detached) {
-        endings.detach(request, problem);
+        completion.detach(request, problem);
       }
       request.detached = true;
-      context.tables.deadlines.remove(request);
+      context.tables.requestsByDeadline.remove(request);
       return;
     }
-    close(attempt);
+    remove(attempt);
     cancel(attempt);
     settlement.abandon(attempt, problem == null);
     request.attempt = null;
     request.mayHaveRun = true;
     if (problem == null) {
-      endings.forget(request);
+      completion.endWithoutAnswer(request);
     } else {
-      endings.fail(request, problem.kind(), problem.detail());
+      completion.fail(request, problem.kind(), problem.detail());
     }
   }
 
   /**
-   * Stops a run that nobody waits for.
+   * Stops a run whose result is no longer needed.
    *
-   * <p>Two calls with one key share a run at an engine. Cancelled for one of them, it would break
-   * off the other's answer.
+   * <p>Two calls with the same idempotency key share one run at an engine. Cancelling the run for
+   * one call would cut off the answer of the other, so a shared run only loses this connection.
    */
   private void cancel(AttemptRow attempt) {
     RequestRow request = attempt.request;
     boolean shared =
         request.keyed
-            && context.tables.running.values().stream()
+            && context.tables.runningAttempts.values().stream()
                 .anyMatch(
                     other -> other.server == attempt.server && other.request.id.equals(request.id));
     context.emit(
@@ -157,10 +162,10 @@
             : new InstanceCommand.CancelAttempt(attempt.id, request.id, attempt.server.address));
   }
 
-  /** Takes an attempt off its server. */
-  void close(AttemptRow attempt) {
+  /** Removes an attempt from the table and from its server's count of requests in flight. */
+  void remove(AttemptRow attempt) {
     context.tables.attempts.remove(attempt.id);
-    context.tables.running.remove(attempt.id.number());
-    attempt.server.own--;
+    context.tables.runningAttempts.remove(attempt.id.number());
+    attempt.server.outstandingHere--;
   }
 }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/AttemptSystem.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/AttemptSystem.java
@@ -19,41 +19,41 @@
 import org.teaseldeal.settings.FleetSettings;
 
 /**
- * Follows each attempt to its answer, resumes it from the exact position, or gives it up.
+ * Tracks each attempt until it is answered, resumes it from the exact position, or abandons it.
  *
- * <p>A frame counts only if its attempt is the present one and its position the next. Late frames
- * of a connection that was given up, and crossed ones of another request, would otherwise be
- * spliced into the caller's answer.
+ * <p>A frame is accepted only if its attempt is the current one and its position is the next one.
+ * Otherwise, late frames of an abandoned connection or misdirected frames of another request would
+ * be mixed into the caller's answer.
  */
 final class AttemptSystem {
   private static final Duration DEFAULT_PROGRESS_TIMEOUT = Duration.ofSeconds(10);
-  private static final Duration AVOID = Duration.ofSeconds(1);
+  private static final Duration UNREACHABLE_PAUSE = Duration.ofSeconds(1);
   private static final Duration CHECK_INTERVAL = Duration.ofMillis(20);
 
   private final Context context;
   private final SettingsView settings;
   private final SettlementSystem settlement;
-  private final SuspectSystem suspects;
+  private final QuarantineSystem quarantine;
   private final LoadSystem load;
-  private final LostAttempts lost;
-  private final FrameFilter frames;
+  private final AttemptRecovery recovery;
+  private final FrameFilter frameFilter;
   private Instant checkedAt = Instant.EPOCH;
 
   AttemptSystem(
       Context context,
       SettingsView settings,
       SettlementSystem settlement,
-      SuspectSystem suspects,
+      QuarantineSystem quarantine,
       LoadSystem load,
-      LostAttempts lost,
-      FrameFilter frames) {
+      AttemptRecovery recovery,
+      FrameFilter frameFilter) {
     this.context = context;
     this.settings = settings;
     this.settlement = settlement;
-    this.suspects = suspects;
+    this.quarantine = quarantine;
     this.load = load;
-    this.lost = lost;
-    this.frames = frames;
+    this.recovery = recovery;
+    this.frameFilter = frameFilter;
   }
 
   void start(RequestRow request, ServerRow server) {
@@ -63,17 +63,17 @@
     request.attempt = attempt;
     request.stage = Stage.RUNNING;
     request.attempts++;
-    server.own++;
+    server.outstandingHere++;
     context.count(Counter.ATTEMPTS);
     open(attempt, OptionalLong.empty());
   }
 
   private void open(AttemptRow attempt, OptionalLong resumeFrom) {
     RequestRow request = attempt.request;
-    attempt.resumeAt = null;
-    attempt.lastProgress = context.now();
+    attempt.nextResumeAt = null;
+    attempt.lastProgressAt = context.now();
     context.tables.attempts.put(attempt.id, attempt);
-    context.tables.running.put(attempt.id.number(), attempt);
+    context.tables.runningAttempts.put(attempt.id.number(), attempt);
     context.emit(
         new InstanceCommand.StartAttempt(
             attempt.id,
@@ -93,10 +93,10 @@
       context.count(Counter.DROPPED_FRAMES);
       return;
     }
-    switch (frames.judge(attempt.nextPosition, event.position())) {
+    switch (frameFilter.classify(attempt.nextPosition, event.position())) {
       case NEXT -> onNextFrame(attempt, event.data());
-      case REPEATED -> context.count(Counter.DROPPED_FRAMES);
-      case AHEAD -> {
+      case DUPLICATE -> context.count(Counter.DROPPED_FRAMES);
+      case GAP -> {
         context.count(Counter.DROPPED_FRAMES);
         dropAndResume(attempt, context.now());
       }
@@ -106,14 +106,14 @@
   private void onNextFrame(AttemptRow attempt, byte[] data) {
     attempt.nextPosition++;
     attempt.mayHaveRun = true;
-    attempt.resumes = 0;
-    attempt.lastProgress = context.now();
+    attempt.resumesSinceProgress = 0;
+    attempt.lastProgressAt = context.now();
     context.count(Counter.FRAMES);
-    pass(attempt.request, data);
+    forward(attempt.request, data);
   }
 
-  private void pass(RequestRow request, byte[] data) {
-    keep(request, data);
+  private void forward(RequestRow request, byte[] data) {
+    buffer(request, data);
     if (request.streams()) {
       request.framesSent++;
       if (!request.detached) {
@@ -122,13 +122,16 @@
     }
   }
 
-  /** Keeps frames for a caller that wants them at once, and as long as they may be stored. */
-  private void keep(RequestRow request, byte[] data) {
+  /**
+   * Buffers frames for a caller that wants the answer as one body, and for storing with a claim as
+   * long as the answer is small enough.
+   */
+  private void buffer(RequestRow request, byte[] data) {
     if (request.streams() && !request.claimHeld) {
       return;
     }
     request.frameBytes += data.length;
-    boolean tooLong = request.frameBytes > context.limits().maxStoredAnswer();
+    boolean tooLong = request.frameBytes > context.limits().maxStoredAnswerBytes();
     if (request.streams() && tooLong) {
       request.frames.clear();
     } else {
@@ -146,7 +149,7 @@
       dropAndResume(attempt, context.now());
       return;
     }
-    lost.close(attempt);
+    recovery.remove(attempt);
     load.onAnswered(attempt, event.usage());
     settlement.settleAnswer(attempt, event.usage());
   }
@@ -161,7 +164,7 @@
     request.answerStatus = event.status();
     request.answerContentType = event.contentType();
     request.answerBody = event.body();
-    lost.close(attempt);
+    recovery.remove(attempt);
     Usage usage = new Usage(request.service.tokensPerCall(), 0);
     load.onAnswered(attempt, usage);
     settlement.settleAnswer(attempt, usage);
@@ -170,8 +173,8 @@
   void onFailed(InstanceEvent.AttemptFailed event) {
     AttemptRow attempt = context.tables.attempts.get(event.attempt());
     if (event.failure() == AttemptFailure.NOT_SENT && attempt != null) {
-      attempt.server.avoidUntil = context.now().plus(AVOID);
-      suspects.onServerGone(attempt.server.id);
+      attempt.server.unreachableUntil = context.now().plus(UNREACHABLE_PAUSE);
+      quarantine.onServerGone(attempt.server.id);
     }
     if (attempt == null) {
       context.count(Counter.DROPPED_ATTEMPT_EVENTS);
@@ -184,31 +187,31 @@
         if (attempt.mayHaveRun) {
           resumeLater(attempt);
         } else {
-          lost.notRun(attempt, ErrorKind.NO_BACKEND_SERVER, event.detail());
+          recovery.onNotRun(attempt, ErrorKind.NO_BACKEND_SERVER, event.detail());
         }
       }
       case REFUSED_BY_SERVER -> {
         if (attempt.mayHaveRun) {
           resumeLater(attempt);
         } else {
-          lost.notRun(attempt, ErrorKind.OVERLOADED, event.detail());
+          recovery.onNotRun(attempt, ErrorKind.OVERLOADED, event.detail());
         }
       }
-      case LOST_BEFORE_ANSWER, LOST_MID_ANSWER -> onLost(attempt, event.detail());
-      case SERVER_ERROR -> lost.onServerError(attempt, event.detail());
+      case LOST_BEFORE_ANSWER, LOST_MID_ANSWER -> onConnectionLost(attempt, event.detail());
+      case SERVER_ERROR -> recovery.onServerError(attempt, event.detail());
       case RESUME_UNKNOWN -> {
-        suspects.onServerGone(attempt.server.id);
-        lost.lose(attempt, event.detail());
+        quarantine.onServerGone(attempt.server.id);
+        recovery.abandon(attempt, event.detail());
       }
     }
   }
 
-  private void onLost(AttemptRow attempt, String detail) {
-    suspects.onLost(attempt.request.fingerprint, attempt.server.id);
+  private void onConnectionLost(AttemptRow attempt, String detail) {
+    quarantine.onConnectionLost(attempt.request.fingerprint, attempt.server.id);
     if (attempt.request.isModel()) {
       resumeLater(attempt);
     } else {
-      lost.lose(attempt, detail);
+      recovery.abandon(attempt, detail);
     }
   }
 
@@ -218,19 +221,21 @@
   }
 
   private void resumeLater(AttemptRow attempt) {
-    boolean first = attempt.resumes == 0;
+    boolean first = attempt.resumesSinceProgress == 0;
     Instant now = context.now();
-    resumeAt(attempt, first ? now : now.plus(context.limits().resumePause()));
+    resumeAt(attempt, first ? now : now.plus(context.limits().resumeDelay()));
   }
 
   private void resumeAt(AttemptRow attempt, Instant at) {
-    if (!attempt.request.isModel() || attempt.resumes >= context.limits().maxResumes()) {
-      lost.lose(attempt, "no frame came after %d resumes".formatted(attempt.resumes));
+    if (!attempt.request.isModel()
+        || attempt.resumesSinceProgress >= context.limits().maxResumes()) {
+      recovery.abandon(
+          attempt, "no frame came after %d resumes".formatted(attempt.resumesSinceProgress));
       return;
     }
     context.tables.attempts.remove(attempt.id);
-    attempt.resumes++;
-    attempt.resumeAt = at;
+    attempt.resumesSinceProgress++;
+    attempt.nextResumeAt = at;
     if (!at.isAfter(context.now())) {
       resume(attempt);
     }
@@ -238,12 +243,14 @@
 
   private void resume(AttemptRow attempt) {
     context.count(Counter.RESUMES);
-    context.tables.running.remove(attempt.id.number());
+    context.tables.runningAttempts.remove(attempt.id.number());
     attempt.id = context.nextAttempt();
     open(attempt, OptionalLong.of(attempt.nextPosition));
   }
 
-  /** Resumes what is due and what has gone silent. */
+  /**
+   * Resumes the attempts whose resume is due and those that made no progress within the time-out.
+   */
   void run() {
     Instant now = context.now();
     if (now.isBefore(checkedAt.plus(CHECK_INTERVAL))) {
@@ -252,13 +259,13 @@
     checkedAt = now;
     Duration timeout =
         settings.fleet().map(FleetSettings::progressTimeout).orElse(DEFAULT_PROGRESS_TIMEOUT);
-    for (AttemptRow attempt : List.copyOf(context.tables.running.values())) {
-      Instant due = attempt.resumeAt;
+    for (AttemptRow attempt : List.copyOf(context.tables.runningAttempts.values())) {
+      Instant due = attempt.nextResumeAt;
       if (due != null) {
         if (!now.isBefore(due)) {
           resume(attempt);
         }
-      } else if (silent(attempt, now, timeout)) {
+      } else if (isSilent(attempt, now, timeout)) {
         attempt.mayHaveRun = true;
         load.onFailed(attempt);
         dropAndResume(attempt, now);
@@ -267,11 +274,12 @@
   }
 
   /**
-   * Whether an attempt has gone silent. A plain call shows no progress before its answer, so it may
-   * take until its caller's deadline, and as long again when it goes on for its outcome alone.
+   * Returns whether an attempt has made no progress within the time-out. A plain call shows no
+   * progress before its answer, so its time-out starts at the caller's deadline. This also bounds a
+   * call that continues only so that its outcome can be stored.
    */
-  private static boolean silent(AttemptRow attempt, Instant now, Duration timeout) {
-    Instant last = attempt.lastProgress;
+  private static boolean isSilent(AttemptRow attempt, Instant now, Duration timeout) {
+    Instant last = attempt.lastProgressAt;
     RequestRow request = attempt.request;
     if (!request.isModel() && request.deadline.isAfter(last)) {
       last = request.deadline;
@@ -279,14 +287,15 @@
     return !now.isBefore(last.plus(timeout));
   }
 
-  /** Ends what a caller no longer waits for. */
+  /** Handles a caller that closed its connection. */
   void onCallerGone(RequestRow request) {
     context.count(Counter.CALLERS_GONE);
-    lost.leave(request, null);
+    recovery.endEarly(request, null);
   }
 
-  /** Ends what did not finish within the caller's deadline. */
+  /** Handles a request in progress whose deadline has passed. */
   void onDeadline(RequestRow request) {
-    lost.leave(request, Problem.of(ErrorKind.DEADLINE_PASSED, "no whole answer came in time"));
+    recovery.endEarly(
+        request, Problem.of(ErrorKind.DEADLINE_PASSED, "no whole answer came in time"));
   }
 }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/BackupSystem.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/BackupSystem.java
@@ -20,17 +20,17 @@
 import org.teaseldeal.wire.gen.peer.Message;
 
 /**
- * Gives this instance's charges to peers to keep, and keeps theirs.
+ * Sends this instance's charges to peers for storage, and stores the charges of peers.
  *
- * <p>A charge that only its origin holds is lost with it, while its caller already has the answer.
- * Whoever keeps it appends it under the same id once the origin is silent; should the origin only
- * have been cut off and append it too, it counts once.
+ * <p>A charge that only its origin stores would be lost with the origin, although the caller
+ * already has the answer. The peer that stores the charge appends it under the same id once the
+ * origin is silent. If the origin was only cut off and appends the charge too, it counts once.
  */
 final class BackupSystem {
-  private static final int MOST_DOUBLINGS = 5;
+  private static final int MAX_DOUBLINGS = 5;
 
-  /** Charges in one message, so that none grows without bound after an outage. */
-  private static final int MAX_CHARGES = 500;
+  /** The largest number of charges in one message, which keeps messages small after an outage. */
+  private static final int MAX_CHARGES_PER_MESSAGE = 500;
 
   private static final Duration CHECK_INTERVAL = Duration.ofMillis(100);
 
@@ -38,9 +38,9 @@
   private final LedgerSystem ledger;
   private final SettlementSystem settlement;
   private final PeerView peers;
-  private final TreeMap<Long, List<ChargeRow>> offers = new TreeMap<>();
+  private final TreeMap<Long, List<ChargeRow>> outstandingOffers = new TreeMap<>();
   private long lastOffer;
-  private int turn;
+  private int peerTurn;
   private Instant checkedAt = Instant.MIN;
 
   BackupSystem(Context context, LedgerSystem ledger, SettlementSystem settlement, PeerView peers) {
@@ -48,89 +48,91 @@
     this.ledger = ledger;
     this.settlement = settlement;
     this.peers = peers;
-    this.lastOffer = context.firstNumber();
+    this.lastOffer = context.randomStartNumber();
   }
 
-  /** Offers new charges to a peer, and looks after those kept for peers. */
+  /** Offers new charges to a peer, and checks the charges stored for peers. */
   void run() {
-    offer(context.tables.unoffered.values().stream().limit(MAX_CHARGES).toList());
+    offer(
+        context.tables.unofferedCharges.values().stream().limit(MAX_CHARGES_PER_MESSAGE).toList());
     Instant now = context.now();
     if (checkedAt.equals(Instant.MIN) || !now.isBefore(checkedAt.plus(CHECK_INTERVAL))) {
       checkedAt = now;
       checkBackups();
-      offerAgain();
-      offers.values().removeIf(rows -> rows.stream().noneMatch(this::pending));
+      repeatOffers();
+      outstandingOffers.values().removeIf(rows -> rows.stream().noneMatch(this::isPending));
     }
   }
 
-  private boolean pending(ChargeRow row) {
+  private boolean isPending(ChargeRow row) {
     return context.tables.charges.containsKey(row.number)
-        || context.tables.handedOver.containsKey(row.number);
+        || context.tables.handedOverBackups.containsKey(row.number);
   }
 
-  private void offerAgain() {
+  private void repeatOffers() {
     Instant now = context.now();
     offer(
-        context.tables.unheld.values().stream()
-            .filter(row -> !now.isBefore(row.offeredAt.plus(pause(row.offers))))
-            .limit(MAX_CHARGES)
+        context.tables.unacknowledgedCharges.values().stream()
+            .filter(row -> !now.isBefore(row.offeredAt.plus(offerInterval(row.offerCount))))
+            .limit(MAX_CHARGES_PER_MESSAGE)
             .toList());
   }
 
-  private Duration pause(int offers) {
-    Duration first = context.limits().confirmationBound().dividedBy(2);
-    return first.multipliedBy(1L << Math.min(offers - 1, MOST_DOUBLINGS));
+  private Duration offerInterval(int offers) {
+    Duration first = context.limits().confirmationTimeout().dividedBy(2);
+    return first.multipliedBy(1L << Math.min(offers - 1, MAX_DOUBLINGS));
   }
 
   private void offer(List<ChargeRow> rows) {
     if (rows.isEmpty()) {
       return;
     }
-    Optional<PeerRow> keeper = peers.keeper(turn++);
-    if (keeper.isEmpty()) {
+    Optional<PeerRow> peer = peers.backupPeer(peerTurn++);
+    if (peer.isEmpty()) {
       return;
     }
     for (ChargeRow row : rows) {
-      row.offers++;
+      row.offerCount++;
       row.offeredAt = context.now();
-      context.tables.unoffered.remove(row.number);
-      context.tables.unheld.put(row.number, row);
+      context.tables.unofferedCharges.remove(row.number);
+      context.tables.unacknowledgedCharges.put(row.number, row);
     }
     long number = ++lastOffer;
-    offers.put(number, rows);
+    outstandingOffers.put(number, rows);
     List<org.teaseldeal.wire.gen.ledger.Entry> entries =
         rows.stream().map(row -> EntryCodec.toWire(row.entry)).toList();
-    context.send(keeper.get().address, Message.chargeBackup(new ChargeBackup(number, entries)));
+    context.send(peer.get().address, Message.chargeBackup(new ChargeBackup(number, entries)));
   }
 
   /**
-   * Offers all that is not on the log to peers anew, what is kept for others too.
+   * Offers all charges that are not on the log to peers again, including those stored for peers.
    *
-   * <p>An instance that ends takes its backups with it. Should their origin end as well, nobody
-   * would be left to append them, though their callers have their answers.
+   * <p>An instance that stops loses the charges it stores. If their origin stopped as well, no
+   * instance could append them, although the callers have their answers.
    */
   void handOver() {
     for (ChargeRow row : context.tables.charges.values()) {
-      row.held = false;
-      row.offers = 0;
-      context.tables.unheld.remove(row.number);
-      context.tables.unoffered.put(row.number, row);
+      row.heldByPeer = false;
+      row.offerCount = 0;
+      context.tables.unacknowledgedCharges.remove(row.number);
+      context.tables.unofferedCharges.put(row.number, row);
     }
-    for (BackupRow kept : context.tables.backups) {
-      ChargeRow row = new ChargeRow(context.nextCharge(), kept.id, kept.entry, null, context.now());
-      context.tables.handedOver.put(row.number, row);
-      context.tables.unoffered.put(row.number, row);
+    for (BackupRow backup : context.tables.backups) {
+      ChargeRow row =
+          new ChargeRow(context.nextCharge(), backup.id, backup.entry, null, context.now());
+      context.tables.handedOverBackups.put(row.number, row);
+      context.tables.unofferedCharges.put(row.number, row);
     }
   }
 
   void onAck(ChargeBackupAck ack) {
-    List<ChargeRow> rows = offers.remove(ack.getNumber());
+    List<ChargeRow> rows = outstandingOffers.remove(ack.getNumber());
     if (rows != null) {
       for (ChargeRow row : rows) {
-        row.held = true;
-        context.tables.unheld.remove(row.number);
-        context.tables.handedOver.remove(row.number);
-        settlement.confirm(row);
+        row.heldByPeer = true;
+        context.tables.unacknowledgedCharges.remove(row.number);
+        context.tables.handedOverBackups.remove(row.number);
+        settlement.onChargeSafe(row);
       }
     }
   }
@@ -141,12 +143,12 @@
       return;
     }
     for (org.teaseldeal.wire.gen.ledger.Entry wire : backup.getCharges()) {
-      EntryCodec.fromWire(wire).ifPresent(this::keep);
+      EntryCodec.fromWire(wire).ifPresent(this::store);
     }
     context.send(peer.address, Message.chargeBackupAck(new ChargeBackupAck(backup.getNumber())));
   }
 
-  private void keep(Entry entry) {
+  private void store(Entry entry) {
     ChargeId id = id(entry);
     if (context.tables.backupsById.containsKey(id) || ledger.state(team(entry)).charged(id)) {
       return;
@@ -165,7 +167,7 @@
       if (ledger.state(team).charged(row.id)) {
         rows.remove();
         context.tables.backupsById.remove(row.id);
-      } else if (!row.appended && gone(team, row.id.origin())) {
+      } else if (!row.appended && originGone(team, row.id.origin())) {
         row.appended = true;
         context.count(Counter.BACKUPS_APPENDED);
         ledger.submit(team, row.entry);
@@ -173,8 +175,8 @@
     }
   }
 
-  private boolean gone(TeamId team, IncarnationId origin) {
-    return peers.silent(origin) || ledger.ended(team, origin);
+  private boolean originGone(TeamId team, IncarnationId origin) {
+    return peers.isSilent(origin) || ledger.hasEnded(team, origin);
   }
 
   private static ChargeId id(Entry entry) {
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/BootstrapSystem.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/BootstrapSystem.java
@@ -17,25 +17,28 @@
 import org.teaseldeal.wire.gen.peer.StateRequest;
 
 /**
- * Starts an instance from a peer's state while the log can't be read, and serves such starts.
+ * Starts an instance from a peer's state while the log can't be read, and serves such requests of
+ * peers.
  *
- * <p>A state is taken only whole and with its digest, and never below the offset already reached:
- * settings that were in force would otherwise revert.
+ * <p>A state is accepted only if it is complete and matches its digest, and never if it is behind
+ * the offset already reached here. Otherwise settings that were in force would revert to older
+ * ones.
  */
 final class BootstrapSystem {
   private static final int CHUNK_BYTES = 256 * 1024;
   private static final int MAX_CHUNKS = 4096;
-  private static final Duration PATIENCE = Duration.ofSeconds(2);
+  private static final Duration STATE_REQUEST_INTERVAL = Duration.ofSeconds(2);
 
-  /** The chunks of one peer's state of one stream, as far as they came. */
-  private record Partial(long foldedTo, int count, String digest, TreeMap<Integer, byte[]> parts) {}
+  /** The chunks received so far of one peer's state of one stream. */
+  private record PartialState(
+      long foldedTo, int count, String digest, TreeMap<Integer, byte[]> chunks) {}
 
   private final Context context;
   private final LedgerSystem ledger;
-  private final TreeMap<Integer, Partial> partials = new TreeMap<>();
+  private final TreeMap<Integer, PartialState> partialStates = new TreeMap<>();
   private final Instant startedAt;
-  private @Nullable Instant askedAt;
-  private int turn;
+  private @Nullable Instant requestedAt;
+  private int peerTurn;
 
   BootstrapSystem(Context context, LedgerSystem ledger) {
     this.context = context;
@@ -47,20 +50,20 @@
     if (ledger.ready() || ledger.retired()) {
       return;
     }
-    Instant last = askedAt == null ? startedAt : askedAt;
-    if (context.now().isBefore(last.plus(PATIENCE))) {
+    Instant last = requestedAt == null ? startedAt : requestedAt;
+    if (context.now().isBefore(last.plus(STATE_REQUEST_INTERVAL))) {
       return;
     }
-    askedAt = context.now();
+    requestedAt = context.now();
     for (int stream = 0; stream < ledger.streamCount(); stream++) {
       LedgerClient client = ledger.client(stream);
       if (!client.caughtUp() && !client.logReachable()) {
-        ask(stream);
+        requestState(stream);
       }
     }
   }
 
-  private void ask(int stream) {
+  private void requestState(int stream) {
     List<PeerRow> ready =
         context.tables.peers.values().stream()
             .filter(peer -> peer.ready && !peer.address.isEmpty())
@@ -68,8 +71,8 @@
     if (ready.isEmpty()) {
       return;
     }
-    PeerRow peer = ready.get(turn++ % ready.size());
-    partials.remove(stream);
+    PeerRow peer = ready.get(peerTurn++ % ready.size());
+    partialStates.remove(stream);
     context.send(peer.address, Message.stateRequest(new StateRequest(stream)));
   }
 
@@ -100,27 +103,28 @@
 
   void onChunk(StateChunk chunk) {
     int stream = chunk.getStream();
-    if (stream < 0 || stream >= ledger.streamCount() || !usable(chunk)) {
+    if (stream < 0 || stream >= ledger.streamCount() || !isValid(chunk)) {
       return;
     }
     LedgerClient client = ledger.client(stream);
     if (client.caughtUp() || chunk.getFoldedTo() < client.foldedTo()) {
       return;
     }
-    Partial partial = partials.get(stream);
+    PartialState partial = partialStates.get(stream);
     if (partial == null || !partial.digest.equals(chunk.getDigest())) {
       partial =
-          new Partial(chunk.getFoldedTo(), chunk.getCount(), chunk.getDigest(), new TreeMap<>());
-      partials.put(stream, partial);
+          new PartialState(
+              chunk.getFoldedTo(), chunk.getCount(), chunk.getDigest(), new TreeMap<>());
+      partialStates.put(stream, partial);
     }
-    partial.parts.put(chunk.getIndex(), chunk.getBytes());
-    if (partial.parts.size() == partial.count) {
-      partials.remove(stream);
+    partial.chunks.put(chunk.getIndex(), chunk.getBytes());
+    if (partial.chunks.size() == partial.count) {
+      partialStates.remove(stream);
       restore(client, partial);
     }
   }
 
-  private static boolean usable(StateChunk chunk) {
+  private static boolean isValid(StateChunk chunk) {
     return chunk.getDigest() != null
         && chunk.getBytes() != null
         && chunk.getCount() > 0
@@ -129,19 +133,19 @@
         && chunk.getIndex() < chunk.getCount();
   }
 
-  private void restore(LedgerClient client, Partial partial) {
+  private void restore(LedgerClient client, PartialState partial) {
     ByteArrayOutputStream state = new ByteArrayOutputStream();
-    partial.parts.values().forEach(state::writeBytes);
-    byte[] octets = state.toByteArray();
-    if (!SnapshotChunks.digest(octets).equals(partial.digest)) {
+    partial.chunks.values().forEach(state::writeBytes);
+    byte[] bytes = state.toByteArray();
+    if (!SnapshotChunks.digest(bytes).equals(partial.digest)) {
       return;
     }
     try {
-      client.restore(octets);
+      client.restore(bytes);
       context.count(Counter.STATES_RESTORED);
     } catch (IllegalArgumentException e) {
-      // Not the state of this stream, or behind what was read here meanwhile: the next peer is
-      // asked.
+      // The state belongs to another stream, or this instance has meanwhile read beyond it. The
+      // next peer is asked.
       context.count(Counter.UNKNOWN_PEER_MESSAGES);
     }
   }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/BudgetSystem.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/BudgetSystem.java
@@ -27,105 +27,113 @@
 import org.teaseldeal.settings.LeasePolicySettings;
 
 /**
- * Reserves each request's worst case out of tokens at hand, and sees to it that there are some.
+ * Reserves the worst-case token use of each request from the tokens leased here, and obtains more
+ * tokens when they run short.
  *
- * <p>Tokens come from the home of the service, from the ledger, or from any peer, in this order; a
- * service that is busy here asks the ledger first.
+ * <p>The sources of tokens are, in this order, the service's home peer, the ledger, and any other
+ * peer. For a service with high demand at this instance, the ledger comes first.
  */
 final class BudgetSystem {
   private static final Duration RATE_INTERVAL = Duration.ofSeconds(1);
-  private static final double RATE_WEIGHT = 0.3;
-  private static final Duration ASK_AGAIN = Duration.ofMillis(500);
-  private static final Duration SCARCE_IDLE = Duration.ofSeconds(1);
+  private static final double RATE_SMOOTHING_WEIGHT = 0.3;
+  private static final Duration BACK_OFF = Duration.ofMillis(500);
+  private static final Duration SCARCE_IDLE_RETURN = Duration.ofSeconds(1);
   private static final LeasePolicySettings DEFAULT_POLICY =
       new LeasePolicySettings(Duration.ofSeconds(30), 0.1, 1_000, Duration.ofSeconds(60));
 
   private final Context context;
   private final LedgerSystem ledger;
   private final SettingsView settings;
-  private final Endings endings;
+  private final RequestCompletion completion;
   private final TransferSystem transfers;
   private final PeerView peers;
-  private final Consumer<RequestRow> proceed;
+  private final Consumer<RequestRow> onReserved;
 
   BudgetSystem(
       Context context,
       LedgerSystem ledger,
       SettingsView settings,
-      Endings endings,
+      RequestCompletion completion,
       TransferSystem transfers,
       PeerView peers,
-      Consumer<RequestRow> proceed) {
+      Consumer<RequestRow> onReserved) {
     this.context = context;
     this.ledger = ledger;
     this.settings = settings;
-    this.endings = endings;
+    this.completion = completion;
     this.transfers = transfers;
     this.peers = peers;
-    this.proceed = proceed;
+    this.onReserved = onReserved;
   }
 
-  /** Goes on with a request as soon as its worst case is reserved. */
-  void acquire(RequestRow request) {
-    if (request.worstCase == 0 || request.reservation != null) {
-      proceed.accept(request);
+  /** Continues with a request as soon as its worst-case token use is reserved. */
+  void reserveOrWait(RequestRow request) {
+    if (request.worstCaseTokens == 0 || request.reservation != null) {
+      onReserved.accept(request);
       return;
     }
     BudgetRow budget = budget(request.service.id());
-    budget.lastUsed = context.now();
+    budget.lastUsedAt = context.now();
     request.stage = Stage.WAITING_FOR_TOKENS;
     budget.waiting.add(request);
-    // Behind others it is looked at with them, once a tick: a burst that waits for tokens would
-    // otherwise be gone through anew for each of its requests.
+    // If other requests already wait, this one is handled with them once per tick. Otherwise a
+    // burst of requests that wait for tokens would be scanned again for each arriving request.
     if (budget.waiting.size() == 1) {
-      pursue(budget);
+      obtainTokens(budget);
     }
   }
 
-  /** Tokens of {@code service} came or became free. */
+  /** Handles tokens of {@code service} that arrived or became free. */
   void onTokens(ServiceId service) {
     BudgetRow budget = context.tables.budgets.get(service);
     if (budget != null) {
-      pursue(budget);
+      obtainTokens(budget);
     }
   }
 
-  /** Serves and pursues what waits, refills ahead of need, and returns what lies idle. */
+  /**
+   * Serves the waiting requests, obtains tokens for them, refills leases ahead of demand, and
+   * returns idle tokens.
+   */
   void run() {
     for (BudgetRow budget : List.copyOf(context.tables.budgets.values())) {
-      pursue(budget);
+      obtainTokens(budget);
       if (updateRate(budget)) {
-        keepAhead(budget);
+        refillAhead(budget);
         returnIdle(budget);
       }
     }
   }
 
-  private void pursue(BudgetRow budget) {
-    serve(budget);
+  private void obtainTokens(BudgetRow budget) {
+    reserveForWaiting(budget);
     if (budget.waiting.isEmpty()) {
       budget.askedPeers.clear();
       budget.leaseRefused = false;
       return;
     }
     long need = smallestNeed(budget);
-    if (underWay(budget) || (quiet(budget) && !ledgerCovers(budget, need))) {
+    if (transferPending(budget) || (backingOff(budget) && !ledgerCovers(budget, need))) {
       return;
     }
     if (leasePending(budget)) {
-      if (!context.now().isBefore(budget.leaseAskedAt.plus(context.limits().drawBound()))) {
-        askAnyPeer(budget, need);
+      if (!context
+          .now()
+          .isBefore(budget.leaseRequestedAt.plus(context.limits().transferTimeout()))) {
+        requestFromAnyPeer(budget, need);
       }
       return;
     }
-    if (askHome(budget, need) || askLedger(budget, need) || askAnyPeer(budget, need)) {
+    if (requestFromHome(budget, need)
+        || requestFromLedger(budget, need)
+        || requestFromAnyPeer(budget, need)) {
       return;
     }
-    giveUp(budget);
+    refuseUnobtainable(budget);
   }
 
-  private boolean quiet(BudgetRow budget) {
-    return context.now().isBefore(budget.quietUntil);
+  private boolean backingOff(BudgetRow budget) {
+    return context.now().isBefore(budget.backOffUntil);
   }
 
   private boolean ledgerCovers(BudgetRow budget, long need) {
@@ -134,65 +142,68 @@
     return ledger.reachable(team) && ledger.state(team).spendable(budget.service) >= missing;
   }
 
-  private void serve(BudgetRow budget) {
+  private void reserveForWaiting(BudgetRow budget) {
     LocalLeases leases = ledger.leases(budget.service);
     for (RequestRow request : List.copyOf(budget.waiting)) {
-      Optional<Reservation> reserved = leases.reserve(budget.service, request.worstCase);
+      Optional<Reservation> reserved = leases.reserve(budget.service, request.worstCaseTokens);
       if (reserved.isPresent()) {
         budget.waiting.remove(request);
         request.reservation = reserved.get();
-        proceed.accept(request);
+        onReserved.accept(request);
       }
     }
   }
 
-  private boolean underWay(BudgetRow budget) {
-    TransferRow draw = budget.draw;
-    if (draw != null) {
-      boolean late = !context.now().isBefore(draw.askedAt.plus(context.limits().drawBound()));
+  private boolean transferPending(BudgetRow budget) {
+    TransferRow transfer = budget.pendingTransfer;
+    if (transfer != null) {
+      boolean late =
+          !context.now().isBefore(transfer.requestedAt.plus(context.limits().transferTimeout()));
       if (!late) {
         return true;
       }
-      budget.draw = null;
+      budget.pendingTransfer = null;
     }
     return false;
   }
 
   private boolean leasePending(BudgetRow budget) {
-    return budget.leaseAsked && ledger.reachable(budget.service.team());
+    return budget.leaseRequested && ledger.reachable(budget.service.team());
   }
 
-  private boolean askHome(BudgetRow budget, long need) {
-    if (busyHere(budget)) {
+  private boolean requestFromHome(BudgetRow budget, long need) {
+    if (demandIsHigh(budget)) {
       return false;
     }
     return peers
-        .home(budget.service)
+        .homePeer(budget.service)
         .filter(home -> budget.askedPeers.add(home.incarnation))
-        .map(home -> askPeer(budget, home, need))
+        .map(home -> requestFromPeer(budget, home, need))
         .orElse(false);
   }
 
-  private boolean askAnyPeer(BudgetRow budget, long need) {
-    for (PeerRow peer : peers.byRank(budget.service)) {
+  private boolean requestFromAnyPeer(BudgetRow budget, long need) {
+    for (PeerRow peer : peers.byRendezvousWeight(budget.service)) {
       if (budget.askedPeers.add(peer.incarnation)) {
-        return askPeer(budget, peer, need);
+        return requestFromPeer(budget, peer, need);
       }
     }
     return false;
   }
 
-  private boolean askPeer(BudgetRow budget, PeerRow peer, long need) {
+  private boolean requestFromPeer(BudgetRow budget, PeerRow peer, long need) {
     long idle = ledger.leases(budget.service).free(budget.service);
-    long minimum = Math.max(need - idle, 1);
-    long wanted =
-        Math.max(minimum, sizing().wanted(budget.tokensPerSecond, need, idle, Long.MAX_VALUE / 2));
-    budget.draw = transfers.ask(peer, budget.service, wanted, minimum);
+    long minimumTokens = Math.max(need - idle, 1);
+    long requestedTokens =
+        Math.max(
+            minimumTokens, sizing().wanted(budget.tokensPerSecond, need, idle, Long.MAX_VALUE / 2));
+    budget.pendingTransfer =
+        transfers.request(peer, budget.service, requestedTokens, minimumTokens);
     return true;
   }
 
-  private boolean askLedger(BudgetRow budget, long need) {
-    if (budget.leaseAsked || budget.leaseRefused || !ledgerCovers(budget, need)) {
+  private boolean requestFromLedger(BudgetRow budget, long need) {
+    if (budget.leaseRequested || budget.leaseRefused || !ledgerCovers(budget, need)) {
       return false;
     }
     long idle = ledger.leases(budget.service).free(budget.service);
@@ -200,166 +211,183 @@
     return true;
   }
 
-  /** Asks for a lease that a peer draws on, if this instance is home to the service. */
+  /**
+   * Requests a lease from which a peer will draw tokens, if this instance is the home of the
+   * service. Returns whether a lease request is pending.
+   */
   boolean leaseForPeer(ServiceId service, long need) {
-    if (context.draining || ledger.retired() || peers.home(service).isPresent()) {
+    if (context.draining || ledger.retired() || peers.homePeer(service).isPresent()) {
       return false;
     }
     BudgetRow budget = budget(service);
-    budget.lastUsed = context.now();
-    return budget.leaseAsked || askLedger(budget, need);
+    budget.lastUsedAt = context.now();
+    return budget.leaseRequested || requestFromLedger(budget, need);
   }
 
-  private void requestLease(BudgetRow budget, long need, long minimum) {
+  private void requestLease(BudgetRow budget, long need, long minimumTokens) {
     TeamId team = budget.service.team();
     long idle = ledger.leases(budget.service).free(budget.service);
     long remaining = ledger.state(team).spendable(budget.service);
     long waiting = Math.max(need, Math.min(waitingNeed(budget), remaining));
-    long wanted =
-        Math.max(minimum, sizing().wanted(budget.tokensPerSecond, waiting, idle, remaining));
-    budget.leaseAsked = true;
-    budget.leaseAskedAt = context.now();
+    long requestedTokens =
+        Math.max(minimumTokens, sizing().wanted(budget.tokensPerSecond, waiting, idle, remaining));
+    budget.leaseRequested = true;
+    budget.leaseRequestedAt = context.now();
     context.count(Counter.LEASE_REQUESTS);
     ledger.submitUrgent(
         team,
-        new Entry.RequestLease(budget.service, wanted, minimum),
+        new Entry.RequestLease(budget.service, requestedTokens, minimumTokens),
         outcome -> onLeaseOutcome(budget, outcome));
   }
 
   private void onLeaseOutcome(BudgetRow budget, Outcome outcome) {
-    budget.leaseAsked = false;
+    budget.leaseRequested = false;
     budget.leaseRefused = true;
     if (outcome instanceof Outcome.LeaseGranted granted) {
       budget.leaseRefused = false;
       Draw parcel = new Draw(context.self(), granted.tokens());
       ledger.leases(budget.service).credit(budget.service, List.of(parcel));
     }
-    pursue(budget);
+    obtainTokens(budget);
     transfers.onLease(budget.service);
   }
 
   /**
-   * Refuses what cannot be served: as exhausted only where the ledger shows that all tokens that
-   * are left anywhere do not cover it.
+   * Refuses the waiting requests that can't be served. A request is refused for an exhausted budget
+   * only if the ledger shows that all remaining tokens, including those leased anywhere, don't
+   * cover it.
    */
-  private void giveUp(BudgetRow budget) {
+  private void refuseUnobtainable(BudgetRow budget) {
     long reserved = ledger.leases(budget.service).reserved(budget.service);
     for (RequestRow request : List.copyOf(budget.waiting)) {
-      Optional<AccountId> exhausted = exhausted(budget.service, request.worstCase);
+      Optional<AccountId> exhausted = exhaustedAccount(budget.service, request.worstCaseTokens);
       if (exhausted.isPresent()) {
-        endings.fail(
+        completion.fail(
             request,
             ErrorKind.BUDGET_EXHAUSTED,
             "%s has fewer than the %d tokens that the request may take"
-                .formatted(exhausted.get(), request.worstCase));
-      } else if (reserved < request.worstCase && !mayStillCome(request)) {
-        endings.fail(
+                .formatted(exhausted.get(), request.worstCaseTokens));
+      } else if (reserved < request.worstCaseTokens && !tokensMayArrive(request)) {
+        completion.fail(
             request,
             ErrorKind.NO_LEASE,
-            "no %d tokens of %s are at hand".formatted(request.worstCase, budget.service),
+            "no %d tokens of %s are at hand".formatted(request.worstCaseTokens, budget.service),
             context.limits().retryAfter());
       }
     }
     budget.askedPeers.clear();
     budget.leaseRefused = false;
-    budget.quietUntil = budget.waiting.isEmpty() ? Instant.MIN : context.now().plus(ASK_AGAIN);
+    budget.backOffUntil = budget.waiting.isEmpty() ? Instant.MIN : context.now().plus(BACK_OFF);
   }
 
   /**
-   * Whether waiting makes sense: peers give back or settle what the ledger shows as leased. Half of
-   * the caller's patience is left to it for a try elsewhere.
+   * Returns whether tokens may still arrive for a request, because peers return or settle the
+   * tokens that the ledger shows as leased. The request waits for at most half of its caller's
+   * time-out, so that the caller has time to try elsewhere.
    */
-  private boolean mayStillCome(RequestRow request) {
-    Duration patience = Duration.between(request.arrived, request.deadline);
+  private boolean tokensMayArrive(RequestRow request) {
+    Duration callerTimeout = Duration.between(request.arrivedAt, request.deadline);
     return ledger.reachable(request.service.id().team())
         && !peers.live().isEmpty()
-        && context.now().isBefore(request.arrived.plus(patience.dividedBy(2)));
+        && context.now().isBefore(request.arrivedAt.plus(callerTimeout.dividedBy(2)));
   }
 
-  private Optional<AccountId> exhausted(ServiceId service, long need) {
+  private Optional<AccountId> exhaustedAccount(ServiceId service, long need) {
     LedgerState state = ledger.state(service.team());
     AccountId team = AccountId.of(service.team());
     Optional<AccountView> teamBudget = state.account(team);
     if (teamBudget.isEmpty() || unspent(teamBudget.get()) < need) {
       return Optional.of(team);
     }
-    AccountId own = AccountId.of(service);
-    return state.account(own).filter(view -> unspent(view) < need).map(view -> own);
+    AccountId serviceAccount = AccountId.of(service);
+    return state
+        .account(serviceAccount)
+        .filter(view -> unspent(view) < need)
+        .map(view -> serviceAccount);
   }
 
   private static long unspent(AccountView account) {
     return account.remaining() + account.leased();
   }
 
-  private void keepAhead(BudgetRow budget) {
+  private void refillAhead(BudgetRow budget) {
     TeamId team = budget.service.team();
-    if (budget.leaseAsked || context.draining || !ledger.reachable(team) || !busyHere(budget)) {
+    if (budget.leaseRequested
+        || context.draining
+        || !ledger.reachable(team)
+        || !demandIsHigh(budget)) {
       return;
     }
     long idle = ledger.leases(budget.service).free(budget.service);
-    double ahead = budget.tokensPerSecond * policy().horizon().toMillis() / 2000.0;
-    if (idle >= ahead || ledger.state(team).spendable(budget.service) < policy().minimumTokens()) {
+    double refillThreshold = budget.tokensPerSecond * policy().horizon().toMillis() / 2000.0;
+    if (idle >= refillThreshold
+        || ledger.state(team).spendable(budget.service) < policy().minimumTokens()) {
       return;
     }
     requestLease(budget, 0, 1);
   }
 
-  private boolean busyHere(BudgetRow budget) {
+  private boolean demandIsHigh(BudgetRow budget) {
     double demand = budget.tokensPerSecond * policy().horizon().toMillis() / 1000.0;
     return demand >= 2.0 * policy().minimumTokens();
   }
 
   private void returnIdle(BudgetRow budget) {
-    Duration unused = scarce(budget) ? SCARCE_IDLE : policy().idleReturn();
-    if (budget.waiting.isEmpty() && !context.now().isBefore(budget.lastUsed.plus(unused))) {
+    Duration unused = isScarce(budget) ? SCARCE_IDLE_RETURN : policy().idleReturn();
+    if (budget.waiting.isEmpty() && !context.now().isBefore(budget.lastUsedAt.plus(unused))) {
       returnAll(budget.service);
     }
   }
 
   /**
-   * Whether the ledger can't grant a usual lease any more.
+   * Returns whether the ledger can no longer grant a lease of the minimum size.
    *
-   * <p>The tail of a budget is then scattered over instances and services, each with less than a
-   * request needs, and callers are refused although there is enough. Back at the ledger it can be
-   * had by whoever needs it, at the price of an entry for each use.
+   * <p>At that point the rest of a budget is scattered over instances and services. Each of them
+   * has fewer tokens than a request needs, and callers are refused although there are enough tokens
+   * in total. Tokens returned to the ledger are available to any instance, at the cost of one log
+   * entry per use.
    */
-  private boolean scarce(BudgetRow budget) {
+  private boolean isScarce(BudgetRow budget) {
     TeamId team = budget.service.team();
     return ledger.reachable(team)
         && ledger.state(team).spendable(budget.service) < policy().minimumTokens();
   }
 
-  /** Gives all idle tokens of {@code service} back to the budget. */
+  /** Returns all idle tokens of {@code service} to the budget. */
   void returnAll(ServiceId service) {
     LocalLeases leases = ledger.leases(service);
     long idle = leases.free(service);
     if (idle == 0) {
       return;
     }
-    for (Draw draw : leases.take(service, idle)) {
-      ledger.submit(service.team(), new Entry.ReturnLease(service, draw.source(), draw.tokens()));
+    for (Draw transfer : leases.take(service, idle)) {
+      ledger.submit(
+          service.team(), new Entry.ReturnLease(service, transfer.source(), transfer.tokens()));
     }
   }
 
   private boolean updateRate(BudgetRow budget) {
-    Duration since = Duration.between(budget.rateSince, context.now());
+    Duration since = Duration.between(budget.rateUpdatedAt, context.now());
     if (since.compareTo(RATE_INTERVAL) < 0) {
       return false;
     }
-    double rate = budget.spent * 1000.0 / since.toMillis();
-    budget.tokensPerSecond += RATE_WEIGHT * (rate - budget.tokensPerSecond);
-    budget.spent = 0;
-    budget.rateSince = context.now();
+    double rate = budget.spentSinceRateUpdate * 1000.0 / since.toMillis();
+    budget.tokensPerSecond += RATE_SMOOTHING_WEIGHT * (rate - budget.tokensPerSecond);
+    budget.spentSinceRateUpdate = 0;
+    budget.rateUpdatedAt = context.now();
     return true;
   }
 
-  /** What all that wait may take: reserved as soon as the lease is there, so none of it hoards. */
+  /**
+   * Returns the worst-case token use of all waiting requests. They reserve the tokens as soon as
+   * the lease is granted, so a lease of this size leaves none idle.
+   */
   private static long waitingNeed(BudgetRow budget) {
-    return budget.waiting.stream().mapToLong(r -> r.worstCase).sum();
+    return budget.waiting.stream().mapToLong(r -> r.worstCaseTokens).sum();
   }
 
   private static long smallestNeed(BudgetRow budget) {
-    return budget.waiting.stream().mapToLong(r -> r.worstCase).min().orElse(0);
+    return budget.waiting.stream().mapToLong(r -> r.worstCaseTokens).min().orElse(0);
   }
 
   private BudgetRow budget(ServiceId service) {
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/ClaimSystem.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/ClaimSystem.java
@@ -17,35 +17,39 @@
 import org.teaseldeal.ledger.state.LedgerState;
 
 /**
- * Runs a non-idempotent request only after its claim was read back from the log as won.
+ * Runs a non-idempotent request only after reading back from the log that this instance won its
+ * claim.
  *
- * <p>Two instances may be given the same request at once. Only the log's order tells which one has
- * it; the append's answer does not, since it can be lost after the write took effect.
+ * <p>Two instances can receive the same request at once. Only the order of the log decides which of
+ * them holds the claim. The answer to the append doesn't, because it can be lost after the write
+ * took effect.
  */
 final class ClaimSystem {
   private final Context context;
   private final LedgerSystem ledger;
-  private final Endings endings;
+  private final RequestCompletion completion;
   private final PlacementSystem placement;
   private final ClaimConfirmation confirmation;
 
   ClaimSystem(
       Context context,
       LedgerSystem ledger,
-      Endings endings,
+      RequestCompletion completion,
       PlacementSystem placement,
       ClaimConfirmation confirmation) {
     this.context = context;
     this.ledger = ledger;
-    this.endings = endings;
+    this.completion = completion;
     this.placement = placement;
     this.confirmation = confirmation;
   }
 
   /**
-   * Ends a request whose claim the ledger shows already, or that can't be claimed now.
+   * Ends a request whose claim is already in the ledger, or that can't be claimed now, and returns
+   * whether it did.
    *
-   * <p>A repeat is answered as the first try was, before anything else could refuse it as not run.
+   * <p>A repeated request is answered like the first one, before any other check can refuse it as
+   * not run.
    */
   boolean answerFromLedger(RequestRow request) {
     ClaimKey key = request.claimKey;
@@ -57,7 +61,7 @@
     if (known.isPresent()) {
       ClaimView claim = known.get();
       boolean sameBody = claim.bodyDigest().equals(request.fingerprint);
-      onLost(request, new Outcome.ClaimLost(key, claim.holder(), sameBody, claim.answer()));
+      onClaimLost(request, new Outcome.ClaimLost(key, claim.holder(), sameBody, claim.answer()));
       return true;
     }
     if (state.claimExpired(key)) {
@@ -65,14 +69,14 @@
       return true;
     }
     if (!ledger.reachable(request.service.id().team())) {
-      logUnavailable(request);
+      refuseLogUnavailable(request);
       return true;
     }
     return false;
   }
 
-  /** Goes on with a request whose tokens are reserved. */
-  void proceed(RequestRow request) {
+  /** Claims a request whose tokens are reserved, or queues it if it needs no claim. */
+  void claimOrEnqueue(RequestRow request) {
     ClaimKey key = request.claimKey;
     if (key == null || request.claimHeld) {
       placement.enqueue(request);
@@ -80,7 +84,7 @@
     }
     TeamId team = request.service.id().team();
     if (!ledger.reachable(team)) {
-      logUnavailable(request);
+      refuseLogUnavailable(request);
       return;
     }
     request.stage = Stage.WAITING_FOR_CLAIM;
@@ -93,21 +97,21 @@
         outcome -> onOutcome(request, key, outcome));
   }
 
-  /** Refuses the requests whose claims cannot come back while the log is silent. */
+  /** Refuses the requests whose claims can't be read back because the log is unreachable. */
   void run() {
     if (ledger.allReachable()) {
       return;
     }
-    List<RequestRow> stranded =
-        context.tables.deadlines.stream()
+    List<RequestRow> unconfirmable =
+        context.tables.requestsByDeadline.stream()
             .filter(r -> r.stage == Stage.WAITING_FOR_CLAIM)
             .filter(r -> !ledger.reachable(r.service.id().team()))
             .toList();
-    stranded.forEach(this::logUnavailable);
+    unconfirmable.forEach(this::refuseLogUnavailable);
   }
 
-  private void logUnavailable(RequestRow request) {
-    endings.fail(
+  private void refuseLogUnavailable(RequestRow request) {
+    completion.fail(
         request,
         ErrorKind.LOG_UNAVAILABLE,
         "the claim of this request cannot be confirmed",
@@ -122,8 +126,9 @@
         placement.enqueue(request);
         return;
       }
-      // The caller was told "not run" while the claim was on its way. Kept, it would make every
-      // later try of the caller "already claimed", though nothing ran or will run.
+      // The caller was told "not run" before the claim was read back. If the claim were kept, all
+      // later tries of the caller would be refused as already claimed, although nothing ran or will
+      // run.
       context.count(Counter.CLAIMS_RELEASED);
       ledger.submit(request.service.id().team(), new Entry.ReleaseClaim(key));
       return;
@@ -135,12 +140,12 @@
 
   private void refuse(RequestRow request, Outcome outcome) {
     switch (outcome) {
-      case Outcome.ClaimLost lost -> onLost(request, lost);
+      case Outcome.ClaimLost lost -> onClaimLost(request, lost);
       case Outcome.ClaimExpired expired ->
-          endings.fail(
+          completion.fail(
               request, ErrorKind.KEY_EXPIRED, "the key was used before, too long ago to tell more");
       default ->
-          endings.fail(
+          completion.fail(
               request,
               ErrorKind.LOG_UNAVAILABLE,
               "the claim was not taken: " + outcome,
@@ -148,57 +153,58 @@
     }
   }
 
-  private void onLost(RequestRow request, Outcome.ClaimLost lost) {
+  private void onClaimLost(RequestRow request, Outcome.ClaimLost lost) {
     if (!lost.sameBody()) {
-      endings.fail(request, ErrorKind.KEY_REUSED, "the key came before with another body");
+      completion.fail(request, ErrorKind.KEY_REUSED, "the key came before with another body");
       return;
     }
     Optional<Entry.ClaimOutcome> answer = lost.answer();
     if (answer.isPresent()) {
-      repeatAnswer(request, answer.get());
+      replayAnswer(request, answer.get());
       return;
     }
-    if (gone(request, lost.holder())) {
-      endings.fail(
+    if (holderEnded(request, lost.holder())) {
+      completion.fail(
           request, ErrorKind.OUTCOME_UNKNOWN, "the instance that ran it ended without an outcome");
       return;
     }
-    endings.fail(
+    completion.fail(
         request,
         ErrorKind.ALREADY_CLAIMED,
         "instance run %s has it".formatted(lost.holder()),
         context.limits().retryAfter());
   }
 
-  private boolean gone(RequestRow request, IncarnationId holder) {
-    return ledger.ended(request.service.id().team(), holder);
+  private boolean holderEnded(RequestRow request, IncarnationId holder) {
+    return ledger.hasEnded(request.service.id().team(), holder);
   }
 
-  private void repeatAnswer(RequestRow request, Entry.ClaimOutcome answer) {
-    if (answer.contentType().equals(StoredAnswer.UNKNOWN)) {
-      endings.fail(request, ErrorKind.OUTCOME_UNKNOWN, "it may have run; its answer was lost");
+  private void replayAnswer(RequestRow request, Entry.ClaimOutcome answer) {
+    if (answer.contentType().equals(StoredAnswer.UNKNOWN_CONTENT_TYPE)) {
+      completion.fail(request, ErrorKind.OUTCOME_UNKNOWN, "it may have run; its answer was lost");
       return;
     }
     if (!answer.bodyKept()) {
-      endings.fail(request, ErrorKind.OUTCOME_UNKNOWN, "it ran; its answer was too long to keep");
+      completion.fail(
+          request, ErrorKind.OUTCOME_UNKNOWN, "it ran; its answer was too long to keep");
       return;
     }
     if (request.isModel()) {
-      Optional<StoredAnswer.Frames> stored = StoredAnswer.parse(answer.body());
+      Optional<StoredAnswer.Frames> stored = StoredAnswer.decode(answer.body());
       if (stored.isEmpty()) {
-        endings.fail(request, ErrorKind.OUTCOME_UNKNOWN, "it ran; its answer can't be read");
+        completion.fail(request, ErrorKind.OUTCOME_UNKNOWN, "it ran; its answer can't be read");
         return;
       }
-      repeatFrames(request, stored.get());
+      replayFrames(request, stored.get());
     } else {
       request.answerStatus = answer.status();
       request.answerContentType = answer.contentType();
       request.answerBody = answer.body();
     }
-    endings.answer(request);
+    completion.answer(request);
   }
 
-  private void repeatFrames(RequestRow request, StoredAnswer.Frames stored) {
+  private void replayFrames(RequestRow request, StoredAnswer.Frames stored) {
     request.usage = stored.usage();
     request.frames.addAll(stored.frames());
     if (request.streams()) {
@@ -208,14 +214,14 @@
     }
   }
 
-  /** Stores the whole answer with the claim. */
+  /** Stores the complete answer with the claim. */
   void storeAnswer(RequestRow request) {
     ClaimKey key = request.claimKey;
     if (key == null || !request.claimHeld) {
       return;
     }
     request.claimHeld = false;
-    int max = context.limits().maxStoredAnswer();
+    int max = context.limits().maxStoredAnswerBytes();
     Entry.ClaimOutcome outcome =
         request.usage != null && request.isModel()
             ? StoredAnswer.frames(key, request, request.usage, max)
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/Context.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/Context.java
@@ -16,9 +16,9 @@
 import org.teaseldeal.core.table.Tables;
 import org.teaseldeal.wire.gen.peer.Message;
 
-/** What all systems of one instance share. */
+/** State that all systems of one instance share. */
 final class Context {
-  private static final Duration PAUSE = Duration.ofSeconds(1);
+  private static final Duration SUSPENSION_THRESHOLD = Duration.ofSeconds(1);
 
   final InstanceConfig config;
   final RandomGenerator random;
@@ -33,7 +33,7 @@
   private long lastCharge;
   private long lastTransfer;
 
-  /** Whether the instance was asked to shut down. */
+  /** Whether the instance has been asked to shut down. */
   boolean draining;
 
   Context(InstanceConfig config, InstantSource clock, RandomGenerator random) {
@@ -41,41 +41,48 @@
     this.clock = clock;
     this.random = random;
     this.now = clock.instant();
-    this.lastTransfer = firstNumber();
+    this.lastTransfer = randomStartNumber();
   }
 
   /**
-   * Where numbers start that come back in messages of peers.
+   * Returns a random start for numbers that come back in messages from peers.
    *
-   * <p>A reply to the incarnation before can reach this one, at the same address. Under a number
-   * that both used, tokens that the other had credited would be credited again.
+   * <p>A reply to the previous incarnation can reach this one at the same address. If both
+   * incarnations used the same number, tokens that the previous one had already credited would be
+   * credited again.
    */
-  long firstNumber() {
+  long randomStartNumber() {
     return random.nextLong(1L << 40, 1L << 61);
   }
 
-  /** Reads the clock once for all that follows; it never runs backwards within an instance. */
+  /**
+   * Reads the clock once for the current event or tick. The time never runs backwards within an
+   * instance.
+   */
   void readClock() {
     Instant read = clock.instant();
-    if (read.isAfter(now.plus(PAUSE))) {
+    if (read.isAfter(now.plus(SUSPENSION_THRESHOLD))) {
       resumedAt = read;
     }
     now = read.isBefore(now) ? now : read;
   }
 
   /**
-   * Whether this instance stood still until a moment ago.
+   * Returns whether this process was suspended until a moment ago.
    *
-   * <p>All that it was told before is old then, though what it hears next may be good: for as long
-   * as a peer or the log needs to answer, silence means nothing.
+   * <p>Everything received before the suspension is then old, and fresh messages may still arrive.
+   * A peer or the log needs some time to answer, and during that time its silence means nothing.
    */
   boolean justResumed() {
-    return now.isBefore(resumedAt.plus(PAUSE));
+    return now.isBefore(resumedAt.plus(SUSPENSION_THRESHOLD));
   }
 
-  /** Whether what came at {@code contact} was surely asked for after the last standstill. */
-  boolean askedSinceResumed(Instant contact) {
-    return contact.isAfter(resumedAt.plus(PAUSE));
+  /**
+   * Returns whether a response that arrived at {@code contact} was certainly requested after the
+   * last suspension.
+   */
+  boolean requestedSinceResume(Instant contact) {
+    return contact.isAfter(resumedAt.plus(SUSPENSION_THRESHOLD));
   }
 
   Instant now() {
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/DeadlineSystem.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/DeadlineSystem.java
@@ -5,15 +5,15 @@
 import org.teaseldeal.api.ErrorKind;
 import org.teaseldeal.core.table.RequestRow;
 
-/** Ends requests whose callers' deadlines have passed, each with what is true of its stage. */
+/** Ends requests whose deadlines have passed, each with an error that matches its stage. */
 final class DeadlineSystem {
   private final Context context;
-  private final Endings endings;
+  private final RequestCompletion completion;
   private final AttemptSystem attempts;
 
-  DeadlineSystem(Context context, Endings endings, AttemptSystem attempts) {
+  DeadlineSystem(Context context, RequestCompletion completion, AttemptSystem attempts) {
     this.context = context;
-    this.endings = endings;
+    this.completion = completion;
     this.attempts = attempts;
   }
 
@@ -30,12 +30,12 @@
   }
 
   private void expire(RequestRow request, String detail) {
-    endings.fail(request, ErrorKind.EXPIRED_WAITING, detail, context.limits().retryAfter());
+    completion.fail(request, ErrorKind.EXPIRED_WAITING, detail, context.limits().retryAfter());
   }
 
   private List<RequestRow> due() {
     List<RequestRow> due = new ArrayList<>();
-    for (RequestRow request : context.tables.deadlines) {
+    for (RequestRow request : context.tables.requestsByDeadline) {
       if (context.now().isBefore(request.deadline)) {
         break;
       }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/Digests.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/Digests.java
@@ -7,8 +7,8 @@
 import org.teaseldeal.api.Sha256;
 
 /**
- * SHA-256 in hexadecimal digits: of octets as they are, or of several texts, each with its length
- * before it.
+ * Computes SHA-256 digests in hexadecimal form, either of bytes or of several strings, each
+ * preceded by its length.
  */
 final class Digests {
   private Digests() {}
@@ -16,9 +16,9 @@
   static String of(String... parts) {
     MessageDigest digest = Sha256.begin();
     for (String part : parts) {
-      byte[] octets = part.getBytes(StandardCharsets.UTF_8);
-      digest.update(ByteBuffer.allocate(Integer.BYTES).putInt(octets.length).flip());
-      digest.update(octets);
+      byte[] utf8 = part.getBytes(StandardCharsets.UTF_8);
+      digest.update(ByteBuffer.allocate(Integer.BYTES).putInt(utf8.length).flip());
+      digest.update(utf8);
     }
     return HexFormat.of().formatHex(digest.digest());
   }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/DrainSystem.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/DrainSystem.java
@@ -9,27 +9,27 @@
 import org.teaseldeal.ledger.entry.Entry;
 
 /**
- * Ends the instance once nothing is in flight: returns its leases, leaves the ledger, stops.
+ * Stops the instance once nothing is in flight: returns its leases, leaves the ledger, and stops.
  *
- * <p>An incarnation that was retired stops too, as soon as it is idle: the ledger ignores what it
- * writes.
+ * <p>A retired incarnation also stops as soon as it is idle, because the ledger ignores its
+ * entries.
  */
 final class DrainSystem {
-  private enum Step {
+  private enum Phase {
     WORKING,
-    RETURNING,
+    RETURNING_LEASES,
     LEAVING,
     STOPPED
   }
 
-  private static final Duration PATIENCE = Duration.ofSeconds(2);
+  private static final Duration IDLE_GRACE_PERIOD = Duration.ofSeconds(2);
 
   private final Context context;
   private final LedgerSystem ledger;
   private final BudgetSystem budgets;
   private final BackupSystem backups;
-  private boolean handedOver;
-  private Step step = Step.WORKING;
+  private boolean backupsHandedOver;
+  private Phase phase = Phase.WORKING;
   private @Nullable Instant idleSince;
 
   DrainSystem(Context context, LedgerSystem ledger, BudgetSystem budgets, BackupSystem backups) {
@@ -44,53 +44,57 @@
   }
 
   void run() {
-    if (step == Step.STOPPED || !(context.draining || ledger.retired())) {
+    if (phase == Phase.STOPPED || !(context.draining || ledger.retired())) {
       return;
     }
-    if (!context.tables.idle()) {
+    if (!context.tables.isIdle()) {
       return;
     }
     if (idleSince == null) {
       idleSince = context.now();
     }
-    if (!handedOver && (ledger.retired() || !context.now().isBefore(idleSince.plus(PATIENCE)))) {
-      handedOver = true;
+    if (!backupsHandedOver
+        && (ledger.retired() || !context.now().isBefore(idleSince.plus(IDLE_GRACE_PERIOD)))) {
+      backupsHandedOver = true;
       backups.handOver();
       return;
     }
-    if (retiredAndHandedOver() || waitedForLog(idleSince)) {
+    if (retiredWithChargesHeld() || logWaitExpired(idleSince)) {
       stop();
       return;
     }
     if (ledger.retired()) {
       return;
     }
-    switch (step) {
+    switch (phase) {
       case WORKING -> returnLeases();
-      case RETURNING -> leave();
-      case LEAVING -> stopWhenWritten();
+      case RETURNING_LEASES -> leave();
+      case LEAVING -> stopOnceIdle();
       case STOPPED -> {}
     }
   }
 
-  private boolean retiredAndHandedOver() {
-    return ledger.retired() && allHeldElsewhere();
+  private boolean retiredWithChargesHeld() {
+    return ledger.retired() && allChargesHeldByPeers();
   }
 
-  private boolean allHeldElsewhere() {
-    return context.tables.handedOver.isEmpty()
-        && context.tables.charges.values().stream().allMatch(row -> row.held);
+  private boolean allChargesHeldByPeers() {
+    return context.tables.handedOverBackups.isEmpty()
+        && context.tables.charges.values().stream().allMatch(row -> row.heldByPeer);
   }
 
-  /** Without the log, what is held can't be returned; an operator retires the incarnation. */
-  private boolean waitedForLog(Instant since) {
-    return !context.now().isBefore(since.plus(context.limits().drainBound()));
+  /**
+   * Returns whether the drain has waited long enough for the log. Without the log, leases can't be
+   * returned, and an operator has to retire the incarnation.
+   */
+  private boolean logWaitExpired(Instant since) {
+    return !context.now().isBefore(since.plus(context.limits().drainTimeout()));
   }
 
   private void returnLeases() {
-    boolean backupsLeft = !context.tables.backups.isEmpty() && !handedOver;
+    boolean backupsLeft = !context.tables.backups.isEmpty() && !backupsHandedOver;
     if (!context.tables.charges.isEmpty()
-        || !context.tables.handedOver.isEmpty()
+        || !context.tables.handedOverBackups.isEmpty()
         || backupsLeft
         || transfersMayStillCome()) {
       return;
@@ -98,31 +102,35 @@
     for (ServiceId service : List.copyOf(context.tables.budgets.keySet())) {
       budgets.returnAll(service);
     }
-    step = Step.RETURNING;
+    phase = Phase.RETURNING_LEASES;
   }
 
-  /** Tokens that come after the return would be written off with this incarnation. */
+  /**
+   * Returns whether outstanding transfers may still bring tokens. Tokens that arrive after the
+   * leases were returned would be written off with this incarnation.
+   */
   private boolean transfersMayStillCome() {
     Instant since = idleSince == null ? context.now() : idleSince;
-    return !context.tables.transfers.isEmpty() && context.now().isBefore(since.plus(PATIENCE));
+    return !context.tables.transfers.isEmpty()
+        && context.now().isBefore(since.plus(IDLE_GRACE_PERIOD));
   }
 
   private void leave() {
-    if (!ledger.quiet()) {
+    if (!ledger.isIdle()) {
       return;
     }
     ledger.submitToAll(new Entry.Leave());
-    step = Step.LEAVING;
+    phase = Phase.LEAVING;
   }
 
-  private void stopWhenWritten() {
-    if (ledger.quiet()) {
+  private void stopOnceIdle() {
+    if (ledger.isIdle()) {
       stop();
     }
   }
 
   private void stop() {
-    step = Step.STOPPED;
+    phase = Phase.STOPPED;
     context.emit(new InstanceCommand.Stop());
   }
 }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/Dumps.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/Dumps.java
@@ -15,7 +15,7 @@
 import org.teaseldeal.ledger.lease.LocalLeases;
 import org.teaseldeal.ledger.state.OrderTerm;
 
-/** Copies the tables into plain records. */
+/** Copies the tables into immutable records. */
 final class Dumps {
   private Dumps() {}
 
@@ -31,13 +31,13 @@
         context.draining,
         ledger.settingsRevision(),
         ledger.streams(),
-        tables.deadlines.stream().map(Dumps::request).toList(),
-        tables.running.values().stream().map(Dumps::attempt).toList(),
-        tables.abandoned.values().stream().map(Dumps::attempt).toList(),
+        tables.requestsByDeadline.stream().map(Dumps::request).toList(),
+        tables.runningAttempts.values().stream().map(Dumps::attempt).toList(),
+        tables.abandonedAttempts.values().stream().map(Dumps::attempt).toList(),
         tables.servers.values().stream().map(row -> server(context, row)).toList(),
         tables.peers.values().stream().map(Dumps::peer).toList(),
         tables.pools.values().stream()
-            .map(p -> new InstanceDump.Pool(p.name, p.queue.size(), p.drain.meanSeconds()))
+            .map(p -> new InstanceDump.Pool(p.name, p.queue.size(), p.drainRate.meanSeconds()))
             .toList(),
         tables.budgets.values().stream().map(row -> budget(ledger, row)).toList(),
         transfers(tables),
@@ -55,11 +55,11 @@
         row.service.id().toString(),
         row.customer.id().toString(),
         row.stage.name(),
-        row.worstCase,
+        row.worstCaseTokens,
         row.attempts,
         row.mayHaveRun,
         row.framesSent,
-        row.arrived,
+        row.arrivedAt,
         row.deadline);
   }
 
@@ -69,9 +69,9 @@
         row.request.id.value(),
         row.server.id.name(),
         row.nextPosition,
-        row.resumes,
+        row.resumesSinceProgress,
         row.startedAt,
-        row.lastProgress);
+        row.lastProgressAt);
   }
 
   private static InstanceDump.Server server(Context context, ServerRow row) {
@@ -83,8 +83,8 @@
         row.address,
         row.listed,
         tables.leavingServers.contains(row.id),
-        row.own,
-        row.others,
+        row.outstandingHere,
+        row.outstandingAtPeers,
         pool != null && !pool.health.isIn(row.id, context.now()),
         pool == null ? 1 : pool.health.slowness(row.id),
         row.reportedRunning,
@@ -99,8 +99,8 @@
         row.dataCentre,
         row.draining,
         row.ready,
-        row.heardAt,
-        row.given.size());
+        row.lastHeartbeatAt,
+        row.unacknowledgedTransfers.size());
   }
 
   private static InstanceDump.Budget budget(LedgerSystem ledger, BudgetRow row) {
@@ -111,7 +111,7 @@
         leases.reserved(row.service),
         row.waiting.size(),
         row.tokensPerSecond,
-        row.leaseAsked);
+        row.leaseRequested);
   }
 
   private static List<InstanceDump.Transfer> transfers(Tables tables) {
@@ -119,20 +119,24 @@
         .map(
             row ->
                 new InstanceDump.Transfer(
-                    row.number, row.giver.value(), row.service.toString(), row.wanted, row.askedAt))
+                    row.number,
+                    row.donor.value(),
+                    row.service.toString(),
+                    row.requestedTokens,
+                    row.requestedAt))
         .toList();
   }
 
   private static List<InstanceDump.Charge> charges(Tables tables) {
     return tables.charges.values().stream()
-        .map(row -> new InstanceDump.Charge(row.id.origin().value(), row.id.number(), row.since))
+        .map(
+            row -> new InstanceDump.Charge(row.id.origin().value(), row.id.number(), row.createdAt))
         .toList();
   }
 
   private static List<InstanceDump.Charge> backups(Tables tables) {
     return tables.backups.stream()
-        .map(
-            row -> new InstanceDump.Charge(row.id.origin().value(), row.id.number(), row.keptSince))
+        .map(row -> new InstanceDump.Charge(row.id.origin().value(), row.id.number(), row.storedAt))
         .toList();
   }
 
@@ -145,7 +149,7 @@
                   pool.name,
                   term.map(OrderTerm::term).orElse(0L),
                   term.map(t -> t.holder().value()).orElse(""),
-                  pool.taking,
+                  pool.takeoverPending,
                   pool.engines.entrySet().stream()
                       .map(engine -> orderEngine(engine.getKey(), engine.getValue()))
                       .toList());
@@ -155,7 +159,11 @@
 
   private static InstanceDump.OrderEngine orderEngine(BackendServerId id, OrderEngineRow row) {
     return new InstanceDump.OrderEngine(
-        id.name(), row.agreed, row.unanswered.size(), row.askAt, row.highestSeen);
+        id.name(),
+        row.matchesSettings,
+        row.unansweredOrders.size(),
+        row.nextQueryAt,
+        row.highestSeenFencingToken);
   }
 
   private static List<InstanceDump.Suspect> suspects(Tables tables) {
@@ -163,7 +171,9 @@
         .map(
             row ->
                 new InstanceDump.Suspect(
-                    row.fingerprint, row.ended.stream().map(id -> id.name()).toList(), row.until))
+                    row.fingerprint,
+                    row.goneServers.stream().map(id -> id.name()).toList(),
+                    row.expiresAt))
         .toList();
   }
 }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/InstanceSystems.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/InstanceSystems.java
@@ -15,13 +15,13 @@
 import org.teaseldeal.core.table.RequestRow;
 import org.teaseldeal.wire.gen.peer.Message;
 
-/** All systems of one instance, wired together and run in a fixed order. */
+/** All systems of one instance, connected to each other and run in a fixed order. */
 public final class InstanceSystems {
   private final Context context;
   private final LedgerSystem ledger;
   private final BootstrapSystem bootstrap;
   private final MembershipSystem membership;
-  private final SuspectSystem suspects;
+  private final QuarantineSystem quarantine;
   private final IntakeSystem intake;
   private final DeadlineSystem deadlines;
   private final BudgetSystem budgets;
@@ -41,41 +41,60 @@
     ledger = new LedgerSystem(context, parts.validator());
     SettingsView settings = new SettingsView(ledger);
     PeerView peers = new PeerView(context);
-    Endings endings = new Endings(context, ledger);
-    suspects = new SuspectSystem(context, parts.quarantine());
-    membership = new MembershipSystem(context, ledger, suspects, parts.leaving());
+    RequestCompletion completion = new RequestCompletion(context, ledger);
+    quarantine = new QuarantineSystem(context, parts.quarantineRule());
+    membership = new MembershipSystem(context, ledger, quarantine, parts.leavingServerRule());
     bootstrap = new BootstrapSystem(context, ledger);
     settlement =
-        new SettlementSystem(context, ledger, endings, this::storeAnswer, parts.abandonedRuns());
+        new SettlementSystem(
+            context, ledger, completion, this::storeAnswer, parts.abandonedRunRule());
     backups = new BackupSystem(context, ledger, settlement, peers);
     load = new LoadSystem(context);
-    LostAttempts lost =
-        new LostAttempts(context, endings, settlement, suspects, parts.reruns(), this::tryAgain);
+    AttemptRecovery recovery =
+        new AttemptRecovery(
+            context, completion, settlement, quarantine, parts.rerunRule(), this::retry);
     attempts =
-        new AttemptSystem(context, settings, settlement, suspects, load, lost, parts.frames());
+        new AttemptSystem(
+            context, settings, settlement, quarantine, load, recovery, parts.frameFilter());
     placement =
         new PlacementSystem(
-            context, settings, endings, attempts, peers, parts.placement(), parts.queue());
-    claims = new ClaimSystem(context, ledger, endings, placement, parts.claims());
+            context,
+            settings,
+            completion,
+            attempts,
+            peers,
+            parts.placementPolicy(),
+            parts.queueRule());
+    claims = new ClaimSystem(context, ledger, completion, placement, parts.claimConfirmation());
     transfers =
-        new TransferSystem(context, ledger, this::onTokens, this::leaseForPeer, parts.credits());
+        new TransferSystem(
+            context, ledger, this::onTokens, this::leaseForPeer, parts.transferDeduplication());
     budgets =
-        new BudgetSystem(context, ledger, settings, endings, transfers, peers, claims::proceed);
+        new BudgetSystem(
+            context, ledger, settings, completion, transfers, peers, claims::claimOrEnqueue);
     intake =
         new IntakeSystem(
-            context, ledger, settings, suspects, endings, claims, budgets, parts.reservations());
-    deadlines = new DeadlineSystem(context, endings, attempts);
+            context,
+            ledger,
+            settings,
+            quarantine,
+            completion,
+            claims,
+            budgets,
+            parts.reservationRule());
+    deadlines = new DeadlineSystem(context, completion, attempts);
     drain = new DrainSystem(context, ledger, budgets, backups);
     orders =
-        new OrderSystem(context, ledger, settings, peers, parts.orderRight(), parts.orderWatch());
+        new OrderSystem(
+            context, ledger, settings, peers, parts.orderAuthority(), parts.engineRecheckRule());
   }
 
   private void storeAnswer(RequestRow request) {
     claims.storeAnswer(request);
   }
 
-  private void tryAgain(RequestRow request) {
-    budgets.acquire(request);
+  private void retry(RequestRow request) {
+    budgets.reserveOrWait(request);
   }
 
   private void onTokens(ServiceId service) {
@@ -86,7 +105,7 @@
     return budgets.leaseForPeer(service, need);
   }
 
-  /** Takes in one event. */
+  /** Processes one event. */
   public void handle(InstanceEvent event) {
     context.readClock();
     switch (event) {
@@ -103,19 +122,19 @@
       case InstanceEvent.AttemptFailed e -> attempts.onFailed(e);
       case InstanceEvent.UsageKnown e -> settlement.onUsage(e);
       case InstanceEvent.UsageUnknown e -> {
-        // Asked again after the interval.
+        // The query is repeated after its interval.
       }
       case InstanceEvent.OrderStateReported e -> orders.onState(e);
       case InstanceEvent.OrderStateUnknown e -> {
-        // Asked again when the bound of an answer has passed.
+        // The query is repeated after its interval.
       }
       case InstanceEvent.OrderAnswered e -> orders.onAnswered(e);
       case InstanceEvent.OrderRefused e -> orders.onRefused(e);
       case InstanceEvent.OrderFailed e -> orders.onFailed(e);
-      case InstanceEvent.LogNews e -> ledger.onNews(e.event());
+      case InstanceEvent.LogNews e -> ledger.onLogEvent(e.event());
       case InstanceEvent.ListRead e -> membership.onList(e);
       case InstanceEvent.ListFailed e -> {
-        // The last list stays; peers tell of servers that leave meanwhile.
+        // The last list stays in force. Peers report servers that start to leave in the meantime.
       }
       case InstanceEvent.LoadReported e -> membership.onLoad(e);
       case InstanceEvent.PeerReceived e -> onPeer(e.sender(), e.message());
@@ -132,7 +151,7 @@
     try {
       onPeer(sender, message, kind);
     } catch (IllegalArgumentException | NullPointerException e) {
-      // A field that a newer peer leaves out or fills otherwise; its message is dropped.
+      // A newer peer left out a field or filled it in an unknown way. Its message is dropped.
       context.count(Counter.UNKNOWN_PEER_MESSAGES);
     }
   }
@@ -146,7 +165,7 @@
       case CHARGE_BACKUP -> backups.onBackup(sender, message.getChargeBackup());
       case CHARGE_BACKUP_ACK -> backups.onAck(message.getChargeBackupAck());
       case SERVERS_LEAVING -> membership.onServersLeaving(message.getServersLeaving());
-      case QUARANTINE -> suspects.onPeerReport(message.getQuarantine());
+      case QUARANTINE -> quarantine.onPeerReport(message.getQuarantine());
       case STATE_REQUEST -> bootstrap.onRequest(sender, message.getStateRequest());
       case STATE_CHUNK -> bootstrap.onChunk(message.getStateChunk());
     }
@@ -157,7 +176,7 @@
     context.readClock();
     bootstrap.run();
     membership.run();
-    suspects.run();
+    quarantine.run();
     deadlines.run();
     transfers.run();
     budgets.run();
@@ -172,32 +191,32 @@
     ledger.run();
   }
 
-  /** Takes what is wanted done. */
+  /** Returns and clears the commands produced since the last call. */
   public List<InstanceCommand> drainCommands() {
     return context.drainCommands();
   }
 
-  /** Whether new requests are taken. */
+  /** Returns whether new requests are accepted. */
   public boolean ready() {
     return ledger.ready() && !context.draining;
   }
 
-  /** How far each stream of the ledger has been read. */
+  /** Returns the position up to which each stream of the ledger has been read. */
   public List<InstanceDump.Stream> streams() {
     return ledger.streams();
   }
 
-  /** The highest revision of settings in force here. */
+  /** Returns the highest revision of the settings in force at this instance. */
   public long settingsRevision() {
     return ledger.settingsRevision();
   }
 
-  /** A copy of every table. */
+  /** Returns a copy of all tables. */
   public InstanceDump dump() {
     return Dumps.of(context, ledger);
   }
 
-  /** The instance's counters, which go on counting. */
+  /** Returns the live counters of the instance. */
   public CoreCounters counters() {
     return context.counters;
   }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/IntakeSystem.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/IntakeSystem.java
@@ -22,65 +22,66 @@
 import org.teaseldeal.settings.ServiceSettings;
 import org.teaseldeal.settings.TeamSettings;
 
-/** Checks a caller's request against the settings and makes a row of it, or refuses it. */
+/** Checks a caller's request against the settings, and either creates its row or refuses it. */
 final class IntakeSystem {
-  private static final int LONGEST_KEY = 255;
+  private static final int MAX_KEY_CHARS = 255;
 
   private final Context context;
   private final LedgerSystem ledger;
   private final SettingsView settings;
-  private final SuspectSystem suspects;
-  private final Endings endings;
+  private final QuarantineSystem quarantine;
+  private final RequestCompletion completion;
   private final ClaimSystem claims;
   private final BudgetSystem budgets;
-  private final ReservationRule reservations;
+  private final ReservationRule reservationRule;
 
   IntakeSystem(
       Context context,
       LedgerSystem ledger,
       SettingsView settings,
-      SuspectSystem suspects,
-      Endings endings,
+      QuarantineSystem quarantine,
+      RequestCompletion completion,
       ClaimSystem claims,
       BudgetSystem budgets,
-      ReservationRule reservations) {
+      ReservationRule reservationRule) {
     this.context = context;
     this.ledger = ledger;
     this.settings = settings;
-    this.suspects = suspects;
-    this.endings = endings;
+    this.quarantine = quarantine;
+    this.completion = completion;
     this.claims = claims;
     this.budgets = budgets;
-    this.reservations = reservations;
+    this.reservationRule = reservationRule;
   }
 
   void onRequest(CallerRequest event) {
     context.count(Counter.CALLS);
-    RequestId fallbackId = new RequestId(context.self() + "-" + context.nextRequest());
-    switch (admit(event, fallbackId)) {
+    RequestId generatedId = new RequestId(context.self() + "-" + context.nextRequest());
+    switch (admit(event, generatedId)) {
       case Result.Err<RequestRow>(Problem problem) ->
-          endings.refuse(
+          completion.refuse(
               event.call(),
-              fallbackId,
+              generatedId,
               event.idempotencyKey().isPresent() ? problem.ofOneTryAmongOthers() : problem);
       case Result.Ok<RequestRow>(RequestRow request) -> {
         context.tables.requests.put(request.call, request);
-        context.tables.deadlines.add(request);
+        context.tables.requestsByDeadline.add(request);
         if (!claims.answerFromLedger(request)) {
-          budgets.acquire(request);
+          budgets.reserveOrWait(request);
         }
       }
     }
   }
 
-  private Result<RequestRow> admit(CallerRequest event, RequestId fallbackId) {
+  private Result<RequestRow> admit(CallerRequest event, RequestId generatedId) {
     if (context.draining) {
-      return later(ErrorKind.DRAINING, "instance " + context.config.instance() + " is draining");
+      return retryable(
+          ErrorKind.DRAINING, "instance " + context.config.instance() + " is draining");
     }
     if (!ledger.ready()) {
-      return later(ErrorKind.NOT_READY, ledger.readiness());
+      return retryable(ErrorKind.NOT_READY, ledger.readiness());
     }
-    List<CustomerSettings> customers = event.token().map(settings::customers).orElse(List.of());
+    List<CustomerSettings> customers = event.token().map(settings::customersOf).orElse(List.of());
     if (customers.isEmpty()) {
       return refused(
           ErrorKind.UNAUTHENTICATED,
@@ -88,13 +89,14 @@
     }
     for (CustomerSettings customer : customers) {
       if (service(event.service(), customer) instanceof Result.Ok<ServiceSettings>(var service)) {
-        return admit(event, fallbackId, customer, service);
+        return admit(event, generatedId, customer, service);
       }
     }
     return switch (service(event.service(), customers.getFirst())) {
       case Result.Err<ServiceSettings>(Problem problem) -> Result.err(problem);
       case Result.Ok<ServiceSettings>(ServiceSettings service) ->
-          throw new IllegalStateException("%s was refused before".formatted(service.id()));
+          throw new IllegalStateException(
+              "service %s was refused for the same customer before".formatted(service.id()));
     };
   }
 
@@ -106,7 +108,7 @@
     } catch (IllegalArgumentException e) {
       return refused(ErrorKind.UNKNOWN_SERVICE, "service was '%s'".formatted(name));
     }
-    // Whether another team has such a service is not this caller's to learn.
+    // A caller must not learn whether another team has a service of this name.
     if (!id.team().equals(team)) {
       return refused(
           ErrorKind.FORBIDDEN, "the token is of team %s, not %s".formatted(team, id.team()));
@@ -126,26 +128,26 @@
 
   private Result<RequestRow> admit(
       CallerRequest event,
-      RequestId fallbackId,
+      RequestId generatedId,
       CustomerSettings customer,
       ServiceSettings service) {
-    Optional<Problem> wrong =
-        wrongPayload(event.payload(), service).or(() -> wrongKey(event, service));
-    if (wrong.isPresent()) {
-      return Result.err(wrong.get());
+    Optional<Problem> invalid =
+        payloadProblem(event.payload(), service).or(() -> keyProblem(event, service));
+    if (invalid.isPresent()) {
+      return Result.err(invalid.get());
     }
     String bodyDigest = bodyDigest(event.payload());
     String fingerprint = Digests.of(service.id().toString(), bodyDigest);
-    if (suspects.quarantined(fingerprint)) {
+    if (quarantine.isQuarantined(fingerprint)) {
       return refused(
           ErrorKind.QUARANTINED, "it was in flight on several backend servers as they failed");
     }
-    return Result.ok(row(event, fallbackId, customer, service, fingerprint));
+    return Result.ok(newRequestRow(event, generatedId, customer, service, fingerprint));
   }
 
-  private RequestRow row(
+  private RequestRow newRequestRow(
       CallerRequest event,
-      RequestId fallbackId,
+      RequestId generatedId,
       CustomerSettings customer,
       ServiceSettings service,
       String fingerprint) {
@@ -155,10 +157,11 @@
     if (!service.idempotent()) {
       claimKey = new ClaimKey(Digests.of(scope));
     }
-    // With the body in it: another body under the same key must not attach to this one's answer.
+    // The id includes the digest of the body, so that a request with the same key but another body
+    // can't attach to the answer of this one.
     RequestId id =
         key.isEmpty()
-            ? fallbackId
+            ? generatedId
             : new RequestId("k-" + Digests.of(scope[0], scope[1], scope[2], fingerprint));
     Instant now = context.now();
     Duration timeout =
@@ -177,12 +180,12 @@
         key.isPresent(),
         claimKey,
         cap,
-        reservations.tokens(event.payload(), service, cap),
+        reservationRule.tokens(event.payload(), service, cap),
         now,
         now.plus(timeout));
   }
 
-  private static Optional<Problem> wrongPayload(Payload payload, ServiceSettings service) {
+  private static Optional<Problem> payloadProblem(Payload payload, ServiceSettings service) {
     boolean model = payload instanceof Payload.ModelCall;
     if (model != (service.kind() == ServiceKind.MODEL)) {
       return Optional.of(
@@ -208,7 +211,7 @@
     return Optional.empty();
   }
 
-  private static Optional<Problem> wrongKey(CallerRequest event, ServiceSettings service) {
+  private static Optional<Problem> keyProblem(CallerRequest event, ServiceSettings service) {
     Optional<String> key = event.idempotencyKey();
     if (key.isEmpty() && !service.idempotent()) {
       return Optional.of(
@@ -216,12 +219,12 @@
               ErrorKind.MISSING_KEY,
               "%s is not idempotent, expected an Idempotency-Key".formatted(service.id())));
     }
-    if (key.isPresent() && (key.get().isBlank() || key.get().length() > LONGEST_KEY)) {
+    if (key.isPresent() && (key.get().isBlank() || key.get().length() > MAX_KEY_CHARS)) {
       return Optional.of(
           Problem.of(
               ErrorKind.MALFORMED_REQUEST,
               "Idempotency-Key had %d characters, expected 1 to %d"
-                  .formatted(key.get().length(), LONGEST_KEY)));
+                  .formatted(key.get().length(), MAX_KEY_CHARS)));
     }
     return Optional.empty();
   }
@@ -243,7 +246,7 @@
     return Result.err(Problem.of(kind, detail));
   }
 
-  private <T> Result<T> later(ErrorKind kind, String detail) {
+  private <T> Result<T> retryable(ErrorKind kind, String detail) {
     return Result.err(Problem.retryable(kind, detail, context.limits().retryAfter()));
   }
 }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/LedgerSystem.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/LedgerSystem.java
@@ -31,16 +31,19 @@
 import org.teaseldeal.settings.TeamSettings;
 import org.teaseldeal.wire.gen.peer.StreamPosition;
 
-/** Reads and writes every stream of the ledger, and hands each outcome to who waits for it. */
+/**
+ * Reads and writes all streams of the ledger, and passes each entry's outcome to the system that
+ * submitted it.
+ */
 final class LedgerSystem {
-  private record Waiter(Entry entry, Consumer<Outcome> then) {}
+  private record OutcomeListener(Entry entry, Consumer<Outcome> callback) {}
 
   private static final class Stream {
     private final StreamId id;
     private final LedgerClient client;
     private final LocalLeases leases = new LocalLeases();
-    private final Map<Ticket, Waiter> waiters = new HashMap<>();
-    private long lastCharge;
+    private final Map<Ticket, OutcomeListener> listeners = new HashMap<>();
+    private long lastChargeNumber;
 
     private Stream(StreamId id, LedgerClient client) {
       this.id = id;
@@ -49,17 +52,17 @@
   }
 
   private final Context context;
-  private final Streams spread;
+  private final Streams streamAssignment;
   private final List<Stream> streams = new ArrayList<>();
 
   LedgerSystem(Context context, SettingsValidator validator) {
     this.context = context;
-    this.spread = new Streams(context.config.streams());
+    this.streamAssignment = new Streams(context.config.streams());
     ReadConfig reads =
         new ReadConfig(
             ReadConfig.DEFAULT.timeout(),
             ReadConfig.DEFAULT.backoff(),
-            context.limits().logSilence());
+            context.limits().logSilenceTimeout());
     LedgerConfig config = LedgerConfig.DEFAULT.withReads(reads);
     for (int index = 0; index < context.config.streams(); index++) {
       StreamId id = new StreamId(index);
@@ -72,7 +75,7 @@
   }
 
   private Stream stream(TeamId team) {
-    return streams.get(spread.of(team).index());
+    return streams.get(streamAssignment.of(team).index());
   }
 
   LedgerState state(TeamId team) {
@@ -92,21 +95,24 @@
   }
 
   /**
-   * Whether the stream of the fleet's subtree was heard within the log's silence and since this
-   * instance last stood still.
+   * Returns whether the stream with the fleet's settings subtree was read recently, and since this
+   * process was last suspended.
    *
-   * <p>News that waited while it stood still look fresh when they are taken in, and are as old as
-   * the standstill.
+   * <p>Responses that were queued while the process was suspended look fresh when they are
+   * processed, although they are as old as the suspension.
    */
-  boolean fleetHeardLately() {
+  boolean fleetStreamRecentlyRead() {
     LedgerClient client = streams.getFirst().client;
     return !client.retired()
         && client.caughtUp()
         && client.logReachable()
-        && client.lastContact().filter(context::askedSinceResumed).isPresent();
+        && client.lastContact().filter(context::requestedSinceResume).isPresent();
   }
 
-  /** The state of the stream that has the fleet's subtree and the terms of orders. */
+  /**
+   * Returns the state of the stream that holds the fleet's settings subtree and the terms for
+   * orders.
+   */
   LedgerState fleetState() {
     return streams.getFirst().client.state();
   }
@@ -115,19 +121,19 @@
     submit(streams.getFirst(), entry, true, then);
   }
 
-  /** Whether every stream can be reached. */
+  /** Returns whether all streams can be reached. */
   boolean allReachable() {
     return streams.stream().allMatch(this::reachable);
   }
 
-  /** Whether an incarnation left or was retired. */
-  boolean ended(TeamId team, IncarnationId incarnation) {
+  /** Returns whether an incarnation has left the ledger or was retired. */
+  boolean hasEnded(TeamId team, IncarnationId incarnation) {
     return stream(team).client.state().ended(incarnation);
   }
 
-  /** The next charge number of this incarnation on the stream of {@code team}. */
+  /** Returns the next charge number of this incarnation on the stream of {@code team}. */
   long nextCharge(TeamId team) {
-    return ++stream(team).lastCharge;
+    return ++stream(team).lastChargeNumber;
   }
 
   void submit(TeamId team, Entry entry) {
@@ -148,35 +154,38 @@
 
   private void submit(Stream stream, Entry entry, boolean urgent, Consumer<Outcome> then) {
     if (stream.client.retired()) {
-      then.accept(lost(entry));
+      then.accept(lostOutcome(entry));
       return;
     }
     Ticket ticket = stream.client.submit(entry, urgent);
-    stream.waiters.put(ticket, new Waiter(entry, then));
+    stream.listeners.put(ticket, new OutcomeListener(entry, then));
   }
 
-  private static Outcome lost(Entry entry) {
+  private static Outcome lostOutcome(Entry entry) {
     return new Outcome.Rejected(entry, "its outcome can no longer be read");
   }
 
-  void onNews(LogEvent event) {
+  void onLogEvent(LogEvent event) {
     Stream stream = streams.get(event.stream().index());
     for (Settled settled : stream.client.handle(event)) {
       Optional<Ticket> ticket = stream.client.ticket(settled);
-      Waiter waiter = ticket.isEmpty() ? null : stream.waiters.remove(ticket.get());
+      OutcomeListener waiter = ticket.isEmpty() ? null : stream.listeners.remove(ticket.get());
       if (waiter != null) {
-        waiter.then.accept(settled.outcome());
+        waiter.callback.accept(settled.outcome());
       }
     }
     for (Ticket ticket : stream.client.takeLostTickets()) {
-      Waiter waiter = stream.waiters.remove(ticket);
+      OutcomeListener waiter = stream.listeners.remove(ticket);
       if (waiter != null) {
-        waiter.then.accept(lost(waiter.entry));
+        waiter.callback.accept(lostOutcome(waiter.entry));
       }
     }
   }
 
-  /** Gives out what is to be done at the log; last in a tick, so that it holds all of the tick. */
+  /**
+   * Emits the log operations that are due. It runs last in a tick, so that the operations include
+   * all entries submitted during the tick.
+   */
   void run() {
     long appends = 0;
     long repeats = 0;
@@ -201,12 +210,12 @@
     context.counters.set(Counter.READ_FAILURES, readFailures);
   }
 
-  /** Whether every stream is caught up and this incarnation may still write. */
+  /** Returns whether all streams have been read up to date and this incarnation may still write. */
   boolean ready() {
     return !retired() && streams.stream().allMatch(stream -> stream.client.caughtUp());
   }
 
-  /** What readiness waits for. */
+  /** Describes what still prevents readiness. */
   String readiness() {
     if (retired()) {
       return "incarnation %s was retired".formatted(context.self());
@@ -220,13 +229,15 @@
     return "ready";
   }
 
-  /** Whether this incarnation was retired on any stream, or another process took its name. */
+  /**
+   * Returns whether this incarnation was retired on any stream, or another process took its name.
+   */
   boolean retired() {
     return streams.stream().anyMatch(stream -> stream.client.retired());
   }
 
-  /** Whether nothing waits to be appended or read back. */
-  boolean quiet() {
+  /** Returns whether no entry waits to be appended or read back. */
+  boolean isIdle() {
     return streams.stream().allMatch(stream -> stream.client.idle());
   }
 
@@ -251,13 +262,13 @@
     return teams;
   }
 
-  /** The largest revision in force. */
+  /** Returns the highest settings revision in force. */
   long settingsRevision() {
     return streams.stream().mapToLong(s -> s.client.state().settingsRevision()).max().orElse(0);
   }
 
-  /** A number that grows whenever any subtree changes. */
-  long settingsVersion() {
+  /** Returns a number that grows whenever the settings of any subtree change. */
+  long settingsChangeCounter() {
     return streams.stream().mapToLong(s -> s.client.state().settingsRevision()).sum();
   }
 
@@ -279,7 +290,7 @@
         .toList();
   }
 
-  /** The client of a stream, for the bootstrap from a peer's state. */
+  /** Returns the client of a stream, for the bootstrap from a peer's state. */
   LedgerClient client(int stream) {
     return streams.get(stream).client;
   }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/LoadSystem.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/LoadSystem.java
@@ -14,36 +14,37 @@
 import org.teaseldeal.core.table.RequestRow;
 import org.teaseldeal.core.table.ServerRow;
 
-/** Measures what servers do with the requests given to them, for the decisions that follow. */
+/** Measures how servers handle their requests, as input for placement and admission decisions. */
 final class LoadSystem {
-  private static final Duration WATCH_INTERVAL = Duration.ofMillis(100);
+  private static final Duration CHECK_INTERVAL = Duration.ofMillis(100);
 
   /**
-   * Output tokens that the fixed part of a model request counts for. Without it a server that was
-   * given short answers would seem slow for each of their tokens.
+   * The number of output tokens to which the fixed cost of a model request is equivalent. Without
+   * it, a server that produced short answers would seem slow per token.
    */
-  private static final double FIXED_WORK = 10;
+  private static final double FIXED_COST_OUTPUT_TOKENS = 10;
 
   private final Context context;
-  private Instant watchedAt = Instant.MIN;
+  private Instant checkedAt = Instant.MIN;
 
   LoadSystem(Context context) {
     this.context = context;
   }
 
-  /** Takes in a whole answer. */
+  /** Records a complete answer. */
   void onAnswered(AttemptRow attempt, Usage usage) {
     PoolRow pool = pool(attempt);
     if (pool == null) {
       return;
     }
     Duration took = Duration.between(attempt.startedAt, context.now());
-    pool.drain.onFinished(took);
-    pool.service(attempt.request.service.id()).onFinished(took);
-    pool.health.onAnswered(attempt.server.id, took, work(attempt.request, usage.outputTokens()));
+    pool.drainRate.onFinished(took);
+    pool.serviceRate(attempt.request.service.id()).onFinished(took);
+    pool.health.onAnswered(
+        attempt.server.id, took, workUnits(attempt.request, usage.outputTokens()));
   }
 
-  /** Takes in a failure that is the server's. */
+  /** Records a failure that the server caused. */
   void onFailed(AttemptRow attempt) {
     PoolRow pool = pool(attempt);
     if (pool != null) {
@@ -51,19 +52,22 @@
     }
   }
 
-  /** Judges servers by the lists, by overdue requests and by what was taken in. */
+  /**
+   * Updates the health of servers from the platform's list, the age of running requests, and the
+   * recorded answers and failures.
+   */
   void run() {
     Instant now = context.now();
-    if (now.isBefore(watchedAt.plus(WATCH_INTERVAL))) {
+    if (now.isBefore(checkedAt.plus(CHECK_INTERVAL))) {
       return;
     }
-    watchedAt = now;
-    context.tables.pools.values().forEach(pool -> takeList(pool, now));
-    watchRunning(now);
+    checkedAt = now;
+    context.tables.pools.values().forEach(pool -> updateListedServers(pool, now));
+    checkRunningAttempts(now);
     context.tables.pools.values().forEach(pool -> pool.health.update(now));
   }
 
-  private void takeList(PoolRow pool, Instant now) {
+  private void updateListedServers(PoolRow pool, Instant now) {
     Set<BackendServerId> listed = new TreeSet<>();
     for (ServerRow server : context.tables.servers.values()) {
       if (server.listed && server.pool.equals(pool.name)) {
@@ -71,26 +75,27 @@
       }
     }
     if (!listed.isEmpty()) {
-      pool.health.onListed(listed, now, !pool.listed);
-      pool.listed = true;
+      pool.health.onListed(listed, now, !pool.hasBeenListed);
+      pool.hasBeenListed = true;
     }
   }
 
-  private void watchRunning(Instant now) {
+  private void checkRunningAttempts(Instant now) {
     Set<BackendServerId> seen = new HashSet<>();
-    for (AttemptRow attempt : List.copyOf(context.tables.running.values())) {
+    for (AttemptRow attempt : List.copyOf(context.tables.runningAttempts.values())) {
       PoolRow pool = pool(attempt);
-      // Attempts are numbered in the order of their starts, so the first is the oldest.
+      // Attempts are numbered in the order in which they start, so the first one of a server is the
+      // oldest.
       if (pool != null && seen.add(attempt.server.id)) {
         Duration age = Duration.between(attempt.startedAt, now);
-        double most = work(attempt.request, attempt.request.outputCap);
+        double most = workUnits(attempt.request, attempt.request.outputCap);
         pool.health.onStillRunning(attempt.server.id, age, most);
       }
     }
   }
 
-  private static double work(RequestRow request, long outputTokens) {
-    return request.isModel() ? FIXED_WORK + outputTokens : 1;
+  private static double workUnits(RequestRow request, long outputTokens) {
+    return request.isModel() ? FIXED_COST_OUTPUT_TOKENS + outputTokens : 1;
   }
 
   private @Nullable PoolRow pool(AttemptRow attempt) {
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/MembershipSystem.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/MembershipSystem.java
@@ -13,7 +13,7 @@
 import org.teaseldeal.core.ListedInstance;
 import org.teaseldeal.core.ListedServer;
 import org.teaseldeal.core.event.InstanceEvent;
-import org.teaseldeal.core.part.LeavingMemory;
+import org.teaseldeal.core.part.LeavingServerRule;
 import org.teaseldeal.core.table.PeerRow;
 import org.teaseldeal.core.table.ServerRow;
 import org.teaseldeal.core.table.Tables;
@@ -23,27 +23,31 @@
 import org.teaseldeal.wire.gen.peer.ServersLeaving;
 
 /**
- * Keeps the tables of backend servers and peers, and tells peers about this instance.
+ * Maintains the tables of backend servers and peers, and sends heartbeats to peers.
  *
- * <p>A server that is leaving stays so for good: the platform's list lags, and a stale copy would
- * otherwise bring it back. Peers relay what they learn, so that new work stops within seconds even
- * where the list is late.
+ * <p>A server that is leaving counts as leaving for good. The platform's list lags, and a stale
+ * copy of it would otherwise bring the server back. Peers relay what they learn about leaving
+ * servers, so that no new work is sent to such a server after a few seconds, even where the list is
+ * late.
  */
 final class MembershipSystem {
-  private static final Duration FORGET = Duration.ofHours(1);
+  private static final Duration PEER_RETENTION = Duration.ofHours(1);
 
   private final Context context;
   private final LedgerSystem ledger;
-  private final SuspectSystem suspects;
-  private final LeavingMemory leavingMemory;
-  private Instant sentAt = Instant.MIN;
+  private final QuarantineSystem quarantine;
+  private final LeavingServerRule leavingServerRule;
+  private Instant heartbeatSentAt = Instant.MIN;
 
   MembershipSystem(
-      Context context, LedgerSystem ledger, SuspectSystem suspects, LeavingMemory leavingMemory) {
+      Context context,
+      LedgerSystem ledger,
+      QuarantineSystem quarantine,
+      LeavingServerRule leavingServerRule) {
     this.context = context;
     this.ledger = ledger;
-    this.suspects = suspects;
-    this.leavingMemory = leavingMemory;
+    this.quarantine = quarantine;
+    this.leavingServerRule = leavingServerRule;
   }
 
   void onList(InstanceEvent.ListRead list) {
@@ -51,24 +55,24 @@
     tables.servers.values().forEach(server -> server.listed = false);
     List<BackendServerId> leaving = new ArrayList<>();
     for (ListedServer listed : list.servers()) {
-      server(listed).listed = true;
+      serverRow(listed).listed = true;
       if (listed.leaving()) {
         leaving.add(listed.id());
       }
     }
     tables.servers.values().stream()
         .filter(server -> !server.listed)
-        .forEach(server -> suspects.onServerGone(server.id));
-    tables.servers.values().removeIf(server -> !server.listed && server.own == 0);
+        .forEach(server -> quarantine.onServerGone(server.id));
+    tables.servers.values().removeIf(server -> !server.listed && server.outstandingHere == 0);
     tables.listedInstances.clear();
     list.instances().stream()
         .filter(listed -> !listed.peerAddress().equals(context.config.peerAddress()))
         .forEach(listed -> tables.listedInstances.put(listed.peerAddress(), listed));
-    leavingMemory.onList(context.tables.leavingServers, new TreeSet<>(leaving));
-    learnLeaving(leaving);
+    leavingServerRule.onList(context.tables.leavingServers, new TreeSet<>(leaving));
+    addLeavingServers(leaving);
   }
 
-  private ServerRow server(ListedServer listed) {
+  private ServerRow serverRow(ListedServer listed) {
     return context.tables.servers.computeIfAbsent(
         listed.id(),
         id ->
@@ -79,25 +83,25 @@
                 listed.dataCentre().equals(context.config.dataCentre())));
   }
 
-  private void learnLeaving(List<BackendServerId> leaving) {
-    List<String> news = new ArrayList<>();
+  private void addLeavingServers(List<BackendServerId> leaving) {
+    List<String> newlyLeaving = new ArrayList<>();
     for (BackendServerId server : leaving) {
       if (context.tables.leavingServers.add(server)) {
-        news.add(server.name());
+        newlyLeaving.add(server.name());
       }
     }
-    if (news.isEmpty()) {
+    if (newlyLeaving.isEmpty()) {
       return;
     }
     for (PeerRow peer : context.tables.peers.values()) {
       if (!peer.address.isEmpty()) {
-        context.send(peer.address, Message.serversLeaving(new ServersLeaving(news)));
+        context.send(peer.address, Message.serversLeaving(new ServersLeaving(newlyLeaving)));
       }
     }
   }
 
   void onServersLeaving(ServersLeaving message) {
-    learnLeaving(message.getServers().stream().map(BackendServerId::new).toList());
+    addLeavingServers(message.getServers().stream().map(BackendServerId::new).toList());
   }
 
   void onLoad(InstanceEvent.LoadReported report) {
@@ -114,7 +118,7 @@
     }
     context.count(Counter.HEARTBEATS_RECEIVED);
     PeerRow peer = context.tables.peers.computeIfAbsent(sender, s -> new PeerRow(s, context.now()));
-    peer.heardAt = context.now();
+    peer.lastHeartbeatAt = context.now();
     peer.instance = Objects.requireNonNullElse(heartbeat.getInstance(), "");
     peer.address = Objects.requireNonNullElse(heartbeat.getAddress(), "");
     peer.dataCentre = Objects.requireNonNullElse(heartbeat.getDataCentre(), "");
@@ -123,18 +127,18 @@
     if (heartbeat.isSetPositions()) {
       heartbeat.getPositions().stream()
           .filter(position -> position.getStream() == 0)
-          .forEach(position -> peer.fleetFoldedTo = position.getFoldedTo());
+          .forEach(position -> peer.fleetStreamOffset = position.getFoldedTo());
     }
     if (heartbeat.isSetShares()) {
-      peer.shares = shares(heartbeat.getShares());
+      peer.outstandingByServer = outstandingByServer(heartbeat.getShares());
     }
     if (heartbeat.isSetLeavingServers()) {
-      learnLeaving(heartbeat.getLeavingServers().stream().map(BackendServerId::new).toList());
+      addLeavingServers(heartbeat.getLeavingServers().stream().map(BackendServerId::new).toList());
     }
-    sumShares();
+    updateOutstandingAtPeers();
   }
 
-  private static TreeMap<BackendServerId, Integer> shares(List<ServerShare> shares) {
+  private static TreeMap<BackendServerId, Integer> outstandingByServer(List<ServerShare> shares) {
     TreeMap<BackendServerId, Integer> outstanding = new TreeMap<>();
     for (ServerShare share : shares) {
       outstanding.put(new BackendServerId(share.getServer()), Math.max(share.getOutstanding(), 0));
@@ -142,37 +146,47 @@
     return outstanding;
   }
 
-  /** A peer that went silent no longer counts: its requests end with it. */
-  private void sumShares() {
-    Instant bound = context.now().minus(context.limits().peerSilence());
-    context.tables.servers.values().forEach(server -> server.others = 0);
+  /**
+   * Sums up the requests that peers have in flight at each server. A peer that has gone silent no
+   * longer counts, because its requests end with it.
+   */
+  private void updateOutstandingAtPeers() {
+    Instant oldestHeartbeat = context.now().minus(context.limits().peerSilenceTimeout());
+    context.tables.servers.values().forEach(server -> server.outstandingAtPeers = 0);
     for (PeerRow peer : context.tables.peers.values()) {
-      if (peer.heardAt.isBefore(bound)) {
+      if (peer.lastHeartbeatAt.isBefore(oldestHeartbeat)) {
         continue;
       }
-      peer.shares.forEach(
+      peer.outstandingByServer.forEach(
           (id, outstanding) -> {
             ServerRow server = context.tables.servers.get(id);
             if (server != null) {
-              server.others += outstanding;
+              server.outstandingAtPeers += outstanding;
             }
           });
     }
   }
 
-  /** Sends heartbeats to all listed instances and to the peers that are heard. */
+  /**
+   * Sends heartbeats to all listed instances, and to unlisted peers from which heartbeats still
+   * arrive.
+   */
   void run() {
     Instant now = context.now();
     boolean due =
-        sentAt.equals(Instant.MIN)
-            || !now.isBefore(sentAt.plus(context.limits().heartbeatInterval()));
+        heartbeatSentAt.equals(Instant.MIN)
+            || !now.isBefore(heartbeatSentAt.plus(context.limits().heartbeatInterval()));
     if (!due) {
       return;
     }
-    sentAt = now;
-    forgetPeers(now);
-    sumShares();
-    context.tables.servers.values().forEach(server -> server.ownAtLastWord = server.own);
+    heartbeatSentAt = now;
+    evictPeers(now);
+    updateOutstandingAtPeers();
+    context
+        .tables
+        .servers
+        .values()
+        .forEach(server -> server.outstandingHereAtLastHeartbeat = server.outstandingHere);
     Message heartbeat = Message.heartbeat(heartbeat());
     for (ListedInstance listed : context.tables.listedInstances.values()) {
       context.count(Counter.HEARTBEATS_SENT);
@@ -180,25 +194,34 @@
     }
     for (PeerRow peer : context.tables.peers.values()) {
       boolean unlisted = !context.tables.listedInstances.containsKey(peer.address);
-      Instant bound = now.minus(context.limits().peerSilence());
-      if (unlisted && !peer.address.isEmpty() && !peer.heardAt.isBefore(bound)) {
+      Instant oldestHeartbeat = now.minus(context.limits().peerSilenceTimeout());
+      if (unlisted && !peer.address.isEmpty() && !peer.lastHeartbeatAt.isBefore(oldestHeartbeat)) {
         context.count(Counter.HEARTBEATS_SENT);
         context.send(peer.address, heartbeat);
       }
     }
   }
 
-  /** Rows with tokens that a peer has not acknowledged stay, so that a repeat is answered alike. */
-  private void forgetPeers(Instant now) {
-    Instant bound = now.minus(FORGET);
-    context.tables.peers.values().removeIf(p -> p.given.isEmpty() && p.heardAt.isBefore(bound));
+  /**
+   * Removes peers without a recent heartbeat. The row of a peer with unacknowledged transfers
+   * stays, so that a repeated request is answered in the same way.
+   */
+  private void evictPeers(Instant now) {
+    Instant oldestHeartbeat = now.minus(PEER_RETENTION);
+    context
+        .tables
+        .peers
+        .values()
+        .removeIf(
+            p ->
+                p.unacknowledgedTransfers.isEmpty() && p.lastHeartbeatAt.isBefore(oldestHeartbeat));
   }
 
   private Heartbeat heartbeat() {
     List<ServerShare> shares =
         context.tables.servers.values().stream()
-            .filter(server -> server.own > 0)
-            .map(server -> new ServerShare(server.id.name(), server.own, 0))
+            .filter(server -> server.outstandingHere > 0)
+            .map(server -> new ServerShare(server.id.name(), server.outstandingHere, 0))
             .toList();
     List<String> leaving =
         context.tables.leavingServers.stream()
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/OrderSystem.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/OrderSystem.java
@@ -16,8 +16,8 @@
 import org.teaseldeal.core.Counter;
 import org.teaseldeal.core.command.InstanceCommand;
 import org.teaseldeal.core.event.InstanceEvent;
-import org.teaseldeal.core.part.OrderRight;
-import org.teaseldeal.core.part.OrderWatch;
+import org.teaseldeal.core.part.EngineRecheckRule;
+import org.teaseldeal.core.part.OrderAuthority;
 import org.teaseldeal.core.table.OrderEngineRow;
 import org.teaseldeal.core.table.OrderPoolRow;
 import org.teaseldeal.core.table.PeerRow;
@@ -31,49 +31,56 @@
 import org.teaseldeal.settings.PoolSettings;
 
 /**
- * Orders engines until they have what the settings in force say.
+ * Sends orders to engines until their state matches the settings in force.
  *
- * <p>One instance does so for a pool, under a term on the log, whose number goes with each order.
- * It doesn't trust an order to arrive once, nor to arrive only while its term lasts: it goes on
- * asking each engine what it has, and orders the difference. An engine that ignores the number and
- * carries out a late order of an earlier holder is set right after the next question.
+ * <p>For each pool, one instance does so. It holds a term that is recorded on the log, and sends
+ * the term's number with each order as the fencing token. It doesn't rely on an order arriving
+ * once, or arriving only during its term. Instead, it keeps querying the state of each engine and
+ * sends the orders that remove the difference. If an engine ignores fencing tokens and carries out
+ * a late order of an earlier term holder, the deviation is corrected after the next query.
  */
 final class OrderSystem {
   private static final Duration CHECK_INTERVAL = Duration.ofMillis(100);
 
-  /** How often one engine is asked, and how much of that each engine adds in a large pool. */
-  private static final Duration ASK_INTERVAL = Duration.ofSeconds(1);
+  /**
+   * The interval at which one engine is queried. In a large pool the interval is longer: the second
+   * figure times the number of engines.
+   */
+  private static final Duration QUERY_INTERVAL = Duration.ofSeconds(1);
 
-  private static final Duration ASK_SHARE = Duration.ofMillis(10);
+  private static final Duration QUERY_INTERVAL_PER_ENGINE = Duration.ofMillis(10);
 
-  /** Longer than the router waits for an engine's answer. */
-  private static final Duration ANSWER_BOUND = Duration.ofSeconds(6);
+  /** This time-out is longer than the router's own for an engine's answer. */
+  private static final Duration ORDER_ANSWER_TIMEOUT = Duration.ofSeconds(6);
 
-  /** How long a holder has to seem gone; each instance ranked later waits once more. */
-  private static final Duration GRACE = Duration.ofSeconds(2);
+  /**
+   * How long a term holder must seem gone before the first instance in the succession order takes
+   * over. Each further instance waits this long once more.
+   */
+  private static final Duration SUCCESSION_GRACE = Duration.ofSeconds(2);
 
   private final Context context;
   private final LedgerSystem ledger;
   private final SettingsView settings;
   private final PeerView peers;
-  private final OrderRight right;
-  private final OrderWatch watch;
+  private final OrderAuthority orderAuthority;
+  private final EngineRecheckRule recheckRule;
   private Instant checkedAt = Instant.MIN;
-  private long lastOrder;
+  private long lastOrderNumber;
 
   OrderSystem(
       Context context,
       LedgerSystem ledger,
       SettingsView settings,
       PeerView peers,
-      OrderRight right,
-      OrderWatch watch) {
+      OrderAuthority orderAuthority,
+      EngineRecheckRule recheckRule) {
     this.context = context;
     this.ledger = ledger;
     this.settings = settings;
     this.peers = peers;
-    this.right = right;
-    this.watch = watch;
+    this.orderAuthority = orderAuthority;
+    this.recheckRule = recheckRule;
   }
 
   void run() {
@@ -86,12 +93,12 @@
     for (OrderPoolRow pool : context.tables.orderPools.values()) {
       Optional<OrderTerm> term = ledger.fleetState().orders(pool.name);
       if (mayOrder(term)) {
-        askEngines(pool);
+        queryEngines(pool);
       } else {
         pool.engines.clear();
       }
       if (!isHolder(term)) {
-        succeed(pool, term);
+        takeOverIfDue(pool, term);
       }
     }
   }
@@ -113,7 +120,7 @@
             pool.name(), name -> new OrderPoolRow(name, desired));
     if (!row.desired.equals(desired)) {
       row.desired = desired;
-      row.engines.values().forEach(engine -> engine.agreed = false);
+      row.engines.values().forEach(engine -> engine.matchesSettings = false);
     }
   }
 
@@ -124,10 +131,10 @@
   private boolean mayOrder(Optional<OrderTerm> term) {
     return !context.draining
         && !ledger.retired()
-        && right.mayOrder(isHolder(term), ledger.fleetHeardLately());
+        && orderAuthority.mayOrder(isHolder(term), ledger.fleetStreamRecentlyRead());
   }
 
-  private void askEngines(OrderPoolRow pool) {
+  private void queryEngines(OrderPoolRow pool) {
     Map<BackendServerId, ServerRow> servers =
         context.tables.servers.values().stream()
             .filter(server -> server.pool.equals(pool.name) && server.listed)
@@ -137,27 +144,28 @@
     for (BackendServerId id : servers.keySet()) {
       pool.engines.computeIfAbsent(id, added -> new OrderEngineRow(context.now()));
     }
-    Duration share = ASK_SHARE.multipliedBy(servers.size());
-    Duration interval = share.compareTo(ASK_INTERVAL) > 0 ? share : ASK_INTERVAL;
-    pool.engines.forEach((id, engine) -> ask(id, servers.get(id), engine, interval));
+    Duration scaledInterval = QUERY_INTERVAL_PER_ENGINE.multipliedBy(servers.size());
+    Duration interval =
+        scaledInterval.compareTo(QUERY_INTERVAL) > 0 ? scaledInterval : QUERY_INTERVAL;
+    pool.engines.forEach((id, engine) -> query(id, servers.get(id), engine, interval));
   }
 
-  private void ask(
+  private void query(
       BackendServerId id, @Nullable ServerRow server, OrderEngineRow engine, Duration interval) {
     Instant now = context.now();
     if (server == null
-        || now.isBefore(engine.askAt)
-        || waits(engine)
-        || !watch.askAgain(engine.agreed)) {
+        || now.isBefore(engine.nextQueryAt)
+        || awaitsAnswers(engine)
+        || !recheckRule.queryAgain(engine.matchesSettings)) {
       return;
     }
-    engine.askAt = now.plus(interval);
+    engine.nextQueryAt = now.plus(interval);
     context.count(Counter.ORDER_STATES_ASKED);
     context.emit(new InstanceCommand.AskOrderState(id, server.address));
   }
 
-  private boolean waits(OrderEngineRow engine) {
-    return !engine.unanswered.isEmpty() && context.now().isBefore(engine.answerBound);
+  private boolean awaitsAnswers(OrderEngineRow engine) {
+    return !engine.unansweredOrders.isEmpty() && context.now().isBefore(engine.answerDeadline);
   }
 
   void onState(InstanceEvent.OrderStateReported report) {
@@ -165,7 +173,7 @@
     ServerRow server = context.tables.servers.get(report.server());
     OrderPoolRow pool = server == null ? null : context.tables.orderPools.get(server.pool);
     OrderEngineRow engine = pool == null ? null : pool.engines.get(report.server());
-    if (server == null || pool == null || engine == null || waits(engine)) {
+    if (server == null || pool == null || engine == null || awaitsAnswers(engine)) {
       return;
     }
     Optional<OrderTerm> term = ledger.fleetState().orders(pool.name);
@@ -173,23 +181,23 @@
       return;
     }
     List<EngineOrder> orders = pool.desired.ordersFrom(report.state());
-    if (engine.agreed && !orders.isEmpty()) {
+    if (engine.matchesSettings && !orders.isEmpty()) {
       context.count(Counter.ORDER_DEVIATIONS);
     }
-    engine.agreed = orders.isEmpty();
+    engine.matchesSettings = orders.isEmpty();
     long fencing = term.map(OrderTerm::term).orElse(0L);
-    if (fencing >= engine.highestSeen) {
+    if (fencing >= engine.highestSeenFencingToken) {
       send(server, engine, fencing, orders);
     }
   }
 
   private void send(
       ServerRow server, OrderEngineRow engine, long fencing, List<EngineOrder> orders) {
-    engine.unanswered.clear();
-    engine.answerBound = context.now().plus(ANSWER_BOUND);
+    engine.unansweredOrders.clear();
+    engine.answerDeadline = context.now().plus(ORDER_ANSWER_TIMEOUT);
     for (EngineOrder order : orders) {
-      long number = ++lastOrder;
-      engine.unanswered.add(number);
+      long number = ++lastOrderNumber;
+      engine.unansweredOrders.add(number);
       context.count(Counter.ORDERS_SENT);
       context.emit(
           new InstanceCommand.SendOrder(server.id, server.address, fencing, number, order));
@@ -197,90 +205,102 @@
   }
 
   void onAnswered(InstanceEvent.OrderAnswered answer) {
-    settle(answer.server(), answer.number());
+    removeUnanswered(answer.server(), answer.number());
   }
 
   void onFailed(InstanceEvent.OrderFailed failure) {
     context.count(Counter.ORDERS_FAILED);
-    settle(failure.server(), failure.number());
+    removeUnanswered(failure.server(), failure.number());
   }
 
-  /** A number above this term comes from a newer one, which the log will show. */
+  /**
+   * Handles a refused order. A fencing token above this instance's term belongs to a newer term,
+   * which will appear on the log.
+   */
   void onRefused(InstanceEvent.OrderRefused refusal) {
     context.count(Counter.ORDERS_REFUSED);
-    OrderEngineRow engine = settle(refusal.server(), refusal.number());
+    OrderEngineRow engine = removeUnanswered(refusal.server(), refusal.number());
     if (engine != null) {
-      engine.highestSeen = Math.max(engine.highestSeen, refusal.highest());
+      engine.highestSeenFencingToken = Math.max(engine.highestSeenFencingToken, refusal.highest());
     }
   }
 
-  private @Nullable OrderEngineRow settle(BackendServerId server, long number) {
+  private @Nullable OrderEngineRow removeUnanswered(BackendServerId server, long number) {
     for (OrderPoolRow pool : context.tables.orderPools.values()) {
       OrderEngineRow engine = pool.engines.get(server);
-      if (engine != null && engine.unanswered.remove(number)) {
+      if (engine != null && engine.unansweredOrders.remove(number)) {
         return engine;
       }
     }
     return null;
   }
 
-  private void succeed(OrderPoolRow pool, Optional<OrderTerm> term) {
-    if (pool.taking || context.draining || !ledger.fleetHeardLately() || works(pool, term)) {
-      pool.holderGoneSince = null;
+  private void takeOverIfDue(OrderPoolRow pool, Optional<OrderTerm> term) {
+    if (pool.takeoverPending
+        || context.draining
+        || !ledger.fleetStreamRecentlyRead()
+        || holderActive(pool, term)) {
+      pool.holderUnavailableSince = null;
       return;
     }
-    if (pool.holderGoneSince == null) {
-      pool.holderGoneSince = context.now();
+    if (pool.holderUnavailableSince == null) {
+      pool.holderUnavailableSince = context.now();
     }
-    int rank = ranked(pool.name).indexOf(context.self());
-    Instant turn = pool.holderGoneSince.plus(GRACE.multipliedBy(rank + 1L));
-    if (rank < 0 || context.now().isBefore(turn)) {
+    int rank = successionOrder(pool.name).indexOf(context.self());
+    Instant takeoverAt = pool.holderUnavailableSince.plus(SUCCESSION_GRACE.multipliedBy(rank + 1L));
+    if (rank < 0 || context.now().isBefore(takeoverAt)) {
       return;
     }
-    pool.taking = true;
+    pool.takeoverPending = true;
     long previous = term.map(OrderTerm::term).orElse(0L);
     ledger.submitToFleet(
-        new Entry.TakeOrders(pool.name, previous), outcome -> onTaken(pool, outcome));
+        new Entry.TakeOrders(pool.name, previous), outcome -> onTakeoverOutcome(pool, outcome));
   }
 
-  private void onTaken(OrderPoolRow pool, Outcome outcome) {
-    pool.taking = false;
-    pool.holderGoneSince = null;
+  private void onTakeoverOutcome(OrderPoolRow pool, Outcome outcome) {
+    pool.takeoverPending = false;
+    pool.holderUnavailableSince = null;
     if (outcome instanceof Outcome.OrdersTaken) {
       context.count(Counter.ORDER_TERMS_TAKEN);
     }
   }
 
-  private boolean works(OrderPoolRow pool, Optional<OrderTerm> term) {
+  private boolean holderActive(OrderPoolRow pool, Optional<OrderTerm> term) {
     if (term.isEmpty() || ledger.fleetState().ended(term.get().holder())) {
       return false;
     }
     IncarnationId holder = term.get().holder();
-    return peers.works(holder) && follows(pool, context.tables.peers.get(holder));
+    return peers.isActive(holder) && holderReadsLog(pool, context.tables.peers.get(holder));
   }
 
   /**
-   * Whether the holder goes on reading the log. One that is cut off from it only is heard by its
-   * peers, orders nothing, and would keep the pool from new settings for as long.
+   * Returns whether the term holder keeps reading the log. A holder that is cut off from the log
+   * alone still sends heartbeats to its peers but sends no orders, and the pool would not receive
+   * new settings until the holder reaches the log again.
    */
-  private boolean follows(OrderPoolRow pool, @Nullable PeerRow holder) {
-    if (holder == null || holder.fleetFoldedTo >= pool.holderMark) {
-      pool.holderMark = ledger.fleetState().foldedTo();
-      pool.holderMarkedAt = context.now();
+  private boolean holderReadsLog(OrderPoolRow pool, @Nullable PeerRow holder) {
+    if (holder == null || holder.fleetStreamOffset >= pool.expectedHolderOffset) {
+      pool.expectedHolderOffset = ledger.fleetState().foldedTo();
+      pool.expectedHolderOffsetSetAt = context.now();
       return true;
     }
-    Duration bound = context.limits().logSilence();
-    return context.now().isBefore(pool.holderMarkedAt.plus(bound));
+    Duration silenceTimeout = context.limits().logSilenceTimeout();
+    return context.now().isBefore(pool.expectedHolderOffsetSetAt.plus(silenceTimeout));
   }
 
-  /** Joined instances that seem to work, this one included, in the order of their turns. */
-  private List<IncarnationId> ranked(String pool) {
+  /**
+   * Returns the joined instances that seem to be active, including this one, in their succession
+   * order.
+   */
+  private List<IncarnationId> successionOrder(String pool) {
     Set<IncarnationId> live =
         peers.live().stream().map(peer -> peer.incarnation).collect(Collectors.toSet());
     return ledger.fleetState().instances().stream()
         .map(InstanceView::incarnation)
         .filter(joined -> joined.equals(context.self()) || live.contains(joined))
-        .sorted(Comparator.<IncarnationId>comparingLong(i -> PeerView.weight(pool, i)).reversed())
+        .sorted(
+            Comparator.<IncarnationId>comparingLong(i -> PeerView.rendezvousWeight(pool, i))
+                .reversed())
         .toList();
   }
 }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/PeerView.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/PeerView.java
@@ -10,7 +10,9 @@
 import org.teaseldeal.api.ServiceId;
 import org.teaseldeal.core.table.PeerRow;
 
-/** Which peers seem to be alive; a hint, on which no safety rests. */
+/**
+ * A view of which peers seem to be alive. It is only a hint, on which no safety guarantee depends.
+ */
 final class PeerView {
   private static final long FNV_OFFSET = 0xcbf29ce484222325L;
   private static final long FNV_PRIME = 0x100000001b3L;
@@ -21,36 +23,42 @@
     this.context = context;
   }
 
-  /** Peers that were heard lately and take work, in order of their incarnations. */
+  /**
+   * Returns the peers that sent a heartbeat recently and accept work, in the order of their
+   * incarnations.
+   */
   List<PeerRow> live() {
     return context.tables.peers.values().stream()
-        .filter(peer -> !peer.draining && peer.ready && !silent(peer))
+        .filter(peer -> !peer.draining && peer.ready && !isSilent(peer))
         .toList();
   }
 
-  /** Whether {@code incarnation} seems to work on: it was heard lately and isn't draining. */
-  boolean works(IncarnationId incarnation) {
+  /**
+   * Returns whether {@code incarnation} seems to be active: it sent a heartbeat recently and isn't
+   * draining.
+   */
+  boolean isActive(IncarnationId incarnation) {
     PeerRow peer = context.tables.peers.get(incarnation);
-    return context.justResumed() || (peer != null && !peer.draining && !silent(peer));
+    return context.justResumed() || (peer != null && !peer.draining && !isSilent(peer));
   }
 
-  boolean silent(IncarnationId incarnation) {
+  boolean isSilent(IncarnationId incarnation) {
     PeerRow peer = context.tables.peers.get(incarnation);
-    return !context.justResumed() && (peer == null || silent(peer));
+    return !context.justResumed() && (peer == null || isSilent(peer));
   }
 
-  private boolean silent(PeerRow peer) {
-    Instant bound = context.now().minus(context.limits().peerSilence());
-    return peer.heardAt.isBefore(bound);
+  private boolean isSilent(PeerRow peer) {
+    Instant silentBefore = context.now().minus(context.limits().peerSilenceTimeout());
+    return peer.lastHeartbeatAt.isBefore(silentBefore);
   }
 
   /**
-   * A peer to keep this instance's charges, of another data centre if there is one.
+   * Returns a peer to store this instance's charges, in another data centre if there is one.
    *
-   * @param turn counted up by the caller, so that a peer that does not answer is followed by
-   *     another
+   * @param turn a number that the caller increments, so that an unresponsive peer is followed by
+   *     another one
    */
-  Optional<PeerRow> keeper(int turn) {
+  Optional<PeerRow> backupPeer(int turn) {
     List<PeerRow> live = live();
     List<PeerRow> elsewhere =
         live.stream()
@@ -62,32 +70,37 @@
         : Optional.of(candidates.get(Math.floorMod(turn, candidates.size())));
   }
 
-  /** Live peers in the order in which they are home to {@code service}. */
-  List<PeerRow> byRank(ServiceId service) {
-    Comparator<PeerRow> rank = Comparator.comparingLong(p -> weight(service, p.incarnation));
+  /** Returns the live peers in descending order of their rendezvous weight for {@code service}. */
+  List<PeerRow> byRendezvousWeight(ServiceId service) {
+    Comparator<PeerRow> rank =
+        Comparator.comparingLong(p -> rendezvousWeight(service, p.incarnation));
     return live().stream().sorted(rank.reversed()).toList();
   }
 
-  /** The peer that is home to {@code service}, or none if this instance is. */
-  Optional<PeerRow> home(ServiceId service) {
-    long own = weight(service, context.self());
-    return byRank(service).stream()
+  /** Returns the peer that is the home of {@code service}, or empty if this instance is. */
+  Optional<PeerRow> homePeer(ServiceId service) {
+    long own = rendezvousWeight(service, context.self());
+    return byRendezvousWeight(service).stream()
         .findFirst()
-        .filter(peer -> weight(service, peer.incarnation) > own);
+        .filter(peer -> rendezvousWeight(service, peer.incarnation) > own);
   }
 
-  /** The weight of an incarnation in the rendezvous for a service. */
-  private static long weight(ServiceId service, IncarnationId incarnation) {
-    return weight(service.toString(), incarnation);
+  /** Returns the rendezvous-hashing weight of an incarnation for a service. */
+  private static long rendezvousWeight(ServiceId service, IncarnationId incarnation) {
+    return rendezvousWeight(service.toString(), incarnation);
   }
 
-  /** The weight of an incarnation in the rendezvous for a subject. */
-  static long weight(String subject, IncarnationId incarnation) {
+  /**
+   * Returns the rendezvous-hashing weight of an incarnation for a subject, such as a service or a
+   * pool.
+   */
+  static long rendezvousWeight(String subject, IncarnationId incarnation) {
     long hash = FNV_OFFSET;
-    for (byte octet : (subject + "|" + incarnation).getBytes(StandardCharsets.UTF_8)) {
-      hash = (hash ^ (octet & 0xff)) * FNV_PRIME;
+    for (byte utf8Byte : (subject + "|" + incarnation).getBytes(StandardCharsets.UTF_8)) {
+      hash = (hash ^ (utf8Byte & 0xff)) * FNV_PRIME;
     }
-    // FNV's high bits hardly depend on the last octets; reversing them mixes all in.
+    // The high bits of an FNV hash hardly depend on the last bytes. The multiplications and the
+    // shift spread those bytes over all bits.
     long mixed = ByteBuffer.allocate(Long.BYTES).putLong(hash).getLong(0) * 0x9e3779b97f4a7c15L;
     return (mixed ^ (mixed >>> 32)) * 0xd6e8feb86659fd93L;
   }
