--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/PlacementSystem.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/PlacementSystem.java
@@ -22,16 +22,16 @@
 import org.teaseldeal.settings.FleetSettings;
 import org.teaseldeal.settings.PoolSettings;
 
-/** Queues requests before their pools and gives them to backend servers with room. */
+/** Queues the requests of each pool and assigns them to backend servers with free capacity. */
 final class PlacementSystem {
-  /** Input is read in batches, many tokens at a step, while output takes a step for each token. */
+  /** Engines process many input tokens per step, but need one step for each output token. */
   private static final double INPUT_BYTES_PER_OUTPUT_TOKEN = 40;
 
   private static final double DEFAULT_RETRY_SHARE = 0.1;
 
   private final Context context;
   private final SettingsView settings;
-  private final Endings endings;
+  private final RequestCompletion completion;
   private final AttemptSystem attempts;
   private final PeerView peers;
   private final PlacementPolicy policy;
@@ -40,25 +40,29 @@
   PlacementSystem(
       Context context,
       SettingsView settings,
-      Endings endings,
+      RequestCompletion completion,
       AttemptSystem attempts,
       PeerView peers,
       PlacementPolicy policy,
       QueueRule queueRule) {
     this.context = context;
     this.settings = settings;
-    this.endings = endings;
+    this.completion = completion;
     this.attempts = attempts;
     this.peers = peers;
     this.policy = policy;
     this.queueRule = queueRule;
   }
 
-  /** Starts a request at once if a server has room and nobody waits before it, else queues it. */
+  /**
+   * Starts a request at once if a server has capacity and no request waits before it, and otherwise
+   * queues it.
+   */
   void enqueue(RequestRow request) {
     if (!context.now().isBefore(request.deadline)) {
-      // A paused instance wakes with tokens or a claim for callers that stopped waiting long ago.
-      endings.fail(
+      // After this process was suspended, tokens or claims can arrive for callers that stopped
+      // waiting long ago.
+      completion.fail(
           request,
           ErrorKind.EXPIRED_WAITING,
           "its deadline passed before a server was given it",
@@ -67,8 +71,8 @@
     }
     PoolRow pool = pool(request.service.pool());
     Optional<PoolSettings> poolSettings = poolSettings(pool.name);
-    if (poolSettings.isEmpty() || open(pool, request).isEmpty()) {
-      endings.fail(
+    if (poolSettings.isEmpty() || eligibleServers(pool, request).isEmpty()) {
+      completion.fail(
           request,
           ErrorKind.NO_BACKEND_SERVER,
           "no server of pool %s is listed as live".formatted(pool.name),
@@ -81,9 +85,11 @@
     request.stage = Stage.QUEUED;
     Verdict verdict =
         pool.queue.offer(
-            waiting(pool, request), pool.drain.perSecond(underWay(pool)), context.now());
+            queueEntry(pool, request),
+            pool.drainRate.perSecond(outstandingInPool(pool)),
+            context.now());
     if (verdict instanceof Verdict.TooLate(Duration comeBack)) {
-      endings.fail(
+      completion.fail(
           request,
           ErrorKind.DEADLINE_UNREACHABLE,
           "its turn among %d that wait would come too late".formatted(pool.queue.size()),
@@ -91,20 +97,23 @@
     }
   }
 
-  /** Starts what waits as far as there is room. */
+  /** Starts waiting requests while servers have capacity. */
   void run() {
     for (PoolRow pool : context.tables.pools.values()) {
-      expire(pool);
-      poolSettings(pool.name).ifPresent(s -> drain(pool, s));
+      refuseExpired(pool);
+      poolSettings(pool.name).ifPresent(s -> startWaiting(pool, s));
     }
   }
 
-  /** Refuses what can't end in time any more, rather than run it for a caller that has left. */
-  private void expire(PoolRow pool) {
+  /**
+   * Refuses waiting requests that can't finish in time any more, rather than running them for
+   * callers that have given up.
+   */
+  private void refuseExpired(PoolRow pool) {
     for (Optional<Waiting<RequestRow>> expired = pool.queue.pollExpired(context.now());
         expired.isPresent();
         expired = pool.queue.pollExpired(context.now())) {
-      endings.fail(
+      completion.fail(
           expired.get().item(),
           ErrorKind.EXPIRED_WAITING,
           "no backend server had room in time",
@@ -112,10 +121,12 @@
     }
   }
 
-  private void drain(PoolRow pool, PoolSettings poolSettings) {
+  private void startWaiting(PoolRow pool, PoolSettings poolSettings) {
     int turns = pool.queue.size();
     while (turns-- > 0 && pool.queue.size() > 0) {
-      if (policy.choose(views(pool, poolSettings, null), pool.turn, context.random).isEmpty()) {
+      if (policy
+          .choose(serverViews(pool, poolSettings, null), pool.placementTurn, context.random)
+          .isEmpty()) {
         return;
       }
       Optional<Waiting<RequestRow>> next = pool.queue.poll();
@@ -129,24 +140,24 @@
     }
   }
 
-  /** Its only free servers are those that it was lost on. */
+  /** Handles a request whose free servers are all servers that it was lost on. */
   private void requeue(PoolRow pool, RequestRow request) {
-    if (open(pool, request).isEmpty()) {
-      endings.fail(request, ErrorKind.BACKEND_FAILED, "no other server is left to try");
+    if (eligibleServers(pool, request).isEmpty()) {
+      completion.fail(request, ErrorKind.BACKEND_FAILED, "no other server is left to try");
       return;
     }
-    pool.queue.offer(waiting(pool, request), Double.MAX_VALUE, context.now());
+    pool.queue.offer(queueEntry(pool, request), Double.MAX_VALUE, context.now());
   }
 
   private boolean tryStart(PoolRow pool, PoolSettings poolSettings, RequestRow request) {
     Optional<ServerView> chosen =
-        policy.choose(views(pool, poolSettings, request), pool.turn, context.random);
+        policy.choose(serverViews(pool, poolSettings, request), pool.placementTurn, context.random);
     if (chosen.isEmpty()) {
       return false;
     }
-    pool.turn++;
+    pool.placementTurn++;
     if (request.attempts == 0) {
-      pool.retries.onFirstAttempt();
+      pool.retryBudget.onFirstAttempt();
     }
     ServerRow server = context.tables.servers.get(chosen.get().id());
     if (server == null) {
@@ -156,26 +167,26 @@
     return true;
   }
 
-  private List<ServerView> views(
+  private List<ServerView> serverViews(
       PoolRow pool, PoolSettings poolSettings, @Nullable RequestRow request) {
     Instant now = context.now();
-    List<ServerRow> open = open(pool, request);
+    List<ServerRow> open = eligibleServers(pool, request);
     List<ServerRow> reachable =
         open.stream()
-            .filter(server -> !now.isBefore(server.avoidUntil))
+            .filter(server -> !now.isBefore(server.unreachableUntil))
             .filter(server -> pool.health.isIn(server.id, now))
             .toList();
-    // With every server out of reach it is better to try one than to try none.
+    // If every server is unreachable, trying one of them is better than trying none.
     List<ServerRow> candidates = reachable.isEmpty() ? open : reachable;
     int instances = peers.live().size() + 1;
-    int ownInPool = underWay(pool);
+    int ownInPool = outstandingInPool(pool);
     int poolLimit = poolSettings.maxConcurrentPerServer() * open.size();
     return candidates.stream()
-        .map(server -> view(pool, poolSettings, server, ownInPool, poolLimit, instances))
+        .map(server -> serverView(pool, poolSettings, server, ownInPool, poolLimit, instances))
         .toList();
   }
 
-  private ServerView view(
+  private ServerView serverView(
       PoolRow pool,
       PoolSettings poolSettings,
       ServerRow server,
@@ -184,25 +195,30 @@
       int instances) {
     double ramp = pool.health.rampShare(server.id, context.now());
     int limit = (int) Math.ceil(poolSettings.maxConcurrentPerServer() * ramp);
-    SharedLimit shared = new SharedLimit(limit, server.own, server.ownAtLastWord, server.others);
+    SharedLimit shared =
+        new SharedLimit(
+            limit,
+            server.outstandingHere,
+            server.outstandingHereAtLastHeartbeat,
+            server.outstandingAtPeers);
     return new ServerView(
         server.id,
-        server.own,
-        server.others,
+        server.outstandingHere,
+        server.outstandingAtPeers,
         limit,
         pool.health.slowness(server.id),
         shared.hasRoom(ownInPool, poolLimit, instances),
-        server.local);
+        server.inLocalDataCentre);
   }
 
-  private int underWay(PoolRow pool) {
+  private int outstandingInPool(PoolRow pool) {
     return context.tables.servers.values().stream()
         .filter(server -> server.pool.equals(pool.name))
-        .mapToInt(server -> server.own)
+        .mapToInt(server -> server.outstandingHere)
         .sum();
   }
 
-  private List<ServerRow> open(PoolRow pool, @Nullable RequestRow request) {
+  private List<ServerRow> eligibleServers(PoolRow pool, @Nullable RequestRow request) {
     return context.tables.servers.values().stream()
         .filter(s -> s.pool.equals(pool.name) && s.listed)
         .filter(s -> !context.tables.leavingServers.contains(s.id))
@@ -224,7 +240,7 @@
     return settings.fleet().flatMap(fleet -> Optional.ofNullable(fleet.pools().get(name)));
   }
 
-  private static Waiting<RequestRow> waiting(PoolRow pool, RequestRow request) {
+  private static Waiting<RequestRow> queueEntry(PoolRow pool, RequestRow request) {
     return new Waiting<>(
         request,
         request.customer.id(),
@@ -232,7 +248,7 @@
         request.service.priority().rank(),
         cost(request),
         latestStart(pool, request),
-        request.arrived);
+        request.arrivedAt);
   }
 
   private static double cost(RequestRow request) {
@@ -242,13 +258,15 @@
   }
 
   /**
-   * The last moment at which a start is likely to end in time, but never in the first half of the
-   * caller's patience: a service that usually takes longer than its callers wait is still tried.
+   * Returns the latest start at which the request is likely to finish in time, but at least half of
+   * the caller's time-out after its arrival. A service that usually takes longer than its callers
+   * wait is therefore still tried.
    */
   private static Instant latestStart(PoolRow pool, RequestRow request) {
-    Duration patience = Duration.between(request.arrived, request.deadline);
-    Duration usual = pool.service(request.service.id()).usualLongest();
-    Duration half = patience.dividedBy(2);
-    return request.deadline.minus(usual.compareTo(half) < 0 ? usual : half);
+    Duration callerTimeout = Duration.between(request.arrivedAt, request.deadline);
+    Duration usualRunTime = pool.serviceRate(request.service.id()).usualLongest();
+    Duration halfTimeout = callerTimeout.dividedBy(2);
+    return request.deadline.minus(
+        usualRunTime.compareTo(halfTimeout) < 0 ? usualRunTime : halfTimeout);
   }
 }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/Endings.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/RequestCompletion.java
@@ -15,29 +15,29 @@
 import org.teaseldeal.ledger.entry.Entry;
 import org.teaseldeal.ledger.lease.Reservation;
 
-/** Gives callers their final answers and frees what their requests held. */
-final class Endings {
+/** Sends callers their final answers and releases the resources that their requests held. */
+final class RequestCompletion {
   private final Context context;
   private final LedgerSystem ledger;
 
-  Endings(Context context, LedgerSystem ledger) {
+  RequestCompletion(Context context, LedgerSystem ledger) {
     this.context = context;
     this.ledger = ledger;
   }
 
-  /** Refuses a call that never became a request. */
+  /** Refuses a call before a request row exists for it. */
   void refuse(CallId call, RequestId request, Problem problem) {
     context.count(Counter.REFUSALS);
     context.counters.countProblem(problem.kind());
     context.emit(new InstanceCommand.Refuse(call, request, problem));
   }
 
-  /** Ends a request with an error that is true of it. */
+  /** Ends a request with an error that matches what is known about whether it ran. */
   void fail(RequestRow request, ErrorKind kind, String detail) {
     fail(request, Problem.of(kind, detail));
   }
 
-  /** Ends a request with a retryable error that is true of it. */
+  /** Ends a request with a retryable error that matches what is known about whether it ran. */
   void fail(RequestRow request, ErrorKind kind, String detail, Duration retryAfter) {
     fail(request, Problem.retryable(kind, detail, retryAfter));
   }
@@ -46,32 +46,33 @@
     if (request.stage == Stage.ENDED) {
       return;
     }
-    Problem told = truthful(request, problem);
+    Problem sent = withAccurateRunStatus(request, problem);
     if (!request.detached) {
-      tell(request, told);
+      sendProblem(request, sent);
     }
-    end(request, told.kind().label());
-    settleClaim(request, told);
+    end(request, sent.kind().label());
+    resolveClaim(request, sent);
   }
 
-  /** Ends a request without a word, since its caller is gone. */
-  void forget(RequestRow request) {
+  /** Ends a request without an answer, because its caller has closed the connection. */
+  void endWithoutAnswer(RequestRow request) {
     if (request.stage == Stage.ENDED) {
       return;
     }
     end(request, "caller-gone");
-    settleClaim(request, Problem.of(ErrorKind.OUTCOME_UNKNOWN, "the caller went away"));
+    resolveClaim(request, Problem.of(ErrorKind.OUTCOME_UNKNOWN, "the caller went away"));
   }
 
   /**
-   * Tells the caller that it waits no longer, while the run goes on for the sake of its outcome.
+   * Sends the caller a problem as its final answer while the run continues so that its outcome can
+   * be stored.
    */
   void detach(RequestRow request, Problem problem) {
-    tell(request, truthful(request, problem));
+    sendProblem(request, withAccurateRunStatus(request, problem));
     request.detached = true;
   }
 
-  /** Gives the caller the end of its whole answer. */
+  /** Sends the caller the end of its complete answer. */
   void answer(RequestRow request) {
     if (!request.detached) {
       context.count(Counter.ANSWERS);
@@ -100,7 +101,7 @@
     }
   }
 
-  private void tell(RequestRow request, Problem problem) {
+  private void sendProblem(RequestRow request, Problem problem) {
     context.counters.countProblem(problem.kind());
     if (request.streams() && request.framesSent > 0) {
       context.count(Counter.BROKEN_STREAMS);
@@ -112,12 +113,12 @@
   }
 
   /**
-   * Replaces an error that says "not run" by one that does not, where an attempt may have run.
+   * Replaces an error that states "not run" if an attempt may have run.
    *
-   * <p>A retry can fail for want of tokens or servers after an earlier attempt was lost; a caller
-   * that is told "not run" would send the request again.
+   * <p>After a lost attempt, a retry can fail for lack of tokens or servers. A caller that is then
+   * told "not run" would send the request again, and it could run twice.
    */
-  private static Problem truthful(RequestRow request, Problem problem) {
+  private static Problem withAccurateRunStatus(RequestRow request, Problem problem) {
     boolean mayHaveRun = request.mayHaveRun || request.attempt != null;
     if (!mayHaveRun || problem.kind().runStatus() != RunStatus.NOT_RUN) {
       return request.keyed ? problem.ofOneTryAmongOthers() : problem;
@@ -134,18 +135,18 @@
             outcome,
             request.attempts,
             ledger.settingsRevision()));
-    leaveWaitingLists(request);
+    removeFromQueues(request);
     request.stage = Stage.ENDED;
-    Reservation unused = request.reservation;
-    if (unused != null) {
-      ledger.leases(request.service.id()).release(unused);
+    Reservation unusedReservation = request.reservation;
+    if (unusedReservation != null) {
+      ledger.leases(request.service.id()).release(unusedReservation);
       request.reservation = null;
     }
     context.tables.requests.remove(request.call);
-    context.tables.deadlines.remove(request);
+    context.tables.requestsByDeadline.remove(request);
   }
 
-  private void leaveWaitingLists(RequestRow request) {
+  private void removeFromQueues(RequestRow request) {
     BudgetRow budget = context.tables.budgets.get(request.service.id());
     if (request.stage == Stage.WAITING_FOR_TOKENS && budget != null) {
       budget.waiting.remove(request);
@@ -157,18 +158,18 @@
   }
 
   /**
-   * Frees the claim if no attempt was made, else stores that the outcome is unknown.
+   * Releases the claim if no attempt was made, and otherwise stores that the outcome is unknown.
    *
-   * <p>A claim that is still on its way is freed when it comes back as won.
+   * <p>A claim that has not been read back yet is released when it is read back as won.
    */
-  private void settleClaim(RequestRow request, Problem told) {
+  private void resolveClaim(RequestRow request, Problem sent) {
     if (!request.claimHeld || request.claimKey == null) {
       return;
     }
     request.claimHeld = false;
     if (request.mayHaveRun || request.attempt != null) {
       ledger.submit(
-          request.service.id().team(), StoredAnswer.unknown(request.claimKey, told.detail()));
+          request.service.id().team(), StoredAnswer.unknown(request.claimKey, sent.detail()));
       return;
     }
     context.count(Counter.CLAIMS_RELEASED);
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/SettingsView.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/SettingsView.java
@@ -14,11 +14,11 @@
 import org.teaseldeal.settings.FleetSettings;
 import org.teaseldeal.settings.TeamSettings;
 
-/** The settings in force, with the customers indexed by the digest of their tokens. */
+/** The settings in force, with an index of the customers by the digest of their bearer tokens. */
 final class SettingsView {
   private final LedgerSystem ledger;
   private final Map<String, List<CustomerSettings>> customersByDigest = new HashMap<>();
-  private long indexedRevision = -1;
+  private long indexedChangeCounter = -1;
 
   SettingsView(LedgerSystem ledger) {
     this.ledger = ledger;
@@ -33,30 +33,31 @@
   }
 
   /**
-   * The customers that list the digest of a token, in order of their names; usually one.
+   * Returns the customers whose settings contain the digest of a token, ordered by name. There is
+   * usually one.
    *
-   * <p>Another team may list the same digest. It must not take the token's calls away from the team
-   * that gave it out, so all are returned and the service called for decides.
+   * <p>Another team may list the same digest. It must not divert the calls of the team that issued
+   * the token, so all matching customers are returned and the requested service selects one.
    *
-   * <p>The index is looked up by a digest, so its timing tells nothing about the secret; the found
-   * digest is still compared in constant time.
+   * <p>The index is searched by digest, so the duration of the look-up reveals nothing about the
+   * secret. The digest that is found is still compared in constant time.
    */
-  List<CustomerSettings> customers(BearerToken token) {
-    index();
+  List<CustomerSettings> customersOf(BearerToken token) {
+    refreshIndex();
     String digest = Digests.of(token.secret().getBytes(StandardCharsets.UTF_8));
     return customersByDigest.getOrDefault(digest, List.of()).stream()
-        .filter(customer -> same(digest, customer.tokenSha256()))
+        .filter(customer -> equalInConstantTime(digest, customer.tokenSha256()))
         .toList();
   }
 
-  private static boolean same(String digest, String other) {
+  private static boolean equalInConstantTime(String digest, String other) {
     return MessageDigest.isEqual(
         digest.getBytes(StandardCharsets.US_ASCII), other.getBytes(StandardCharsets.US_ASCII));
   }
 
-  private void index() {
-    long revision = ledger.settingsVersion();
-    if (revision == indexedRevision) {
+  private void refreshIndex() {
+    long revision = ledger.settingsChangeCounter();
+    if (revision == indexedChangeCounter) {
       return;
     }
     customersByDigest.clear();
@@ -68,6 +69,6 @@
                 customersByDigest
                     .computeIfAbsent(customer.tokenSha256(), digest -> new ArrayList<>(1))
                     .add(customer));
-    indexedRevision = revision;
+    indexedChangeCounter = revision;
   }
 }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/SettlementSystem.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/SettlementSystem.java
@@ -12,7 +12,7 @@
 import org.teaseldeal.core.Counter;
 import org.teaseldeal.core.command.InstanceCommand;
 import org.teaseldeal.core.event.InstanceEvent;
-import org.teaseldeal.core.part.AbandonedRuns;
+import org.teaseldeal.core.part.AbandonedRunRule;
 import org.teaseldeal.core.table.AttemptRow;
 import org.teaseldeal.core.table.BudgetRow;
 import org.teaseldeal.core.table.ChargeRow;
@@ -25,37 +25,41 @@
 import org.teaseldeal.ledger.outcome.Outcome;
 
 /**
- * Turns what attempts used into charges and write-offs, each with its id counted once.
+ * Records the token use of attempts as charges and write-offs, each with an id that the ledger
+ * counts once.
  *
- * <p>The last byte of an answer waits until its charge was read back or is held by a peer, so that
- * a crash after the answer loses no charge; after a short bound the caller is answered all the
- * same.
+ * <p>The final byte of an answer waits until its charge was read back from the log or is stored by
+ * a peer, so that a crash after the answer loses no charge. After a short time-out the caller
+ * receives its answer in any case.
  */
 final class SettlementSystem {
-  private static final String ABANDONED = "abandoned attempt";
-  private static final String REPEATED = "second run of a keyed request";
-  private static final String USAGE_UNKNOWN = "usage of an abandoned attempt never became known";
+  private static final String ABANDONED_REASON = "abandoned attempt";
+  private static final String REPEATED_REASON = "second run of a keyed request";
+  private static final String USAGE_UNKNOWN_REASON =
+      "usage of an abandoned attempt never became known";
 
   private final Context context;
   private final LedgerSystem ledger;
-  private final Endings endings;
+  private final RequestCompletion completion;
   private final Consumer<RequestRow> storeAnswer;
-  private final AbandonedRuns abandonedRuns;
+  private final AbandonedRunRule abandonedRunRule;
 
   SettlementSystem(
       Context context,
       LedgerSystem ledger,
-      Endings endings,
+      RequestCompletion completion,
       Consumer<RequestRow> storeAnswer,
-      AbandonedRuns abandonedRuns) {
+      AbandonedRunRule abandonedRunRule) {
     this.context = context;
     this.ledger = ledger;
-    this.endings = endings;
+    this.completion = completion;
     this.storeAnswer = storeAnswer;
-    this.abandonedRuns = abandonedRuns;
+    this.abandonedRunRule = abandonedRunRule;
   }
 
-  /** Charges a whole answer; its end goes to the caller once the charge is safe. */
+  /**
+   * Charges a complete answer. The caller receives the end of the answer once the charge is safe.
+   */
   void settleAnswer(AttemptRow attempt, Usage usage) {
     RequestRow request = attempt.request;
     request.attempt = null;
@@ -65,15 +69,16 @@
     request.charge = charge(attempt, usage.total(), request);
     storeAnswer.accept(request);
     if (request.charge == null) {
-      endings.answer(request);
+      completion.answer(request);
     }
   }
 
   /**
-   * Takes over the tokens of a run that was given up; a model's stay reserved until it is known
-   * what it used.
+   * Takes over the reserved tokens of an abandoned run. The tokens of a model call stay reserved
+   * until its usage is known.
    *
-   * @param chargeCaller whether the caller left by itself, and so pays for what is known to be used
+   * @param chargeCaller whether the caller closed its connection itself and therefore pays for the
+   *     known usage
    */
   void abandon(AttemptRow attempt, boolean chargeCaller) {
     attempt.chargeCaller = chargeCaller;
@@ -81,84 +86,96 @@
       writeOffAll(attempt);
       return;
     }
-    if (!abandonedRuns.keepReservation()) {
-      writeOff(attempt, 0, ABANDONED);
+    if (!abandonedRunRule.keepReservation()) {
+      writeOff(attempt, 0, ABANDONED_REASON);
       return;
     }
     attempt.abandonedAt = context.now();
-    context.tables.abandoned.put(attempt.id.number(), attempt);
+    context.tables.abandonedAttempts.put(attempt.id.number(), attempt);
   }
 
   void onUsage(InstanceEvent.UsageKnown event) {
-    AttemptRow attempt = context.tables.abandoned.get(event.attempt().number());
+    AttemptRow attempt = context.tables.abandonedAttempts.get(event.attempt().number());
     if (attempt == null || !attempt.id.equals(event.attempt())) {
       context.count(Counter.DROPPED_ATTEMPT_EVENTS);
       return;
     }
-    context.tables.abandoned.remove(attempt.id.number());
+    context.tables.abandonedAttempts.remove(attempt.id.number());
     Optional<Usage> usage = event.usage();
     if (usage.isEmpty()) {
-      // An engine may have forgotten the request in a restart after running it.
+      // The engine may have run the request and lost its record of it in a restart.
       writeOffAll(attempt);
     } else if (attempt.chargeCaller) {
       charge(attempt, usage.get().total(), null);
     } else {
-      writeOff(attempt, usage.get().total(), ABANDONED);
+      writeOff(attempt, usage.get().total(), ABANDONED_REASON);
     }
   }
 
-  /** Nobody is charged for what may not have been used: it is counted as spent all the same. */
+  /**
+   * Writes off the whole reservation without charging a customer. The tokens count as spent,
+   * because the run may have used them.
+   */
   private void writeOffAll(AttemptRow attempt) {
-    writeOff(attempt, attempt.request.worstCase, USAGE_UNKNOWN);
+    writeOff(attempt, attempt.request.worstCaseTokens, USAGE_UNKNOWN_REASON);
   }
 
-  /** Asks for usage again, and gives up where it never comes. */
+  /**
+   * Repeats the queries for usage, and writes off the reservations whose usage did not become known
+   * in time.
+   */
   void run() {
     Instant now = context.now();
-    for (AttemptRow attempt : List.copyOf(context.tables.abandoned.values())) {
+    for (AttemptRow attempt : List.copyOf(context.tables.abandonedAttempts.values())) {
       Instant since = attempt.abandonedAt;
-      if (since != null && !now.isBefore(since.plus(context.limits().usageAskBound()))) {
-        context.tables.abandoned.remove(attempt.id.number());
+      if (since != null && !now.isBefore(since.plus(context.limits().usageQueryTimeout()))) {
+        context.tables.abandonedAttempts.remove(attempt.id.number());
         writeOffAll(attempt);
-      } else if (due(attempt.askedAt, context.limits().usageAskInterval(), now)) {
-        attempt.askedAt = now;
+      } else if (isDue(attempt.usageQueriedAt, context.limits().usageQueryInterval(), now)) {
+        attempt.usageQueriedAt = now;
         context.emit(
             new InstanceCommand.AskUsage(attempt.id, attempt.request.id, attempt.server.address));
       }
     }
-    answerUnconfirmed(now);
+    answerOverdue(now);
   }
 
-  private static boolean due(Instant last, Duration interval, Instant now) {
+  private static boolean isDue(Instant last, Duration interval, Instant now) {
     return last.equals(Instant.MIN) || !now.isBefore(last.plus(interval));
   }
 
-  private void answerUnconfirmed(Instant now) {
-    Instant bound = now.minus(context.limits().confirmationBound());
-    while (!context.tables.unconfirmed.isEmpty()
-        && !context.tables.unconfirmed.firstEntry().getValue().since.isAfter(bound)) {
+  private void answerOverdue(Instant now) {
+    Instant oldestAllowed = now.minus(context.limits().confirmationTimeout());
+    while (!context.tables.unconfirmedCharges.isEmpty()
+        && !context
+            .tables
+            .unconfirmedCharges
+            .firstEntry()
+            .getValue()
+            .createdAt
+            .isAfter(oldestAllowed)) {
       context.count(Counter.CHARGES_UNCONFIRMED);
-      confirm(context.tables.unconfirmed.firstEntry().getValue());
+      onChargeSafe(context.tables.unconfirmedCharges.firstEntry().getValue());
     }
   }
 
-  /** A charge is safe: the log has shown it, or a peer holds it. */
-  void confirm(ChargeRow row) {
-    context.tables.unconfirmed.remove(row.number);
+  /** Handles a charge that is safe: it was read back from the log, or a peer stores it. */
+  void onChargeSafe(ChargeRow row) {
+    context.tables.unconfirmedCharges.remove(row.number);
     if (row.request != null && row.request.stage == Stage.SETTLING) {
-      endings.answer(row.request);
+      completion.answer(row.request);
     }
   }
 
   private @Nullable ChargeRow charge(
       AttemptRow attempt, long tokens, @Nullable RequestRow waiting) {
     RequestRow request = attempt.request;
-    List<Draw> draws = draws(attempt, tokens);
+    List<Draw> draws = settleReservation(attempt, tokens);
     if (draws.isEmpty()) {
       return null;
     }
     context.count(Counter.CHARGES);
-    context.counters.add(Counter.CHARGED_TOKENS, sum(draws));
+    context.counters.add(Counter.CHARGED_TOKENS, totalTokens(draws));
     ChargeId id = new ChargeId(context.self(), ledger.nextCharge(request.service.id().team()));
     RequestId requestId = request.id;
     Entry.Charge entry =
@@ -168,19 +185,19 @@
   }
 
   private void writeOff(AttemptRow attempt, long tokens, String reason) {
-    List<Draw> draws = draws(attempt, tokens);
+    List<Draw> draws = settleReservation(attempt, tokens);
     if (!draws.isEmpty()) {
       writeOff(attempt.request, draws, reason);
     }
   }
 
   private void writeOff(RequestRow request, List<Draw> draws, String reason) {
-    context.counters.add(Counter.WRITTEN_OFF_TOKENS, sum(draws));
+    context.counters.add(Counter.WRITTEN_OFF_TOKENS, totalTokens(draws));
     ChargeId id = new ChargeId(context.self(), ledger.nextCharge(request.service.id().team()));
     submit(id, new Entry.WriteOff(id, request.service.id(), draws, reason), request, null);
   }
 
-  private List<Draw> draws(AttemptRow attempt, long tokens) {
+  private List<Draw> settleReservation(AttemptRow attempt, long tokens) {
     Reservation reservation = attempt.reservation;
     if (reservation == null) {
       return List.of();
@@ -191,8 +208,8 @@
     }
     BudgetRow budget = context.tables.budgets.get(request.service.id());
     if (budget != null) {
-      budget.spent += tokens;
-      budget.lastUsed = context.now();
+      budget.spentSinceRateUpdate += tokens;
+      budget.lastUsedAt = context.now();
     }
     return ledger.leases(request.service.id()).settle(reservation, tokens);
   }
@@ -201,9 +218,9 @@
       ChargeId id, Entry entry, RequestRow request, @Nullable RequestRow waiting) {
     ChargeRow row = new ChargeRow(context.nextCharge(), id, entry, waiting, context.now());
     context.tables.charges.put(row.number, row);
-    context.tables.unoffered.put(row.number, row);
+    context.tables.unofferedCharges.put(row.number, row);
     if (waiting != null) {
-      context.tables.unconfirmed.put(row.number, row);
+      context.tables.unconfirmedCharges.put(row.number, row);
     }
     TeamId team = request.service.id().team();
     ledger.submit(team, entry, outcome -> onOutcome(row, request, outcome));
@@ -212,26 +229,27 @@
 
   private void onOutcome(ChargeRow row, RequestRow request, Outcome outcome) {
     if (ledger.retired()) {
-      // The ledger takes nothing more from this incarnation; a peer that holds it appends it.
+      // The ledger ignores further entries of this incarnation. A peer that stores the charge
+      // appends it.
       return;
     }
     context.tables.charges.remove(row.number);
-    context.tables.unoffered.remove(row.number);
-    context.tables.unheld.remove(row.number);
-    confirm(row);
+    context.tables.unofferedCharges.remove(row.number);
+    context.tables.unacknowledgedCharges.remove(row.number);
+    onChargeSafe(row);
     if (outcome instanceof Outcome.ChargeRepeated repeated
         && !repeated.first().equals(row.id)
         && row.entry instanceof Entry.Charge charge) {
-      // The keyed request was charged before under another id. Its two runs may have been at two
-      // engines, so the tokens are counted as spent; spendable again, they could be used twice.
-      // Where
-      // an engine joined both to one run, this costs the budget one answer, which is rare and safe.
+      // The keyed request was already charged under another id. Its two runs may have taken place
+      // at two engines, so the tokens of this run are counted as spent. If they became available
+      // again, they could be used twice. If an engine joined both calls to one run, this costs the
+      // budget the tokens of one answer, which is rare and safe.
       context.count(Counter.CHARGE_REPEATS);
-      writeOff(request, charge.draws(), REPEATED);
+      writeOff(request, charge.draws(), REPEATED_REASON);
     }
   }
 
-  private static long sum(List<Draw> draws) {
+  private static long totalTokens(List<Draw> draws) {
     return draws.stream().mapToLong(Draw::tokens).sum();
   }
 }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/StoredAnswer.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/StoredAnswer.java
@@ -13,35 +13,35 @@
 import org.teaseldeal.ledger.entry.Entry;
 
 /**
- * How the answer of a claimed request stands on the log.
+ * The encoding in which the answer of a claimed request is stored on the log.
  *
- * <p>A model's answer is its usage, the number of its frames, and each frame after its length, all
- * numbers big-endian.
+ * <p>A model's answer is encoded as its usage, the number of its frames, and each frame preceded by
+ * its length. All numbers are big-endian.
  */
 final class StoredAnswer {
-  static final String FRAMES = "application/vnd.teaseldeal.frames";
-  static final String UNKNOWN = "application/vnd.teaseldeal.outcome-unknown";
+  static final String FRAMES_CONTENT_TYPE = "application/vnd.teaseldeal.frames";
+  static final String UNKNOWN_CONTENT_TYPE = "application/vnd.teaseldeal.outcome-unknown";
   private static final int HEADER_BYTES = 2 * Long.BYTES + Integer.BYTES;
 
-  /** A model's answer as it was stored. */
+  /** A decoded answer of a model. */
   record Frames(Usage usage, List<byte[]> frames) {}
 
   private StoredAnswer() {}
 
   static Entry.ClaimOutcome unknown(ClaimKey key, String detail) {
-    return new Entry.ClaimOutcome(key, 0, UNKNOWN, detail.getBytes(UTF_8), true);
+    return new Entry.ClaimOutcome(key, 0, UNKNOWN_CONTENT_TYPE, detail.getBytes(UTF_8), true);
   }
 
   static Entry.ClaimOutcome plain(
       ClaimKey key, int status, String contentType, byte[] body, int maxBody) {
-    boolean kept = body.length <= maxBody;
-    return new Entry.ClaimOutcome(key, status, contentType, kept ? body : new byte[0], kept);
+    boolean stored = body.length <= maxBody;
+    return new Entry.ClaimOutcome(key, status, contentType, stored ? body : new byte[0], stored);
   }
 
   static Entry.ClaimOutcome frames(ClaimKey key, RequestRow request, Usage usage, int maxBody) {
-    boolean kept = request.frameBytes <= maxBody;
-    byte[] body = kept ? encode(usage, request.frames) : new byte[0];
-    return new Entry.ClaimOutcome(key, 200, FRAMES, body, kept);
+    boolean stored = request.frameBytes <= maxBody;
+    byte[] body = stored ? encode(usage, request.frames) : new byte[0];
+    return new Entry.ClaimOutcome(key, 200, FRAMES_CONTENT_TYPE, body, stored);
   }
 
   private static byte[] encode(Usage usage, List<byte[]> frames) {
@@ -52,8 +52,8 @@
     return body.array();
   }
 
-  /** Reads a model's answer; empty if {@code body} is not one. */
-  static Optional<Frames> parse(byte[] body) {
+  /** Decodes a model's answer, or returns empty if {@code body} is not one. */
+  static Optional<Frames> decode(byte[] body) {
     try {
       ByteBuffer buffer = ByteBuffer.wrap(body);
       Usage usage = new Usage(buffer.getLong(), buffer.getLong());
@@ -64,7 +64,8 @@
       }
       return Optional.of(new Frames(usage, frames));
     } catch (BufferUnderflowException | IllegalArgumentException e) {
-      // Stored by a plain service of the same name before the settings changed, or by a stranger.
+      // The body was stored by a plain service of the same name before the settings changed, or by
+      // another writer.
       return Optional.empty();
     }
   }
@@ -72,7 +73,7 @@
   private static byte[] frame(ByteBuffer buffer) {
     int length = buffer.getInt();
     if (length < 0 || length > buffer.remaining()) {
-      throw new IllegalArgumentException("length was " + length);
+      throw new IllegalArgumentException("frame length out of range: " + length);
     }
     byte[] frame = new byte[length];
     buffer.get(frame);
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/TransferSystem.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/TransferSystem.java
@@ -10,11 +10,11 @@
 import org.teaseldeal.api.IncarnationId;
 import org.teaseldeal.api.ServiceId;
 import org.teaseldeal.core.Counter;
-import org.teaseldeal.core.part.CreditMemory;
+import org.teaseldeal.core.part.TransferDeduplication;
 import org.teaseldeal.core.table.BudgetRow;
-import org.teaseldeal.core.table.GivenRow;
 import org.teaseldeal.core.table.PeerRow;
 import org.teaseldeal.core.table.TransferRow;
+import org.teaseldeal.core.table.UnacknowledgedTransferRow;
 import org.teaseldeal.ledger.Draw;
 import org.teaseldeal.ledger.lease.LocalLeases;
 import org.teaseldeal.wire.gen.peer.DrawAck;
@@ -24,83 +24,91 @@
 import org.teaseldeal.wire.gen.peer.Parcel;
 
 /**
- * Hands idle tokens from instance to instance, each transfer at most once.
+ * Moves idle tokens between instances, each transfer at most once.
  *
- * <p>The giver debits before it replies and repeats the reply unchanged until it is acknowledged;
- * the receiver credits a number once. What a partition swallows is stranded, never doubled.
+ * <p>The giving instance debits the tokens before it replies, and repeats the same reply until it
+ * is acknowledged. The receiving instance credits each transfer number once. A reply that a network
+ * partition swallows leaves its tokens unused, but never duplicates them.
  */
 final class TransferSystem {
-  private static final Duration ASK_AGAIN = Duration.ofMillis(500);
+  private static final Duration RETRY_INTERVAL = Duration.ofMillis(500);
 
   private final Context context;
   private final LedgerSystem ledger;
   private final Consumer<ServiceId> onTokens;
-  private final LeaseForPeer leaseForPeer;
-  private final CreditMemory credits;
-  private final TreeMap<ParkedKey, Parked> parked = new TreeMap<>();
-
-  /** Gets tokens that a peer asks for, if this instance should. */
-  interface LeaseForPeer {
-    /** Whether a lease of at least {@code need} tokens is on its way to the log and back. */
-    boolean ask(ServiceId service, long need);
+  private final PeerLeaseRequester leaseRequester;
+  private final TransferDeduplication deduplication;
+  private final TreeMap<WaitingKey, WaitingRequest> waitingRequests = new TreeMap<>();
+
+  /** Obtains a lease on behalf of a peer if this instance is responsible for doing so. */
+  interface PeerLeaseRequester {
+    /**
+     * Requests a lease of at least {@code need} tokens and returns whether the request is pending.
+     */
+    boolean request(ServiceId service, long need);
   }
 
-  private record ParkedKey(IncarnationId receiver, long number) implements Comparable<ParkedKey> {
-    private static final Comparator<ParkedKey> ORDER =
-        Comparator.comparing(ParkedKey::receiver).thenComparingLong(ParkedKey::number);
+  private record WaitingKey(IncarnationId receiver, long number) implements Comparable<WaitingKey> {
+    private static final Comparator<WaitingKey> ORDER =
+        Comparator.comparing(WaitingKey::receiver).thenComparingLong(WaitingKey::number);
 
     @Override
-    public int compareTo(ParkedKey other) {
+    public int compareTo(WaitingKey other) {
       return ORDER.compare(this, other);
     }
   }
 
-  /** A peer's request that waits for a lease of this instance. */
-  private record Parked(ServiceId service, DrawRequest request, Instant until) {}
+  /** A peer's request that waits until a lease of this instance is granted. */
+  private record WaitingRequest(ServiceId service, DrawRequest request, Instant until) {}
 
   TransferSystem(
       Context context,
       LedgerSystem ledger,
       Consumer<ServiceId> onTokens,
-      LeaseForPeer leaseForPeer,
-      CreditMemory credits) {
+      PeerLeaseRequester leaseRequester,
+      TransferDeduplication deduplication) {
     this.context = context;
     this.ledger = ledger;
     this.onTokens = onTokens;
-    this.leaseForPeer = leaseForPeer;
-    this.credits = credits;
+    this.leaseRequester = leaseRequester;
+    this.deduplication = deduplication;
   }
 
-  TransferRow ask(PeerRow giver, ServiceId service, long wanted, long minimum) {
+  TransferRow request(PeerRow donor, ServiceId service, long requestedTokens, long minimumTokens) {
     TransferRow row =
         new TransferRow(
-            context.nextTransfer(), giver.incarnation, service, wanted, minimum, context.now());
+            context.nextTransfer(),
+            donor.incarnation,
+            service,
+            requestedTokens,
+            minimumTokens,
+            context.now());
     context.tables.transfers.put(row.number, row);
     context.count(Counter.DRAWS_ASKED);
-    send(row, giver);
+    send(row, donor);
     return row;
   }
 
-  private void send(TransferRow row, PeerRow giver) {
+  private void send(TransferRow row, PeerRow donor) {
     row.sentAt = context.now();
     DrawRequest request =
-        new DrawRequest(row.number, row.service.toString(), row.wanted, row.minimum);
-    context.send(giver.address, Message.drawRequest(request));
+        new DrawRequest(row.number, row.service.toString(), row.requestedTokens, row.minimumTokens);
+    context.send(donor.address, Message.drawRequest(request));
   }
 
-  /** Asks again for what was not answered: the giver may have debited it. */
+  /** Repeats the unanswered requests, because the other instance may have debited the tokens. */
   void run() {
     Instant now = context.now();
-    for (Map.Entry<ParkedKey, Parked> entry : List.copyOf(parked.entrySet())) {
+    for (Map.Entry<WaitingKey, WaitingRequest> entry : List.copyOf(waitingRequests.entrySet())) {
       if (!now.isBefore(entry.getValue().until)) {
         answer(entry.getKey());
       }
     }
-    context.tables.transfers.values().removeIf(r -> ledger.ended(r.service.team(), r.giver));
+    context.tables.transfers.values().removeIf(r -> ledger.hasEnded(r.service.team(), r.donor));
     for (TransferRow row : context.tables.transfers.values()) {
-      PeerRow giver = context.tables.peers.get(row.giver);
-      if (giver != null && !now.isBefore(row.sentAt.plus(ASK_AGAIN))) {
-        send(row, giver);
+      PeerRow donor = context.tables.peers.get(row.donor);
+      if (donor != null && !now.isBefore(row.sentAt.plus(RETRY_INTERVAL))) {
+        send(row, donor);
       }
     }
   }
@@ -112,49 +120,54 @@
     }
     ServiceId service = ServiceId.parse(request.getServiceId());
     long number = request.getTransfer();
-    if (parked.containsKey(new ParkedKey(sender, number))) {
+    if (waitingRequests.containsKey(new WaitingKey(sender, number))) {
       return;
     }
-    GivenRow given = receiver.given.get(number);
-    if (given != null) {
+    UnacknowledgedTransferRow debited = receiver.unacknowledgedTransfers.get(number);
+    if (debited != null) {
       context.count(Counter.REPEATED_DRAWS);
-    } else if (number <= receiver.settledTransfers) {
-      // A late repeat of an acknowledged transfer, or one overtaken by a later one. Debiting for it
-      // would strand the tokens, since the receiver credits a number once.
+    } else if (number <= receiver.highestAcknowledgedTransfer) {
+      // This is a late repeat of an acknowledged transfer, or of one that a later transfer has
+      // overtaken. Debiting tokens for it would strand them, because the receiver credits each
+      // number once.
       context.count(Counter.REPEATED_DRAWS);
-      given = new GivenRow(service, List.of());
+      debited = new UnacknowledgedTransferRow(service, List.of());
     } else if (ledger.leases(service).free(service) < request.getMinimum()
-        && leaseForPeer.ask(service, request.getMinimum())) {
-      Instant until = context.now().plus(context.limits().drawBound());
-      parked.put(new ParkedKey(sender, number), new Parked(service, request, until));
+        && leaseRequester.request(service, request.getMinimum())) {
+      Instant until = context.now().plus(context.limits().transferTimeout());
+      waitingRequests.put(
+          new WaitingKey(sender, number), new WaitingRequest(service, request, until));
       return;
     } else {
-      given = give(receiver, service, request);
+      debited = debitAndRecord(receiver, service, request);
     }
-    context.send(receiver.address, Message.drawReply(reply(number, given)));
+    context.send(receiver.address, Message.drawReply(reply(number, debited)));
   }
 
-  private GivenRow give(PeerRow receiver, ServiceId service, DrawRequest request) {
-    GivenRow given = new GivenRow(service, debit(receiver, service, request));
-    receiver.given.put(request.getTransfer(), given);
-    return given;
+  private UnacknowledgedTransferRow debitAndRecord(
+      PeerRow receiver, ServiceId service, DrawRequest request) {
+    UnacknowledgedTransferRow debited =
+        new UnacknowledgedTransferRow(service, debit(receiver, service, request));
+    receiver.unacknowledgedTransfers.put(request.getTransfer(), debited);
+    return debited;
   }
 
-  /** Answers the peers that waited for tokens of {@code service}. */
+  /** Answers the peers that wait for tokens of {@code service}. */
   void onLease(ServiceId service) {
-    for (Map.Entry<ParkedKey, Parked> entry : List.copyOf(parked.entrySet())) {
+    for (Map.Entry<WaitingKey, WaitingRequest> entry : List.copyOf(waitingRequests.entrySet())) {
       if (entry.getValue().service.equals(service)) {
         answer(entry.getKey());
       }
     }
   }
 
-  private void answer(ParkedKey key) {
-    Parked waiting = parked.remove(key);
+  private void answer(WaitingKey key) {
+    WaitingRequest waitingRequest = waitingRequests.remove(key);
     PeerRow receiver = context.tables.peers.get(key.receiver);
-    if (waiting != null && receiver != null) {
-      GivenRow given = give(receiver, waiting.service, waiting.request);
-      context.send(receiver.address, Message.drawReply(reply(key.number, given)));
+    if (waitingRequest != null && receiver != null) {
+      UnacknowledgedTransferRow debited =
+          debitAndRecord(receiver, waitingRequest.service, waitingRequest.request);
+      context.send(receiver.address, Message.drawReply(reply(key.number, debited)));
     }
   }
 
@@ -163,40 +176,42 @@
     long idle = leases.free(service);
     BudgetRow budget = context.tables.budgets.get(service);
     boolean needed = budget != null && !budget.waiting.isEmpty();
-    // Two instances that both run short would hand the same tokens to and fro; the lower keeps.
+    // Two instances that are both short of tokens would pass the same tokens back and forth, so the
+    // one with the lower id keeps its own.
     if (needed && context.self().compareTo(receiver.incarnation) < 0) {
       return List.of();
     }
     long share = Math.max(idle / 2, Math.min(idle, request.getMinimum()));
-    long given = Math.min(request.getWanted(), share);
-    if (given <= 0) {
+    long debited = Math.min(request.getWanted(), share);
+    if (debited <= 0) {
       return List.of();
     }
     context.count(Counter.DRAWS_GIVEN);
     if (budget != null) {
-      // What peers draw is demand here too: a home refills ahead of it.
-      budget.spent += given;
-      budget.lastUsed = context.now();
+      // Tokens drawn by peers count as demand of this instance, so that the home of a service
+      // refills its lease ahead of that demand.
+      budget.spentSinceRateUpdate += debited;
+      budget.lastUsedAt = context.now();
     }
-    return leases.take(service, given);
+    return leases.take(service, debited);
   }
 
-  private static DrawReply reply(long number, GivenRow given) {
+  private static DrawReply reply(long number, UnacknowledgedTransferRow debited) {
     List<Parcel> parcels =
-        given.parcels().stream()
+        debited.parcels().stream()
             .map(draw -> new Parcel(draw.source().value(), draw.tokens()))
             .toList();
-    return new DrawReply(number, given.service().toString(), parcels);
+    return new DrawReply(number, debited.service().toString(), parcels);
   }
 
   void onReply(IncarnationId sender, DrawReply reply) {
-    TransferRow row = credits.take(context.tables.transfers, reply.getTransfer());
+    TransferRow row = deduplication.takeUncredited(context.tables.transfers, reply.getTransfer());
     if (row != null) {
       credit(row, reply);
     }
-    PeerRow giver = context.tables.peers.get(sender);
-    if (giver != null) {
-      context.send(giver.address, Message.drawAck(new DrawAck(reply.getTransfer())));
+    PeerRow donor = context.tables.peers.get(sender);
+    if (donor != null) {
+      context.send(donor.address, Message.drawAck(new DrawAck(reply.getTransfer())));
     }
   }
 
@@ -206,8 +221,8 @@
             .map(p -> new Draw(new IncarnationId(p.getSource()), p.getTokens()))
             .toList();
     BudgetRow budget = context.tables.budgets.get(row.service);
-    if (budget != null && budget.draw == row) {
-      budget.draw = null;
+    if (budget != null && budget.pendingTransfer == row) {
+      budget.pendingTransfer = null;
     }
     if (!draws.isEmpty()) {
       context.count(Counter.DRAWS_RECEIVED);
@@ -218,8 +233,9 @@
 
   void onAck(IncarnationId sender, DrawAck ack) {
     PeerRow receiver = context.tables.peers.get(sender);
-    if (receiver != null && receiver.given.remove(ack.getTransfer()) != null) {
-      receiver.settledTransfers = Math.max(receiver.settledTransfers, ack.getTransfer());
+    if (receiver != null && receiver.unacknowledgedTransfers.remove(ack.getTransfer()) != null) {
+      receiver.highestAcknowledgedTransfer =
+          Math.max(receiver.highestAcknowledgedTransfer, ack.getTransfer());
     }
   }
 }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/package-info.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The systems that run over an instance's tables, each with one job, in a fixed order each tick.
+ * The systems of an instance. Each has one task, and all run over the instance's tables in a fixed
+ * order on each tick.
  */
 @NullMarked
 package org.teaseldeal.core.system;
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/table/AttemptRow.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/table/AttemptRow.java
@@ -8,8 +8,8 @@
 /**
  * One run of a request at one backend server.
  *
- * <p>A resume keeps the row and gives it a new attempt id, so that frames of the connection before
- * are told apart.
+ * <p>Resuming the run keeps the row and gives it a new attempt id, so that frames of the previous
+ * connection can be recognised and dropped.
  */
 public final class AttemptRow {
   public final RequestRow request;
@@ -18,22 +18,28 @@
 
   public AttemptId id;
   public Instant startedAt;
-  public Instant lastProgress;
+  public Instant lastProgressAt;
   public long nextPosition;
   public boolean mayHaveRun;
 
-  /** Resumes since the last frame. */
-  public int resumes;
+  /** Number of resumes since the last frame was received. */
+  public int resumesSinceProgress;
 
-  /** When the next resume is due, while no connection is open. */
-  public @Nullable Instant resumeAt;
+  /** Time at which the next resume is due, or null while a connection is open. */
+  public @Nullable Instant nextResumeAt;
 
-  /** Since when the run is abandoned and the engine is asked what it used. */
+  /**
+   * Time at which the run was abandoned, after which the engine is queried for its usage; null
+   * while the run is active.
+   */
   public @Nullable Instant abandonedAt;
 
-  public Instant askedAt = Instant.MIN;
+  public Instant usageQueriedAt = Instant.MIN;
 
-  /** Whether the usage of the abandoned run is charged to the caller, who left by itself. */
+  /**
+   * Whether the caller is charged for the usage of the abandoned run because it closed its
+   * connection itself.
+   */
   public boolean chargeCaller;
 
   public AttemptRow(
@@ -47,6 +53,6 @@
     this.reservation = reservation;
     this.id = id;
     this.startedAt = now;
-    this.lastProgress = now;
+    this.lastProgressAt = now;
   }
 }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/table/OrderEngineRow.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/table/OrderEngineRow.java
@@ -3,24 +3,24 @@
 import java.time.Instant;
 import java.util.TreeSet;
 
-/** One engine that is compared with what it is to have. */
+/** One engine whose state is compared with the desired state. */
 public final class OrderEngineRow {
-  /** When it is asked next. */
-  public Instant askAt;
+  /** Time of the next query for the engine's state. */
+  public Instant nextQueryAt;
 
-  /** Until when an answer is waited for; asked again after that. */
-  public Instant answerBound = Instant.MIN;
+  /** Deadline for the answers to the last orders. After it, the engine is queried again. */
+  public Instant answerDeadline = Instant.MIN;
 
-  /** Whether it had all when it was last asked. */
-  public boolean agreed;
+  /** Whether the engine had the desired state when it was last queried. */
+  public boolean matchesSettings;
 
-  /** Numbers of orders without an answer. */
-  public final TreeSet<Long> unanswered = new TreeSet<>();
+  /** Numbers of the orders that have not been answered. */
+  public final TreeSet<Long> unansweredOrders = new TreeSet<>();
 
-  /** The highest fencing number that it named when it refused an order; zero for none. */
-  public long highestSeen;
+  /** The highest fencing token that the engine named when it refused an order, or zero. */
+  public long highestSeenFencingToken;
 
-  public OrderEngineRow(Instant askAt) {
-    this.askAt = askAt;
+  public OrderEngineRow(Instant nextQueryAt) {
+    this.nextQueryAt = nextQueryAt;
   }
 }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/table/OrderPoolRow.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/table/OrderPoolRow.java
@@ -6,23 +6,29 @@
 import org.teaseldeal.api.BackendServerId;
 import org.teaseldeal.decisions.DesiredEngineState;
 
-/** One pool whose engines are ordered by the settings in force. */
+/** One pool whose engines receive orders according to the settings in force. */
 public final class OrderPoolRow {
   public final String name;
   public DesiredEngineState desired;
 
-  /** Since when the holder seems gone without a break. */
-  public @Nullable Instant holderGoneSince;
+  /** Time since which the term holder has continuously seemed to be gone, or null. */
+  public @Nullable Instant holderUnavailableSince;
 
-  /** An offset that the holder has to have folded, and since when. */
-  public long holderMark = -1;
+  /**
+   * An offset of the fleet stream that the term holder is expected to reach; {@link
+   * #expectedHolderOffsetSetAt} is the time at which it was set.
+   */
+  public long expectedHolderOffset = -1;
 
-  public Instant holderMarkedAt = Instant.MIN;
+  public Instant expectedHolderOffsetSetAt = Instant.MIN;
 
-  /** Whether an entry that takes the orders is on its way. */
-  public boolean taking;
+  /**
+   * Whether an entry with which this instance takes over the term has been appended but not read
+   * back.
+   */
+  public boolean takeoverPending;
 
-  /** The pool's engines as asked here; only the holder has any. */
+  /** The engines of the pool as this instance queries them. Only the term holder has any here. */
   public final TreeMap<BackendServerId, OrderEngineRow> engines = new TreeMap<>();
 
   public OrderPoolRow(String name, DesiredEngineState desired) {
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/table/PeerRow.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/table/PeerRow.java
@@ -6,7 +6,7 @@
 import org.teaseldeal.api.BackendServerId;
 import org.teaseldeal.api.IncarnationId;
 
-/** One incarnation of another instance, as it last said itself. */
+/** One incarnation of another instance, as its last heartbeat described it. */
 public final class PeerRow {
   public final IncarnationId incarnation;
   public String instance = "";
@@ -14,21 +14,23 @@
   public String dataCentre = "";
   public boolean draining;
   public boolean ready;
-  public Instant heardAt;
+  public Instant lastHeartbeatAt;
 
-  /** How far it had folded the stream of the fleet's subtree. */
-  public long fleetFoldedTo = -1;
+  /** The offset up to which the peer has read the stream with the fleet's settings subtree. */
+  public long fleetStreamOffset = -1;
 
-  public Map<BackendServerId, Integer> shares = new TreeMap<>();
+  public Map<BackendServerId, Integer> outstandingByServer = new TreeMap<>();
 
-  /** The highest transfer number of this peer that was answered and acknowledged. */
-  public long settledTransfers;
+  /** The highest number of a transfer that this peer requested and whose reply it acknowledged. */
+  public long highestAcknowledgedTransfer;
 
-  /** Transfers that were answered with these parcels and not yet acknowledged. */
-  public final Map<Long, GivenRow> given = new TreeMap<>();
+  /**
+   * The replies to this peer's transfer requests that it has not acknowledged, by transfer number.
+   */
+  public final Map<Long, UnacknowledgedTransferRow> unacknowledgedTransfers = new TreeMap<>();
 
   public PeerRow(IncarnationId incarnation, Instant now) {
     this.incarnation = incarnation;
-    this.heardAt = now;
+    this.lastHeartbeatAt = now;
   }
 }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/table/PoolRow.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/table/PoolRow.java
@@ -10,34 +10,34 @@
 import org.teaseldeal.decisions.RetryBudget;
 import org.teaseldeal.decisions.ServerHealth;
 
-/** One pool of backend servers: the queue before it, and what was seen of its servers. */
+/** One pool of backend servers: its admission queue and the measurements of its servers. */
 public final class PoolRow {
-  private static final Duration FIRST_EJECTION = Duration.ofSeconds(2);
-  private static final Duration LONGEST_EJECTION = Duration.ofMinutes(1);
-  private static final Duration RAMP = Duration.ofSeconds(10);
-  private static final Duration ASSUMED_TIME = Duration.ofSeconds(1);
+  private static final Duration INITIAL_EJECTION = Duration.ofSeconds(2);
+  private static final Duration MAX_EJECTION = Duration.ofMinutes(1);
+  private static final Duration RAMP_UP = Duration.ofSeconds(10);
+  private static final Duration ASSUMED_RUN_TIME = Duration.ofSeconds(1);
 
   public final String name;
   public final AdmissionQueue<RequestRow> queue;
-  public final RetryBudget retries;
-  public final DrainRate drain = new DrainRate(ASSUMED_TIME);
-  public final ServerHealth health = new ServerHealth(FIRST_EJECTION, LONGEST_EJECTION, RAMP);
-  public long turn;
+  public final RetryBudget retryBudget;
+  public final DrainRate drainRate = new DrainRate(ASSUMED_RUN_TIME);
+  public final ServerHealth health = new ServerHealth(INITIAL_EJECTION, MAX_EJECTION, RAMP_UP);
+  public long placementTurn;
 
-  /** Whether the pool's servers have been listed before. */
-  public boolean listed;
+  /** Whether any servers of this pool have been listed before. */
+  public boolean hasBeenListed;
 
-  /** How long requests of each service take; in one pool they can be far apart. */
-  private final Map<ServiceId, DrainRate> services = new HashMap<>();
+  /** Run times of each service's requests, which can differ widely within one pool. */
+  private final Map<ServiceId, DrainRate> serviceRates = new HashMap<>();
 
-  public PoolRow(String name, RetryBudget retries, QueueRule rule) {
+  public PoolRow(String name, RetryBudget retryBudget, QueueRule rule) {
     this.name = name;
     queue = new AdmissionQueue<>(rule);
-    this.retries = retries;
+    this.retryBudget = retryBudget;
   }
 
-  /** How long requests of {@code service} take. */
-  public DrainRate service(ServiceId service) {
-    return services.computeIfAbsent(service, id -> new DrainRate(Duration.ZERO));
+  /** Returns the measured run times of {@code service}. */
+  public DrainRate serviceRate(ServiceId service) {
+    return serviceRates.computeIfAbsent(service, id -> new DrainRate(Duration.ZERO));
   }
 }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/table/RequestRow.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/table/RequestRow.java
@@ -27,28 +27,34 @@
   public final boolean keyed;
   public final @Nullable ClaimKey claimKey;
   public final long outputCap;
-  public final long worstCase;
-  public final Instant arrived;
+  public final long worstCaseTokens;
+  public final Instant arrivedAt;
   public final Instant deadline;
   public final Set<BackendServerId> triedServers = new TreeSet<>();
 
   public Stage stage = Stage.WAITING_FOR_TOKENS;
 
-  /** Tokens at hand for the next attempt; an attempt under way has taken them over. */
+  /**
+   * Tokens reserved for the next attempt, or null once an attempt in progress has taken them over.
+   */
   public @Nullable Reservation reservation;
 
   public boolean claimHeld;
   public int attempts;
 
-  /** Whether the caller waits no longer, while the run goes on for its outcome. */
+  /**
+   * Whether the caller no longer waits while the run continues so that its outcome can be stored.
+   */
   public boolean detached;
 
-  /** Whether a backend server may have been given the request. */
+  /** Whether a backend server may have received the request. */
   public boolean mayHaveRun;
 
   public long framesSent;
 
-  /** Frames held back for a caller that wants one body, and for storing with a claim. */
+  /**
+   * Frames buffered for a caller that wants the answer as one body, or for storing with a claim.
+   */
   public final List<byte[]> frames = new ArrayList<>();
 
   public long frameBytes;
@@ -56,7 +62,7 @@
   public @Nullable AttemptRow attempt;
   public @Nullable ChargeRow charge;
 
-  /** The whole answer that waits for its charge to be safe. */
+  /** Usage of the complete answer while the answer waits for its charge to be safe. */
   public @Nullable Usage usage;
 
   public int answerStatus;
@@ -73,8 +79,8 @@
       boolean keyed,
       @Nullable ClaimKey claimKey,
       long outputCap,
-      long worstCase,
-      Instant arrived,
+      long worstCaseTokens,
+      Instant arrivedAt,
       Instant deadline) {
     this.call = call;
     this.id = id;
@@ -85,17 +91,17 @@
     this.keyed = keyed;
     this.claimKey = claimKey;
     this.outputCap = outputCap;
-    this.worstCase = worstCase;
-    this.arrived = arrived;
+    this.worstCaseTokens = worstCaseTokens;
+    this.arrivedAt = arrivedAt;
     this.deadline = deadline;
   }
 
-  /** Whether the caller is given frames as they come. */
+  /** Returns whether frames are passed on to the caller as they arrive. */
   public boolean streams() {
     return payload instanceof Payload.ModelCall model && model.stream();
   }
 
-  /** Whether the request runs at an engine. */
+  /** Returns whether the request runs at an engine. */
   public boolean isModel() {
     return payload instanceof Payload.ModelCall;
   }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/table/ServerRow.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/table/ServerRow.java
@@ -8,29 +8,32 @@
   public final BackendServerId id;
   public final String pool;
   public final String address;
-  public final boolean local;
+  public final boolean inLocalDataCentre;
 
-  /** Requests that this instance has outstanding there. */
-  public int own;
+  /** Requests that this instance has in flight at the server. */
+  public int outstandingHere;
 
-  /** The same when peers were last heard together, which is what {@link #others} dates from. */
-  public int ownAtLastWord;
+  /**
+   * The value of {@link #outstandingHere} at this instance's last heartbeat, the time that {@link
+   * #outstandingAtPeers} refers to.
+   */
+  public int outstandingHereAtLastHeartbeat;
 
-  /** Requests that peers are thought to have outstanding there. */
-  public int others;
+  /** Requests that peers have in flight at the server, according to their last heartbeats. */
+  public int outstandingAtPeers;
 
   public boolean listed = true;
 
-  /** Until when it is passed over because it could not be reached. */
-  public Instant avoidUntil = Instant.MIN;
+  /** Until this time the server is not chosen because a connection to it failed. */
+  public Instant unreachableUntil = Instant.MIN;
 
   public int reportedRunning;
   public int reportedWaiting;
 
-  public ServerRow(BackendServerId id, String pool, String address, boolean local) {
+  public ServerRow(BackendServerId id, String pool, String address, boolean inLocalDataCentre) {
     this.id = id;
     this.pool = pool;
     this.address = address;
-    this.local = local;
+    this.inLocalDataCentre = inLocalDataCentre;
   }
 }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/table/Stage.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/table/Stage.java
@@ -1,17 +1,20 @@
 package org.teaseldeal.core.table;
 
-/** Where a request stands. */
+/** The stage that a request has reached. */
 public enum Stage {
-  /** It waits for tokens of its budget. */
+  /** The request waits for tokens of its budget. */
   WAITING_FOR_TOKENS,
-  /** Its claim is on its way to the log and back. */
+  /** The request's claim has been appended and has not been read back from the log. */
   WAITING_FOR_CLAIM,
-  /** It waits for a backend server. */
+  /** The request waits for a backend server. */
   QUEUED,
-  /** An attempt is under way. */
+  /** An attempt is in progress. */
   RUNNING,
-  /** The answer is whole; its charge is being made safe. */
+  /**
+   * The answer is complete and waits until its charge is read back from the log or stored by a
+   * peer.
+   */
   SETTLING,
-  /** The caller has its final answer. */
+  /** The caller has received its final answer. */
   ENDED
 }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/table/SuspectRow.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/table/SuspectRow.java
@@ -5,20 +5,23 @@
 import java.util.TreeSet;
 import org.teaseldeal.api.BackendServerId;
 
-/** A request, by its fingerprint, that was in flight on servers as they failed. */
+/** A request, identified by its fingerprint, that was in flight on servers when they failed. */
 public final class SuspectRow {
   public final String fingerprint;
 
-  /** Servers that lost it; not yet known whether they are gone. */
-  public final Set<BackendServerId> lostOn = new TreeSet<>();
+  /**
+   * Servers to which the connection was lost while they ran the request, and which have not been
+   * found to be gone.
+   */
+  public final Set<BackendServerId> connectionLostOn = new TreeSet<>();
 
-  /** Servers that are gone. */
-  public final Set<BackendServerId> ended = new TreeSet<>();
+  /** Servers that ran the request and are gone. */
+  public final Set<BackendServerId> goneServers = new TreeSet<>();
 
-  public Instant until;
+  public Instant expiresAt;
 
-  public SuspectRow(String fingerprint, Instant until) {
+  public SuspectRow(String fingerprint, Instant expiresAt) {
     this.fingerprint = fingerprint;
-    this.until = until;
+    this.expiresAt = expiresAt;
   }
 }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/table/Tables.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/table/Tables.java
@@ -19,8 +19,8 @@
 /**
  * All tables of an instance.
  *
- * <p>Whatever is iterated is sorted or in order of arrival, so that a run can be repeated exactly;
- * hash maps are for look-ups only.
+ * <p>Every collection that is iterated is sorted or in order of arrival, so that a run can be
+ * reproduced exactly. Hash maps are used for look-ups only.
  */
 public final class Tables {
   private static final Comparator<RequestRow> BY_DEADLINE =
@@ -29,21 +29,23 @@
 
   public final Map<CallId, RequestRow> requests = new HashMap<>();
 
-  /** The same requests by deadline. */
-  public final TreeSet<RequestRow> deadlines = new TreeSet<>(BY_DEADLINE);
+  /** The requests in order of their deadlines. */
+  public final TreeSet<RequestRow> requestsByDeadline = new TreeSet<>(BY_DEADLINE);
 
-  /** Attempts whose frames are wanted, by their present id. */
+  /** Attempts whose frames are accepted, by their current id. */
   public final Map<AttemptId, AttemptRow> attempts = new HashMap<>();
 
-  /** The same attempts in order of their numbers, and those between two connections. */
-  public final TreeMap<Long, AttemptRow> running = new TreeMap<>();
+  /**
+   * The attempts in {@link #attempts} and those that wait to be resumed, by the number of their id.
+   */
+  public final TreeMap<Long, AttemptRow> runningAttempts = new TreeMap<>();
 
-  /** Attempts whose usage is not known yet, by the number of their last id. */
-  public final TreeMap<Long, AttemptRow> abandoned = new TreeMap<>();
+  /** Abandoned attempts whose usage is not known yet, by the number of their last id. */
+  public final TreeMap<Long, AttemptRow> abandonedAttempts = new TreeMap<>();
 
   public final TreeMap<BackendServerId, ServerRow> servers = new TreeMap<>();
 
-  /** Servers that are known to leave, whether listed here or not; never taken out again. */
+  /** Servers that are known to be leaving, whether listed here or not. They are never removed. */
   public final TreeSet<BackendServerId> leavingServers = new TreeSet<>();
 
   public final TreeMap<IncarnationId, PeerRow> peers = new TreeMap<>();
@@ -54,27 +56,30 @@
   public final TreeMap<Long, TransferRow> transfers = new TreeMap<>();
   public final TreeMap<Long, ChargeRow> charges = new TreeMap<>();
 
-  /** Those of the charges that a caller's last byte waits for. */
-  public final TreeMap<Long, ChargeRow> unconfirmed = new TreeMap<>();
+  /** The charges for which the final byte of a caller's answer waits. */
+  public final TreeMap<Long, ChargeRow> unconfirmedCharges = new TreeMap<>();
 
-  /** Those of the charges that no peer was offered yet. */
-  public final TreeMap<Long, ChargeRow> unoffered = new TreeMap<>();
+  /** The charges that have not been offered to any peer yet. */
+  public final TreeMap<Long, ChargeRow> unofferedCharges = new TreeMap<>();
 
-  /** Those of the charges that were offered, but that no peer said to hold. */
-  public final TreeMap<Long, ChargeRow> unheld = new TreeMap<>();
+  /** The charges that have been offered but that no peer has acknowledged to store. */
+  public final TreeMap<Long, ChargeRow> unacknowledgedCharges = new TreeMap<>();
 
-  /** Charges of peers that this instance hands on before it ends, by numbers like its own. */
-  public final TreeMap<Long, ChargeRow> handedOver = new TreeMap<>();
+  /**
+   * Charges of peers that this instance passes on to other peers before it stops. They are numbered
+   * like its own.
+   */
+  public final TreeMap<Long, ChargeRow> handedOverBackups = new TreeMap<>();
 
   public final TreeMap<String, SuspectRow> suspects = new TreeMap<>();
 
-  /** Charges of peers, in order of arrival. */
+  /** Charges that this instance stores for peers, in order of arrival. */
   public final Deque<BackupRow> backups = new ArrayDeque<>();
 
   public final Map<ChargeId, BackupRow> backupsById = new HashMap<>();
 
-  /** Whether any work of a caller is left, abandoned attempts included. */
-  public boolean idle() {
-    return requests.isEmpty() && running.isEmpty() && abandoned.isEmpty();
+  /** Returns whether no work for callers is left, abandoned attempts included. */
+  public boolean isIdle() {
+    return requests.isEmpty() && runningAttempts.isEmpty() && abandonedAttempts.isEmpty();
   }
 }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/table/TransferRow.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/table/TransferRow.java
@@ -5,27 +5,33 @@
 import org.teaseldeal.api.ServiceId;
 
 /**
- * Tokens asked of a peer; the row goes when the reply is credited.
+ * A request for tokens from a peer. Crediting the reply removes the row.
  *
- * <p>It stays when the request that wanted them has given up: the peer may have debited them.
+ * <p>The row stays when the request that needed the tokens has given up, because the peer may have
+ * debited them.
  */
 public final class TransferRow {
   public final long number;
-  public final IncarnationId giver;
+  public final IncarnationId donor;
   public final ServiceId service;
-  public final long wanted;
-  public final long minimum;
-  public final Instant askedAt;
+  public final long requestedTokens;
+  public final long minimumTokens;
+  public final Instant requestedAt;
   public Instant sentAt;
 
   public TransferRow(
-      long number, IncarnationId giver, ServiceId service, long wanted, long minimum, Instant now) {
+      long number,
+      IncarnationId donor,
+      ServiceId service,
+      long requestedTokens,
+      long minimumTokens,
+      Instant now) {
     this.number = number;
-    this.giver = giver;
+    this.donor = donor;
     this.service = service;
-    this.wanted = wanted;
-    this.minimum = minimum;
-    this.askedAt = now;
+    this.requestedTokens = requestedTokens;
+    this.minimumTokens = minimumTokens;
+    this.requestedAt = now;
     this.sentAt = now;
   }
 }
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/BudgetTests.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/BudgetTests.java
@@ -35,11 +35,11 @@
   }
 
   /**
-   * The budget holds 90 tokens, a request may take 100. The caller is told that the budget does not
-   * cover it: the ledger shows so, and coming back would not help.
+   * Guards against an error that tells the caller to try again in vain. The budget holds 90 tokens
+   * and a request may use 100, so the ledger shows that the budget can't cover it.
    */
   @Test
-  void anEmptyBudgetIsCalledExhausted() {
+  void anInsufficientBudgetIsReportedAsExhausted() {
     FakeFleet fleet = FakeFleet.withBudget(1, 90);
     FakeInstance instance = fleet.startReady("r1").getFirst();
     FakeCall call = ended(fleet, draft(instance));
@@ -48,26 +48,26 @@
   }
 
   /**
-   * One instance holds the rest of the budget as its lease and is frozen, so that it gives nothing
-   * back. The other finds nothing at the ledger. Its caller is told to come back, not that the
-   * budget is used up.
+   * Guards against reporting an exhausted budget while tokens are leased elsewhere. One instance
+   * holds the rest of the budget as its lease and is suspended, so it returns nothing. The caller
+   * of the other instance is told to try again.
    */
   @Test
-  void tokensLeasedElsewhereMeanNoLeaseWithATimeToComeBack() {
+  void tokensLeasedElsewhereCauseARetryableRefusal() {
     FakeFleet fleet = FakeFleet.withBudget(1, 180);
     List<FakeInstance> pair = fleet.startReady("r1", "r2");
     ended(fleet, draft(pair.getFirst()));
     ended(fleet, draft(pair.getLast()));
-    FakeInstance without = withoutTokens(pair);
-    pair.stream().filter(other -> other != without).forEach(FakeInstance::freeze);
+    FakeInstance emptyInstance = instanceWithoutTokens(pair);
+    pair.stream().filter(other -> other != emptyInstance).forEach(FakeInstance::freeze);
     fleet.simulation().run(Duration.ofSeconds(5));
-    FakeCall call = ended(fleet, draft(without));
+    FakeCall call = ended(fleet, draft(emptyInstance));
     assertEquals(Optional.of(ErrorKind.NO_LEASE), call.error());
     assertTrue(call.problem().orElseThrow().retryAfter().isPresent());
     assertEquals(2, fleet.runCount());
   }
 
-  private static FakeInstance withoutTokens(List<FakeInstance> instances) {
+  private static FakeInstance instanceWithoutTokens(List<FakeInstance> instances) {
     return instances.stream()
         .filter(i -> i.core().dump().budgets().stream().allMatch(b -> b.idle() < 100))
         .findFirst()
@@ -75,11 +75,11 @@
   }
 
   /**
-   * Two instances race for one budget, each with more callers than it covers. However the tokens
-   * fall, no more is spent than granted, and each charge stands for one whole answer.
+   * Guards against overspending when two instances compete for one budget, each with more callers
+   * than it covers. Each charge must belong to one complete answer.
    */
   @Test
-  void twoInstancesThatRaceNeverOverspend() {
+  void twoCompetingInstancesNeverOverspend() {
     for (long seed = 1; seed <= 20; seed++) {
       FakeFleet fleet = FakeFleet.withBudget(seed, 1_000);
       List<FakeInstance> pair = fleet.startReady("r1", "r2");
@@ -103,18 +103,18 @@
   }
 
   /**
-   * The log goes down while one instance holds idle tokens and the other holds none. The other's
-   * callers are served all the same: it draws from its peer, without a record on the log.
+   * Guards against refusals while the log is down and one instance has no tokens but its peer has
+   * idle ones. The instance draws tokens from the peer without a record on the log.
    */
   @Test
   void anInstanceWithoutTokensDrawsFromItsPeerWhileTheLogIsDown() {
     FakeFleet fleet = FakeFleet.withBudget(3, 100_000);
     List<FakeInstance> pair = fleet.startReady("r1", "r2");
     ended(fleet, draft(pair.getFirst()));
-    FakeInstance without = withoutTokens(pair);
+    FakeInstance emptyInstance = instanceWithoutTokens(pair);
     fleet.log().down = true;
     fleet.simulation().run(Duration.ofSeconds(5));
-    FakeCall call = ended(fleet, draft(without));
+    FakeCall call = ended(fleet, draft(emptyInstance));
     assertTrue(call.whole(5), call::toString);
     fleet.log().down = false;
     fleet.simulation().run(Duration.ofSeconds(20));
@@ -123,11 +123,11 @@
   }
 
   /**
-   * With the log down and no peer there is no way to get tokens before any deadline, so the caller
-   * is told at once.
+   * Guards against a pointless wait. With the log down and no peer, no tokens can arrive before any
+   * deadline, so the caller is refused at once.
    */
   @Test
-  void withTheLogDownAndNoPeerARefusalComesAtOnce() {
+  void withTheLogDownAndNoPeerACallerIsRefusedAtOnce() {
     FakeFleet fleet = FakeFleet.withBudget(1, 100_000);
     FakeInstance instance = fleet.startReady("r1").getFirst();
     fleet.log().down = true;
@@ -138,11 +138,11 @@
   }
 
   /**
-   * Every answer of the log is lost after the write took effect. Leases are granted once and calls
-   * charged once, since outcomes are read back and repeats are dropped.
+   * Guards against double leases and charges when every response of the log is lost after the write
+   * took effect. Outcomes are read back, and repeated entries are dropped.
    */
   @Test
-  void lostAnswersOfTheLogChargeOnce() {
+  void lostLogResponsesChargeOnce() {
     FakeFleet fleet = FakeFleet.withBudget(5, 100_000);
     FakeInstance instance = fleet.startReady("r1").getFirst();
     fleet.log().losesAnswers = true;
@@ -158,9 +158,9 @@
     assertEquals(Optional.empty(), fleet.ledger().imbalance());
   }
 
-  /** After a while without callers, what was leased is back in the budget. */
+  /** Guards against leases that are never returned when callers stop arriving. */
   @Test
-  void idleTokensGoBack() {
+  void idleTokensAreReturned() {
     FakeFleet fleet = FakeFleet.withBudget(1, 100_000);
     FakeInstance instance = fleet.startReady("r1").getFirst();
     ended(fleet, draft(instance));
@@ -171,17 +171,18 @@
   }
 
   /**
-   * Messages between instances are lost at random, replies to draws among them. Tokens may be
-   * stranded in between, but what is spent and returned never exceeds what was granted.
+   * Guards against duplicated tokens when messages between instances are lost at random, including
+   * replies to token draws. Tokens may be stranded for a while, but no more may be spent and
+   * returned than was granted.
    */
   @Test
-  void lostTransfersNeverDoubleTokens() {
+  void lostTransfersNeverDuplicateTokens() {
     FakeFleet fleet = FakeFleet.withBudget(9, 2_000);
-    List<FakeInstance> trio = fleet.startReady("r1", "r2", "r3");
+    List<FakeInstance> instances = fleet.startReady("r1", "r2", "r3");
     List<FakeCall> calls = new ArrayList<>();
     for (int i = 0; i < 90; i++) {
       fleet.losesPeerMessages = i % 3 == 0;
-      calls.add(draft(trio.get(i % 3)));
+      calls.add(draft(instances.get(i % 3)));
       fleet.simulation().run(Duration.ofMillis(25));
     }
     fleet.losesPeerMessages = false;
@@ -194,9 +195,9 @@
   }
 
   /**
-   * Near the end of a budget the tokens that are left lie idle under other services' leases. The
-   * next caller waits until they are back at the ledger, and is served; refused, it would be told
-   * to come back although tokens were there all the time.
+   * Guards against refusals near the end of a budget, when the remaining tokens lie idle in the
+   * leases of other services. The next caller must wait until those tokens are back at the ledger
+   * and then be served.
    */
   @Test
   void idleTokensOfOtherServicesServeACallerNearTheEndOfABudget() {
@@ -210,11 +211,12 @@
   }
 
   /**
-   * Many callers come at once to a service that nobody has a lease of. One lease covers them all; a
-   * lease for the smallest at a time would let them in one by one, each an entry on the log later.
+   * Guards against many small leases when many callers arrive at once for a service without a
+   * lease. One lease covers them all. A lease for the smallest request at a time would admit them
+   * one by one, each after another log entry.
    */
   @Test
-  void oneLeaseCoversABurstOnAColdService() {
+  void oneLeaseCoversABurstForAServiceWithoutALease() {
     FakeFleet fleet = FakeFleet.withBudget(1, 1_000_000);
     FakeInstance instance = fleet.startReady("r1").getFirst();
     List<FakeCall> calls = new ArrayList<>();
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/ClaimTests.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/ClaimTests.java
@@ -30,11 +30,12 @@
   }
 
   /**
-   * A caller sends one bid to two instances at the same moment. Both claim it; the log's order lets
-   * one run it, and the other caller learns that it is taken or gets the stored answer.
+   * Guards against a bid that runs twice when a caller sends it to two instances at the same
+   * moment. Both instances append a claim, and the order of the log decides which one runs the bid.
+   * The other caller gets an error or the stored answer.
    */
   @Test
-  void oneOfTwoInstancesRunsABidThatBothAreGiven() {
+  void onlyOneOfTwoInstancesRunsABidSentToBoth() {
     List<FakeInstance> pair = fleet.startReady("r1", "r2");
     FakeCall one = bid(pair.getFirst(), "lot-4", "12 leva");
     FakeCall other = bid(pair.getLast(), "lot-4", "12 leva");
@@ -61,7 +62,10 @@
     assertEquals(7, fleet.budget().charged());
   }
 
-  /** The answer of a bid is on the ledger, so a repeat gets it also while the log is down. */
+  /**
+   * Guards against refusing a repeated bid while the log is down, although its answer is already in
+   * the ledger.
+   */
   @Test
   void aRepeatGetsTheStoredAnswerWhileTheLogIsDown() {
     List<FakeInstance> pair = fleet.startReady("r1", "r2");
@@ -96,7 +100,10 @@
     assertEquals(1, fleet.runCount());
   }
 
-  /** Without the log no claim can be confirmed, so a bid is refused at once and never sent. */
+  /**
+   * Guards against running a bid whose claim can't be confirmed because the log is down. The bid is
+   * refused at once.
+   */
   @Test
   void aBidIsNotRunWhileTheLogIsDown() {
     FakeInstance instance = fleet.startReady("r1").getFirst();
@@ -109,9 +116,12 @@
     assertEquals(1, fleet.runCount());
   }
 
-  /** A pause of the instance is no outage of the log: a bid that waits for it is run. */
+  /**
+   * Guards against mistaking a suspension of the process for an outage of the log. A bid that waits
+   * meanwhile is run.
+   */
   @Test
-  void aBidThatArrivesDuringAPauseIsRunAfterIt() {
+  void aBidThatArrivesDuringASuspensionIsRunAfterIt() {
     FakeInstance instance = fleet.startReady("r1").getFirst();
     ended(bid(instance, "lot-1", "1 lev"));
     instance.freeze();
@@ -123,9 +133,9 @@
   }
 
   /**
-   * The log turns slow, and a bid's claim is on its way as the caller's deadline passes: the caller
-   * is told that it was not run. The claim then comes back as won, and is released. The caller's
-   * next try runs it, once.
+   * Guards against a claim that blocks later tries of the caller. The log is slow, and the caller's
+   * deadline passes before the claim is read back, so the caller is told that the bid did not run.
+   * The claim is then read back as won and released, and the next try runs the bid once.
    */
   @Test
   void aClaimWonTooLateIsReleasedAndTheNextTryRuns() {
@@ -145,11 +155,11 @@
   }
 
   /**
-   * No desk takes connections, so a bid is refused as not run and its claim released. With the desk
-   * back, the caller's next try runs it.
+   * Guards against a claim that stays after no server received the bid. The bid is refused as not
+   * run and its claim is released, so the next try runs it once the server is back.
    */
   @Test
-  void aBidThatNoServerWasGivenMayBeSentAgain() {
+  void aBidThatNoServerReceivedMayBeSentAgain() {
     FakeInstance instance = fleet.startReady("r1").getFirst();
     fleet.serverOf("desk-a").gone = true;
     FakeCall first = ended(bid(instance, "lot-4", "12 leva"));
@@ -162,13 +172,13 @@
   }
 
   /**
-   * The desk dies with a bid in hand. Nobody knows whether it ran, so the caller is told so, and so
-   * is its next try, at any instance; the bid is not sent again.
+   * Guards against running a bid twice after its server crashed with the bid in flight. Whether the
+   * bid ran is unknown. The caller is told so, also on its next try at any instance.
    */
   @Test
   void aBidThatMayHaveRunIsNeverSentAgain() {
     List<FakeInstance> pair = fleet.startReady("r1", "r2");
-    fleet.serverOf("desk-a").perFrame = Duration.ofSeconds(5);
+    fleet.serverOf("desk-a").frameInterval = Duration.ofSeconds(5);
     FakeCall first = bid(pair.getFirst(), "lot-4", "12 leva");
     fleet.simulation().run(Duration.ofSeconds(1));
     fleet.serverOf("desk-a").crash();
@@ -182,13 +192,14 @@
   }
 
   /**
-   * The instance is killed after it sent a bid. Another tells the caller that the bid is taken, and
-   * after an operator has retired the killed run, that its outcome is unknown; it never runs again.
+   * Guards against running a bid twice after its instance was killed. Another instance reports that
+   * the bid is claimed, and that its outcome is unknown once an operator has retired the killed
+   * incarnation.
    */
   @Test
   void aBidOfAKilledInstanceIsNeverSentAgain() {
     List<FakeInstance> pair = fleet.startReady("r1", "r2");
-    fleet.serverOf("desk-a").perFrame = Duration.ofSeconds(2);
+    fleet.serverOf("desk-a").frameInterval = Duration.ofSeconds(2);
     FakeCall first = bid(pair.getFirst(), "lot-4", "12 leva");
     fleet.simulation().run(Duration.ofSeconds(1));
     pair.getFirst().kill();
@@ -203,13 +214,13 @@
   }
 
   /**
-   * The caller's connection breaks while its bid runs. The run goes on, and its answer is there for
-   * the caller's next try.
+   * Guards against losing the answer of a bid whose caller's connection broke while it ran. The run
+   * continues, and its answer is available for the caller's next try.
    */
   @Test
-  void theAnswerOfABidWhoseCallerIsGoneIsKeptForItsNextTry() {
+  void theAnswerOfABidWhoseCallerDisconnectedIsStoredForItsNextTry() {
     FakeInstance instance = fleet.startReady("r1").getFirst();
-    fleet.serverOf("desk-a").perFrame = Duration.ofSeconds(1);
+    fleet.serverOf("desk-a").frameInterval = Duration.ofSeconds(1);
     FakeCall first = bid(instance, "lot-4", "12 leva");
     fleet.simulation().run(Duration.ofMillis(500));
     instance.hangUp(first);
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/KeyedRequestTests.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/KeyedRequestTests.java
@@ -15,20 +15,20 @@
 
 class KeyedRequestTests {
   private static final Duration TIMEOUT = Duration.ofSeconds(20);
-  private static final int KEYS = 12;
+  private static final int KEY_COUNT = 12;
 
   /**
-   * A caller sends each draft through two instances at once under one key, and some land on two
-   * engines. Both callers get whole answers and each key is charged once. What the second engine
-   * used is counted as spent too: given back to the lease, it would be spent again beyond the
-   * budget.
+   * Guards against tokens that are not counted when a keyed request runs on two engines. A caller
+   * sends each draft through two instances at once under one key. Both callers get complete
+   * answers, and each key is charged once. The tokens used by the second engine must count as
+   * spent: if they were returned to the lease, they would be spent again beyond the budget.
    */
   @Test
-  void aKeyedRequestThatRanOnTwoEnginesIsChargedOnceAndSpentTwice() {
+  void aKeyedRequestThatRanOnTwoEnginesIsChargedOnceButItsTokensCountTwice() {
     FakeFleet fleet = FakeFleet.withBudget(4, 100_000);
     List<FakeInstance> pair = fleet.startReady("r1", "r2");
     List<FakeCall> calls = new ArrayList<>();
-    for (int key = 0; key < KEYS; key++) {
+    for (int key = 0; key < KEY_COUNT; key++) {
       for (FakeInstance instance : pair) {
         calls.add(instance.callModel("mill", "drafts", Optional.of("draft-" + key), TIMEOUT));
       }
@@ -39,10 +39,10 @@
     fleet.simulation().run(Duration.ofSeconds(10));
 
     calls.forEach(call -> assertTrue(call.whole(5), call::toString));
-    assertTrue(fleet.runCount() > KEYS, "runs were " + fleet.runCount());
+    assertTrue(fleet.runCount() > KEY_COUNT, "runs were " + fleet.runCount());
     AccountView budget = fleet.budget();
-    long perRun = fleet.tokensSpent() / fleet.runCount();
-    assertEquals(KEYS * perRun, budget.charged(), budget::toString);
+    long tokensPerRun = fleet.tokensSpent() / fleet.runCount();
+    assertEquals(KEY_COUNT * tokensPerRun, budget.charged(), budget::toString);
     long accounted = budget.charged() + budget.writtenOff();
     assertTrue(
         fleet.tokensSpent() <= accounted,
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/LifecycleTests.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/LifecycleTests.java
@@ -36,8 +36,9 @@
     private final FakeInstance instance = fleet.startReady("r1").getFirst();
 
     /**
-     * A drain is asked for in mid-stream. The stream goes on to its end, new callers are sent
-     * elsewhere, the lease goes back, and only then the process may end.
+     * Guards against a drain that cuts off a stream or stops too early. The open stream is
+     * completed, new callers are refused, the lease is returned, and only then may the process
+     * exit.
      */
     @Test
     void finishesStreamsReturnsLeasesAndStops() {
@@ -56,9 +57,12 @@
       assertTrue(fleet.ledger().ended(instance.incarnation()));
     }
 
-    /** With the log down the process still ends, after a bound; its lease stays on the ledger. */
+    /**
+     * Guards against a drain that waits for the log for ever. After a time-out the process exits,
+     * and its lease stays in the ledger.
+     */
     @Test
-    void stopsWithoutTheLogAfterABound() {
+    void stopsWithoutTheLogAfterATimeout() {
       ended(draft(instance));
       fleet.log().down = true;
       instance.deliver(new InstanceEvent.DrainRequested());
@@ -72,11 +76,12 @@
     private final List<FakeInstance> pair = fleet.startReady("r1", "r2");
 
     /**
-     * The log is down as an answer ends. The caller has it as soon as a peer holds the charge; then
-     * the instance is killed. The peer appends the charge once the log is back, and it counts once.
+     * Guards against a charge that is lost when its instance is killed while the log is down. The
+     * caller gets its answer once a peer stores the charge. The peer appends the charge when the
+     * log is back, and it counts once.
      */
     @Test
-    void ofAKilledInstanceAreAppendedByThePeerThatHoldsThem() {
+    void ofAKilledInstanceAreAppendedByThePeerThatStoresThem() {
       ended(draft(pair.getFirst()));
       fleet.simulation().run(Duration.ofSeconds(1));
       fleet.log().down = true;
@@ -92,8 +97,8 @@
     }
 
     /**
-     * An instance is frozen long enough that its peer appends its charges, and wakes up to append
-     * them too. Both say the same charge, which counts once.
+     * Guards against a charge that counts twice. An instance is suspended until its peer appends
+     * its charge, then resumes and appends the charge too.
      */
     @Test
     void thatTwoInstancesAppendCountOnce() {
@@ -111,9 +116,12 @@
       assertEquals(50, fleet.budget().charged());
     }
 
-    /** With the log down and no peer, the caller has its answer after a short bound. */
+    /**
+     * Guards against an answer that waits for ever because the log is down and no peer can store
+     * its charge. After a short time-out the caller receives it.
+     */
     @Test
-    void thatNobodyCanHoldDoNotKeepTheAnswerFromItsCaller() {
+    void thatNoPeerCanStoreDoNotWithholdTheAnswer() {
       ended(draft(pair.getFirst()));
       pair.getLast().kill();
       fleet.log().down = true;
@@ -127,11 +135,11 @@
   @Nested
   class Start {
     /**
-     * The log can't be read as an instance starts. It takes the state from a peer and serves with
-     * tokens drawn from it; when the log is back it reads on from there.
+     * Guards against an instance that can't start while the log is down. It takes the state from a
+     * peer and serves with tokens drawn from it. When the log is back, it reads on from that state.
      */
     @Test
-    void withoutTheLogTakesTheStateFromAPeer() {
+    void withoutTheLogRestoresTheStateOfAPeer() {
       FakeInstance old = fleet.startReady("r1").getFirst();
       ended(draft(old));
       fleet.log().down = true;
@@ -143,7 +151,9 @@
       assertEquals(50, fleet.budget().charged());
     }
 
-    /** Alone and without the log, an instance is not ready and says why. */
+    /**
+     * Checks that an instance without peers and without the log isn't ready and gives the reason.
+     */
     @Test
     void withoutLogAndPeersIsNotReady() {
       fleet.log().down = true;
@@ -155,15 +165,16 @@
   }
 
   /**
-   * An operator retires an instance that was only frozen, in mid-stream. Awake again, it reads that
-   * it has ended: it finishes its stream, takes no new work and stops; its charge still counts.
+   * Guards against lost streams and charges when an operator retires an instance that was only
+   * suspended. After resuming, the instance reads that it was retired, completes its stream,
+   * accepts no new work and stops. Its charge still counts.
    */
   @Test
   void aRetiredInstanceFinishesItsStreamsAndStops() {
     List<FakeInstance> pair = fleet.startReady("r1", "r2");
     for (String engine : List.of("engine-a", "engine-b")) {
       fleet.serverOf(engine).frames = 20;
-      fleet.serverOf(engine).perFrame = Duration.ofMillis(500);
+      fleet.serverOf(engine).frameInterval = Duration.ofMillis(500);
     }
     FakeCall open = draft(pair.getFirst());
     fleet.simulation().run(Duration.ofMillis(600));
@@ -184,9 +195,12 @@
     assertEquals(Optional.empty(), fleet.ledger().imbalance());
   }
 
-  /** One instance reads that a server leaves; its peer, whose list is old, stops sending too. */
+  /**
+   * Guards against new work for a leaving server from an instance whose list is out of date. The
+   * instance that reads the new list notifies its peer.
+   */
   @Test
-  void aLeavingServerIsRelayedToPeersWhoseListLags() {
+  void aLeavingServerIsReportedToPeersWithAnOldList() {
     List<FakeInstance> pair = fleet.startReady("r1", "r2");
     fleet.freezeListOf(pair.getLast());
     fleet.serverOf("engine-a").leaving = true;
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/OrderFaultTests.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/OrderFaultTests.java
@@ -20,20 +20,23 @@
 import org.teaseldeal.core.fake.FakeServer;
 import org.teaseldeal.core.part.InstanceParts;
 
-/** Orders under faults of every kind at random, several at once. */
+/** Checks orders to engines under several random faults at once. */
 class OrderFaultTests {
   private static final int SEEDS = 40;
   private static final int STEPS = 30;
 
-  /** The log is found again, a term is taken if need be, and each engine is asked and ordered. */
-  private static final Duration CONVERGENCE_BOUND = Duration.ofSeconds(20);
+  /**
+   * Covers reconnecting to the log, taking a term if necessary, and querying and ordering each
+   * engine.
+   */
+  private static final Duration CONVERGENCE_TIMEOUT = Duration.ofSeconds(20);
 
-  /** One run; engines check fencing or ignore it. */
+  /** One run with a seed, in which the engines either check fencing tokens or ignore them. */
   private static final class Run {
     private final long seed;
     private final FakeFleet fleet;
     private final RandomGenerator random;
-    private final List<FakeInstance> trio;
+    private final List<FakeInstance> instances;
     private final List<FakeServer> engines;
     private int version = 1;
 
@@ -42,64 +45,65 @@
       fleet = FakeFleet.withBudget(seed, 100_000);
       fleet.change(change);
       random = fleet.simulation().random();
-      trio = fleet.startReady("r1", "r2", "r3");
+      instances = fleet.startReady("r1", "r2", "r3");
       engines = List.of(fleet.serverOf("engine-a"), fleet.serverOf("engine-b"));
       engines.forEach(engine -> engine.checksFencing = checksFencing);
     }
 
-    private void play() {
-      fleet.publishModels(wanted());
+    private void runWithFaults() {
+      fleet.publishModels(desiredModels());
       for (int i = 0; i < STEPS; i++) {
         fleet.simulation().run(Duration.ofMillis(200 + random.nextInt(4000)));
-        fault();
+        injectFault();
       }
-      heal();
+      endFaults();
     }
 
-    private Map<String, String> wanted() {
+    private Map<String, String> desiredModels() {
       return Map.of("clerk", Integer.toString(version));
     }
 
-    private void fault() {
-      FakeInstance one = trio.get(random.nextInt(trio.size()));
-      FakeInstance other = trio.get(random.nextInt(trio.size()));
+    private void injectFault() {
+      FakeInstance one = instances.get(random.nextInt(instances.size()));
+      FakeInstance other = instances.get(random.nextInt(instances.size()));
       switch (random.nextInt(8)) {
         case 0 -> one.freeze();
-        case 1 -> one.freezesBeforeOrder = true;
+        case 1 -> one.suspendsBeforeOrder = true;
         case 2, 3 -> one.wake();
         case 4 -> fleet.log().down = !fleet.log().down;
         case 5 -> fleet.cut(one, other, random.nextBoolean());
         case 6 -> one.cutOffFromLog = random.nextBoolean();
         default -> {
           version++;
-          fleet.publishModels(wanted());
-          engines.getFirst().losesOrderAnswers = random.nextBoolean();
+          fleet.publishModels(desiredModels());
+          engines.getFirst().losesOrderResponses = random.nextBoolean();
         }
       }
     }
 
-    private void heal() {
+    private void endFaults() {
       fleet.log().down = false;
-      engines.forEach(engine -> engine.losesOrderAnswers = false);
-      for (FakeInstance instance : trio) {
-        instance.freezesBeforeOrder = false;
+      engines.forEach(engine -> engine.losesOrderResponses = false);
+      for (FakeInstance instance : instances) {
+        instance.suspendsBeforeOrder = false;
         instance.cutOffFromLog = false;
         instance.wake();
-        trio.forEach(other -> fleet.cut(instance, other, false));
+        instances.forEach(other -> fleet.cut(instance, other, false));
       }
     }
 
-    private boolean agree() {
-      return engines.stream().allMatch(engine -> engine.orderState().models().equals(wanted()));
+    private boolean enginesMatch() {
+      return engines.stream()
+          .allMatch(engine -> engine.orderState().models().equals(desiredModels()));
     }
 
-    private boolean converges() {
-      boolean agreed = fleet.simulation().runUntil(this::agree, CONVERGENCE_BOUND);
-      fleet.simulation().run(CONVERGENCE_BOUND);
-      return agreed && agree();
+    private boolean enginesConverge() {
+      boolean agreed = fleet.simulation().runUntil(this::enginesMatch, CONVERGENCE_TIMEOUT);
+      fleet.simulation().run(CONVERGENCE_TIMEOUT);
+      return agreed && enginesMatch();
     }
 
-    /** Terms under which more than one instance ordered. */
+    /** Returns the number of terms under which more than one instance sent orders. */
     private long sharedTerms() {
       Map<Long, Set<IncarnationId>> senders = new TreeMap<>();
       for (FakeServer engine : engines) {
@@ -110,7 +114,7 @@
       return senders.values().stream().filter(one -> one.size() > 1).count();
     }
 
-    private boolean sawALateOrder() {
+    private boolean sawLateOrder() {
       return engines.stream()
           .anyMatch(
               engine -> {
@@ -127,45 +131,47 @@
 
     @Override
     public String toString() {
-      return "seed %d, wanted %s, engines %s %s"
-          .formatted(seed, wanted(), engines.get(0).orderState(), engines.get(1).orderState());
+      return "seed %d, desired models %s, engines %s %s"
+          .formatted(
+              seed, desiredModels(), engines.get(0).orderState(), engines.get(1).orderState());
     }
   }
 
   /**
-   * Instances freeze, also between a decision and its order, are cut off from each other and from
-   * the log, the log goes down, answers are lost and settings change. No two order under one term,
-   * and once all is well the engines have what the settings say and keep it.
+   * Guards against orders from two instances under one term, and against engines that don't end up
+   * with the settings in force. Instances are suspended, also between a decision and its order, and
+   * cut off from each other and from the log, while the log goes down, answers are lost and
+   * settings change.
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void onlyTheHolderOrdersAndEnginesConverge(boolean checksFencing) {
-    int late = 0;
+  void onlyTheTermHolderSendsOrdersAndEnginesConverge(boolean checksFencing) {
+    int runsWithLateOrder = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
       Run run = new Run(seed, checksFencing, parts -> parts);
-      run.play();
-      assertTrue(run.converges(), run::toString);
+      run.runWithFaults();
+      assertTrue(run.enginesConverge(), run::toString);
       assertEquals(0, run.sharedTerms(), run::toString);
-      late += run.sawALateOrder() ? 1 : 0;
+      runsWithLateOrder += run.sawLateOrder() ? 1 : 0;
     }
-    assertTrue(late > 0, "no run had a late order, so none was put right");
+    assertTrue(runsWithLateOrder > 0, "no run had a late order, so no correction was tested");
   }
 
   @Test
-  void withoutTheRightOfTheHolderTheCheckReportsSharedTerms() {
-    Run run = new Run(1, false, parts -> parts.withOrderRight((holder, inContact) -> true));
-    run.play();
+  void withoutTheTermTheCheckReportsSharedTerms() {
+    Run run = new Run(1, false, parts -> parts.withOrderAuthority((holder, inContact) -> true));
+    run.runWithFaults();
     assertTrue(run.sharedTerms() > 0);
   }
 
   @Test
-  void withoutTheWatchTheCheckReportsThatEnginesDoNotConverge() {
-    long stuck = 0;
+  void withoutRepeatedQueriesTheCheckReportsThatEnginesDoNotConverge() {
+    long notConverged = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Run run = new Run(seed, false, parts -> parts.withOrderWatch(agreed -> !agreed));
-      run.play();
-      stuck += run.converges() ? 0 : 1;
+      Run run = new Run(seed, false, parts -> parts.withEngineRecheckRule(matched -> !matched));
+      run.runWithFaults();
+      notConverged += run.enginesConverge() ? 0 : 1;
     }
-    assertTrue(stuck > 0);
+    assertTrue(notConverged > 0);
   }
 }
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/OrderTests.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/OrderTests.java
@@ -26,14 +26,17 @@
 import org.teaseldeal.ledger.state.OrderTerm;
 
 class OrderTests {
-  /** The engines are asked every second; the rest are two round trips and the ticks. */
-  private static final Duration DEVIATION_BOUND = Duration.ofMillis(1200);
+  /** Each engine is queried every second. The rest covers two round trips and the ticks. */
+  private static final Duration DEVIATION_TIMEOUT = Duration.ofMillis(1200);
 
-  /** Silence of a peer, the grace of the first two ranks, an append, a question and an order. */
-  private static final Duration SUCCESSION_BOUND = Duration.ofSeconds(10);
+  /**
+   * Covers the silence time-out of a peer, the grace periods of the first two ranks, an append, a
+   * query and an order.
+   */
+  private static final Duration SUCCESSION_TIMEOUT = Duration.ofSeconds(10);
 
   private final FakeFleet fleet = FakeFleet.withBudget(1, 100_000);
-  private List<FakeInstance> trio = List.of();
+  private List<FakeInstance> instances = List.of();
 
   private void start(Map<String, String> models) {
     start(models, parts -> parts);
@@ -41,9 +44,9 @@
 
   private void start(Map<String, String> models, UnaryOperator<InstanceParts> change) {
     fleet.change(change);
-    trio = fleet.startReady("r1", "r2", "r3");
+    instances = fleet.startReady("r1", "r2", "r3");
     fleet.publishModels(models);
-    assertTrue(agreeWithin(models, SUCCESSION_BOUND), () -> engine("engine-a").toString());
+    assertTrue(enginesMatchWithin(models, SUCCESSION_TIMEOUT), () -> engine("engine-a").toString());
   }
 
   private FakeServer engine(String id) {
@@ -54,12 +57,12 @@
     return List.of(engine("engine-a"), engine("engine-b"));
   }
 
-  private boolean agree(Map<String, String> models) {
+  private boolean enginesMatch(Map<String, String> models) {
     return engines().stream().allMatch(engine -> engine.orderState().models().equals(models));
   }
 
-  private boolean agreeWithin(Map<String, String> models, Duration bound) {
-    return fleet.simulation().runUntil(() -> agree(models), bound);
+  private boolean enginesMatchWithin(Map<String, String> models, Duration bound) {
+    return fleet.simulation().runUntil(() -> enginesMatch(models), bound);
   }
 
   private OrderTerm term() {
@@ -67,7 +70,7 @@
   }
 
   private FakeInstance holder() {
-    return trio.stream()
+    return instances.stream()
         .filter(instance -> instance.incarnation().equals(term().holder()))
         .findFirst()
         .orElseThrow();
@@ -84,11 +87,13 @@
   }
 
   private long count(Counter counter) {
-    return trio.stream().mapToLong(instance -> instance.core().counters().value(counter)).sum();
+    return instances.stream()
+        .mapToLong(instance -> instance.core().counters().value(counter))
+        .sum();
   }
 
   @Test
-  void oneOfThreeInstancesOrdersAllThatTheSettingsSay() {
+  void oneOfThreeInstancesSendsAllOrders() {
     start(Map.of("clerk", "1"));
     run(20);
     Set<IncarnationId> senders =
@@ -102,46 +107,47 @@
   }
 
   @Test
-  void nothingIsAskedOrTakenWhileTheSettingsSayNothing() {
-    trio = fleet.startReady("r1", "r2", "r3");
+  void noEngineIsQueriedAndNoTermTakenWithoutModelSettings() {
+    instances = fleet.startReady("r1", "r2", "r3");
     run(20);
     assertTrue(fleet.ledger().orders().isEmpty());
     assertEquals(0, count(Counter.ORDER_STATES_ASKED));
   }
 
   @Test
-  void changedSettingsReachEveryEngineAndUnloadTheRest() {
+  void changedSettingsReachEveryEngineAndUnloadOldModels() {
     start(Map.of("clerk", "1"));
     fleet.publishModels(Map.of("clerk", "2", "small", "1"));
-    assertTrue(agreeWithin(Map.of("clerk", "2", "small", "1"), Duration.ofSeconds(2)));
+    assertTrue(enginesMatchWithin(Map.of("clerk", "2", "small", "1"), Duration.ofSeconds(2)));
     fleet.publishModels(Map.of("small", "1"));
-    assertTrue(agreeWithin(Map.of("small", "1"), Duration.ofSeconds(2)));
+    assertTrue(enginesMatchWithin(Map.of("small", "1"), Duration.ofSeconds(2)));
   }
 
   @Test
-  void anEngineThatIsAddedLaterIsOrderedToo() {
+  void anEngineAddedLaterReceivesOrders() {
     start(Map.of("clerk", "1"));
-    FakeServer late = fleet.addServer("engine-c", "engines");
+    FakeServer addedEngine = fleet.addServer("engine-c", "engines");
     assertTrue(
         fleet
             .simulation()
             .runUntil(
-                () -> late.orderState().models().equals(Map.of("clerk", "1")),
+                () -> addedEngine.orderState().models().equals(Map.of("clerk", "1")),
                 Duration.ofSeconds(2)));
   }
 
   /**
-   * An order takes effect and its answer is lost. The holder asks after its bound, sees that the
-   * engine agrees, and doesn't order again.
+   * Guards against repeated orders when an order takes effect but its answer is lost. The term
+   * holder queries the engine after the answer time-out, sees that its state matches, and sends
+   * nothing more.
    */
   @Test
-  void anOrderWhoseAnswerIsLostIsNotRepeatedOnceTheStateAgrees() {
+  void anOrderWithALostResponseIsNotRepeatedOnceTheStateMatches() {
     start(Map.of("clerk", "1"));
     run(2);
-    engines().forEach(engine -> engine.losesOrderAnswers = true);
+    engines().forEach(engine -> engine.losesOrderResponses = true);
     fleet.publishModels(Map.of("clerk", "2"));
     run(20);
-    assertTrue(agree(Map.of("clerk", "2")));
+    assertTrue(enginesMatch(Map.of("clerk", "2")));
     assertEquals(8, allOrders().size());
     assertTrue(
         holder().core().dump().orderPools().getFirst().engines().stream()
@@ -150,14 +156,17 @@
 
   @Nested
   class Succession {
-    /** The holder dies. One of the two others takes the next term and orders new settings. */
+    /**
+     * Guards against a pool without orders after the term holder was killed. One of the other two
+     * instances takes the next term and sends the orders for the new settings.
+     */
     @Test
-    void followsAHolderThatDies() {
+    void replacesAKilledHolder() {
       start(Map.of("clerk", "1"));
       OrderTerm first = term();
       holder().kill();
       fleet.publishModels(Map.of("clerk", "2"));
-      assertTrue(agreeWithin(Map.of("clerk", "2"), SUCCESSION_BOUND));
+      assertTrue(enginesMatchWithin(Map.of("clerk", "2"), SUCCESSION_TIMEOUT));
       assertNotEquals(first.holder(), term().holder());
       assertTrue(term().term() > first.term());
       run(20);
@@ -175,160 +184,173 @@
       return taken[0];
     }
 
-    /** A holder that drains orders nothing more, also while its streams go on. */
+    /** Guards against orders from a term holder that drains, even while its streams continue. */
     @Test
-    void followsAHolderThatDrains() {
+    void replacesADrainingHolder() {
       start(Map.of("clerk", "1"));
       FakeInstance first = holder();
       first.deliver(new InstanceEvent.DrainRequested());
       run(1);
       Instant drained = fleet.simulation().instant();
       fleet.publishModels(Map.of("clerk", "2"));
-      assertTrue(agreeWithin(Map.of("clerk", "2"), SUCCESSION_BOUND));
+      assertTrue(enginesMatchWithin(Map.of("clerk", "2"), SUCCESSION_TIMEOUT));
       assertTrue(
           allOrders().stream()
               .noneMatch(o -> o.at().isAfter(drained) && o.sender().equals(first.incarnation())));
     }
 
     /**
-     * The holder is cut off from the log alone: its peers hear it still, but it may not order. They
-     * see that it doesn't fold what they fold, and one of them succeeds it.
+     * Guards against a term holder that is cut off from the log alone and keeps its term. Its peers
+     * still receive its heartbeats but see that its log position stays behind, and one of them
+     * takes over.
      */
     @Test
-    void followsAHolderThatIsCutOffFromTheLog() {
+    void replacesAHolderThatIsCutOffFromTheLog() {
       start(Map.of("clerk", "1"));
       FakeInstance first = holder();
       first.cutOffFromLog = true;
-      run(1); // A read that waits at the log is still answered.
+      run(1); // A read that was already waiting at the log is still answered.
       fleet.publishModels(Map.of("clerk", "2"));
-      assertTrue(agreeWithin(Map.of("clerk", "2"), SUCCESSION_BOUND));
+      assertTrue(enginesMatchWithin(Map.of("clerk", "2"), SUCCESSION_TIMEOUT));
       assertNotEquals(first.incarnation(), term().holder());
     }
 
-    /** An operator retires the holder, which lives on; it reads so and orders nothing more. */
+    /**
+     * Guards against orders from a term holder that an operator retired while it is still running.
+     */
     @Test
-    void followsAHolderThatIsRetired() {
+    void replacesARetiredHolder() {
       start(Map.of("clerk", "1"));
       FakeInstance first = holder();
       fleet.log().write("ops", new Entry.Retire(first.incarnation(), "ops"));
       fleet.publishModels(Map.of("clerk", "2"));
-      assertTrue(agreeWithin(Map.of("clerk", "2"), SUCCESSION_BOUND));
+      assertTrue(enginesMatchWithin(Map.of("clerk", "2"), SUCCESSION_TIMEOUT));
       assertNotEquals(first.incarnation(), term().holder());
     }
   }
 
   /**
-   * With the log down settings can't change, and the holder can't know that it is the holder still.
-   * An engine that lost its models isn't ordered until the log is back.
+   * Guards against orders from an instance that can't know whether it still holds the term because
+   * the log is down. An engine that needs orders receives them only once the log is back.
    */
   @Test
-  void withoutTheLogNothingIsOrdered() {
+  void noOrdersAreSentWithoutTheLog() {
     start(Map.of("clerk", "1"));
     fleet.log().down = true;
     run(5);
     int before = allOrders().size();
-    FakeServer late = fleet.addServer("engine-c", "engines");
+    FakeServer addedEngine = fleet.addServer("engine-c", "engines");
     run(30);
     assertEquals(before, allOrders().size());
-    assertEquals(List.of(), late.orders());
+    assertEquals(List.of(), addedEngine.orders());
     fleet.log().down = false;
-    assertTrue(fleet.simulation().runUntil(() -> !late.orders().isEmpty(), Duration.ofSeconds(10)));
+    assertTrue(
+        fleet.simulation().runUntil(() -> !addedEngine.orders().isEmpty(), Duration.ofSeconds(10)));
   }
 
   @Nested
   class LateOrders {
     /**
-     * Version 2 is published, and the holder freezes between its decision and the sending. Another
-     * takes the next term and, by settings published since, orders version 3.
+     * Publishes version 2 and suspends the term holder between its decision and the sending of the
+     * order. Another instance takes the next term and sends orders for version 3, published in the
+     * meantime.
      */
-    private FakeInstance freezePastSuccession() {
-      FakeInstance frozen = holder();
-      frozen.freezesBeforeOrder = true;
+    private FakeInstance suspendPastSuccession() {
+      FakeInstance suspendedHolder = holder();
+      suspendedHolder.suspendsBeforeOrder = true;
       fleet.publishModels(Map.of("clerk", "2"));
       run(2);
       fleet.publishModels(Map.of("clerk", "3"));
-      assertTrue(agreeWithin(Map.of("clerk", "3"), SUCCESSION_BOUND));
-      assertNotEquals(frozen.incarnation(), term().holder());
+      assertTrue(enginesMatchWithin(Map.of("clerk", "3"), SUCCESSION_TIMEOUT));
+      assertNotEquals(suspendedHolder.incarnation(), term().holder());
       run(2);
-      return frozen;
+      return suspendedHolder;
     }
 
     private long ordersAfter(Instant from) {
       return allOrders().stream().filter(order -> !order.at().isBefore(from)).count();
     }
 
-    /** Awake, it sends the order for version 2; the engines refuse it by its number. */
+    /**
+     * Guards against a late order of an earlier term holder. After resuming, the holder sends its
+     * order for version 2, which the engines refuse because of its fencing token.
+     */
     @Test
-    void areRefusedByEnginesThatCheckFencing() {
+    void areRefusedByEnginesThatCheckFencingTokens() {
       start(Map.of("clerk", "1"));
-      FakeInstance frozen = freezePastSuccession();
-      frozen.wake();
+      FakeInstance suspendedHolder = suspendPastSuccession();
+      suspendedHolder.wake();
       fleet.simulation().run(Duration.ofMillis(50));
       assertEquals(2, allOrders().stream().filter(order -> !order.taken()).count());
-      assertTrue(agree(Map.of("clerk", "3")));
+      assertTrue(enginesMatch(Map.of("clerk", "3")));
       run(10);
-      assertTrue(agree(Map.of("clerk", "3")));
-      assertNotEquals(frozen.incarnation(), term().holder());
+      assertTrue(enginesMatch(Map.of("clerk", "3")));
+      assertNotEquals(suspendedHolder.incarnation(), term().holder());
     }
 
     /**
-     * Engines that ignore the number load version 2. The present holder sees that with its next
-     * question and orders version 3 again, within the bound; the woken one orders nothing more.
+     * Guards against a lasting deviation at engines that ignore fencing tokens and load version 2.
+     * The current holder notices it with its next query and restores version 3 within the bound.
+     * The resumed holder sends no further orders.
      */
     @Test
-    void areSetRightWithinTheBoundAtEnginesThatIgnoreFencing() {
+    void areCorrectedInTimeAtEnginesThatIgnoreFencingTokens() {
       engines().forEach(engine -> engine.checksFencing = false);
       start(Map.of("clerk", "1"));
-      FakeInstance frozen = freezePastSuccession();
-      frozen.wake();
+      FakeInstance suspendedHolder = suspendPastSuccession();
+      suspendedHolder.wake();
       fleet.simulation().run(Duration.ofMillis(5));
-      assertFalse(agree(Map.of("clerk", "3")));
+      assertFalse(enginesMatch(Map.of("clerk", "3")));
       Instant woken = fleet.simulation().instant();
-      assertTrue(agreeWithin(Map.of("clerk", "3"), DEVIATION_BOUND));
+      assertTrue(enginesMatchWithin(Map.of("clerk", "3"), DEVIATION_TIMEOUT));
       run(20);
-      assertTrue(agree(Map.of("clerk", "3")));
+      assertTrue(enginesMatch(Map.of("clerk", "3")));
       assertEquals(2, ordersAfter(woken));
       assertEquals(2, count(Counter.ORDER_DEVIATIONS));
     }
 
-    /** Without asking again engines that agreed, the late order stays. */
+    /** Shows that the deviation lasts if engines that once agreed aren't queried again. */
     @Test
-    void stayIfEnginesThatAgreedAreNotAskedAgain() {
+    void remainInEffectIfMatchingEnginesAreNotQueriedAgain() {
       engines().forEach(engine -> engine.checksFencing = false);
-      start(Map.of("clerk", "1"), parts -> parts.withOrderWatch(agreed -> !agreed));
-      FakeInstance frozen = freezePastSuccession();
-      frozen.wake();
+      start(Map.of("clerk", "1"), parts -> parts.withEngineRecheckRule(matched -> !matched));
+      FakeInstance suspendedHolder = suspendPastSuccession();
+      suspendedHolder.wake();
       run(20);
-      assertTrue(agree(Map.of("clerk", "2")));
+      assertTrue(enginesMatch(Map.of("clerk", "2")));
     }
 
     /**
-     * The holder freezes with an answer of the log waiting. Another takes the next term and orders
-     * newer settings, and the log goes down before the first one wakes. What waited looks fresh,
-     * but it orders nothing by its old settings.
+     * Guards against orders based on a log response that waited while the term holder was
+     * suspended. Another instance takes the next term and orders newer settings, and the log goes
+     * down before the first holder resumes. The queued response looks fresh, but the first holder
+     * must send no orders.
      */
     @Test
-    void areNotSentOnNewsThatWaitedWhileTheHolderWasFrozen() {
+    void areNotSentAfterASuspensionBecauseOfQueuedLogResponses() {
       start(Map.of("clerk", "1"));
-      FakeInstance frozen = holder();
-      frozen.freeze();
+      FakeInstance suspendedHolder = holder();
+      suspendedHolder.freeze();
       run(2);
       fleet.publishModels(Map.of("clerk", "2"));
-      assertTrue(agreeWithin(Map.of("clerk", "2"), SUCCESSION_BOUND));
+      assertTrue(enginesMatchWithin(Map.of("clerk", "2"), SUCCESSION_TIMEOUT));
       fleet.log().down = true;
       Instant down = fleet.simulation().instant();
-      frozen.wake();
+      suspendedHolder.wake();
       run(20);
       assertTrue(
           allOrders().stream()
-              .noneMatch(o -> o.at().isAfter(down) && o.sender().equals(frozen.incarnation())));
+              .noneMatch(
+                  o -> o.at().isAfter(down) && o.sender().equals(suspendedHolder.incarnation())));
     }
   }
 
-  /** If any instance may order, all three do, and go on without the log. */
+  /**
+   * Shows that all three instances send orders, even without the log, if the term is not required.
+   */
   @Test
-  void withoutTheRightOfTheHolderSeveralOrder() {
-    start(Map.of("clerk", "1"), parts -> parts.withOrderRight((holder, inContact) -> true));
+  void withoutTheTermSeveralInstancesSendOrders() {
+    start(Map.of("clerk", "1"), parts -> parts.withOrderAuthority((holder, inContact) -> true));
     run(5);
     Set<IncarnationId> senders =
         allOrders().stream().map(FakeServer.OrderSeen::sender).collect(Collectors.toSet());
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/RandomFaultTests.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/RandomFaultTests.java
@@ -7,23 +7,24 @@
 
 class RandomFaultTests {
   /**
-   * Callers of three instances while instances are killed, frozen and cut off, the log is down,
-   * slow or loses answers, and servers crash, fall silent or refuse, several at once. No caller
-   * gets two ends, a spliced answer, or "not run" for what ran; no bid runs twice; engines never
-   * use more than the budget holds.
+   * Guards against violations of the safety guarantees under several faults at once. Instances are
+   * killed, suspended and cut off, the log is down, slow or loses responses, and servers crash, go
+   * silent or refuse requests. No caller may get two final answers, a mixed answer, or "not run"
+   * for a request that ran. No bid may run twice, and engines may not use more tokens than the
+   * budget holds.
    */
   @Test
-  void nothingThatMustHoldBreaksUnderRandomFaults() {
-    TreeMap<String, Integer> ends = new TreeMap<>();
+  void safetyGuaranteesHoldUnderRandomFaults() {
+    TreeMap<String, Integer> outcomes = new TreeMap<>();
     for (long seed = 1; seed <= Long.getLong("teaseldeal.seeds", 60); seed++) {
-      RandomFaults trial = new RandomFaults(seed, parts -> parts);
-      trial.run();
-      trial.check();
-      trial.countEnds(ends);
+      RandomFaults faultRun = new RandomFaults(seed, parts -> parts);
+      faultRun.run();
+      faultRun.check();
+      faultRun.countOutcomes(outcomes);
     }
-    assertTrue(ends.getOrDefault("whole", 0) > 1_000, ends::toString);
+    assertTrue(outcomes.getOrDefault("complete", 0) > 1_000, outcomes::toString);
     if (Boolean.getBoolean("teaseldeal.print")) {
-      System.out.println(ends);
+      System.out.println(outcomes);
     }
   }
 }
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/RandomFaults.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/RandomFaults.java
@@ -25,22 +25,22 @@
 import org.teaseldeal.ledger.entry.Entry;
 import org.teaseldeal.ledger.state.AccountView;
 
-/** One fleet under faults drawn from a seed, and what its callers saw. */
+/** One fleet under faults drawn from a seed, and a record of what its callers saw. */
 final class RandomFaults {
-  private static final long TOP_UP = 500;
+  private static final long TOP_UP_TOKENS = 500;
   private static final AccountId TEAM = AccountId.parse("wool");
   private static final Duration TIMEOUT = Duration.ofSeconds(8);
   private static final List<String> SERVERS = List.of("engine-a", "engine-b", "desk-a", "desk-b");
 
-  /** A call with what it asked for. */
-  private static final class Sent {
+  /** A call and what the test sent with it. */
+  private static final class SentCall {
     private final FakeCall call;
     private final boolean model;
     private final Optional<String> key;
     private final FakeInstance instance;
-    private boolean hungUp;
+    private boolean disconnected;
 
-    private Sent(FakeInstance instance, FakeCall call, boolean model, Optional<String> key) {
+    private SentCall(FakeInstance instance, FakeCall call, boolean model, Optional<String> key) {
       this.instance = instance;
       this.call = call;
       this.model = model;
@@ -55,7 +55,7 @@
   private final FakeFleet fleet;
   private final RandomGenerator random;
   private final List<FakeInstance> instances;
-  private final List<Sent> sent = new ArrayList<>();
+  private final List<SentCall> sent = new ArrayList<>();
   private int keys;
 
   RandomFaults(long seed, UnaryOperator<InstanceParts> change) {
@@ -72,103 +72,104 @@
     for (int i = 0; i < 150; i++) {
       call();
       if (random.nextInt(6) == 0) {
-        fault();
+        injectFault();
       }
       fleet.simulation().run(Duration.ofMillis(random.nextInt(120)));
     }
-    heal();
+    endFaults();
     fleet.simulation().run(Duration.ofSeconds(150));
   }
 
-  private FakeInstance any() {
+  private FakeInstance anyInstance() {
     return instances.get(random.nextInt(instances.size()));
   }
 
   private void call() {
-    FakeInstance instance = any();
+    FakeInstance instance = anyInstance();
     switch (random.nextInt(4)) {
       case 0 -> {
         Optional<String> key = Optional.of("k" + (random.nextInt(3) == 0 ? keys : ++keys));
         FakeCall call = instance.callPlain("mill", "bids", key, TIMEOUT, key.get());
-        sent.add(new Sent(instance, call, false, key));
+        sent.add(new SentCall(instance, call, false, key));
       }
       case 1 -> {
         Optional<String> key = Optional.of("h" + (random.nextInt(3) == 0 ? keys : ++keys));
-        sent.add(new Sent(instance, instance.callModel("mill", "holds", key, TIMEOUT), true, key));
+        sent.add(
+            new SentCall(instance, instance.callModel("mill", "holds", key, TIMEOUT), true, key));
       }
       default -> {
         FakeCall call = instance.callModel("mill", "drafts", Optional.empty(), TIMEOUT);
-        Sent draft = new Sent(instance, call, true, Optional.empty());
+        SentCall draft = new SentCall(instance, call, true, Optional.empty());
         sent.add(draft);
         if (random.nextInt(8) == 0) {
-          Duration soon = Duration.ofMillis(random.nextInt(100));
-          draft.hungUp = true;
-          fleet.simulation().after(soon, () -> instance.hangUp(call));
+          Duration delay = Duration.ofMillis(random.nextInt(100));
+          draft.disconnected = true;
+          fleet.simulation().after(delay, () -> instance.hangUp(call));
         }
       }
     }
   }
 
-  private void fault() {
-    Duration lasting = Duration.ofMillis(random.nextInt(4_000));
+  private void injectFault() {
+    Duration faultDuration = Duration.ofMillis(random.nextInt(4_000));
     switch (random.nextInt(12)) {
       case 0 -> {
         fleet.log().down = true;
-        fleet.simulation().after(lasting, () -> fleet.log().down = false);
+        fleet.simulation().after(faultDuration, () -> fleet.log().down = false);
       }
       case 1 -> {
         fleet.log().losesAnswers = true;
-        fleet.simulation().after(lasting, () -> fleet.log().losesAnswers = false);
+        fleet.simulation().after(faultDuration, () -> fleet.log().losesAnswers = false);
       }
       case 2 -> {
         fleet.log().oneWay = Duration.ofMillis(random.nextInt(700));
-        fleet.simulation().after(lasting, () -> fleet.log().oneWay = Duration.ofMillis(2));
+        fleet.simulation().after(faultDuration, () -> fleet.log().oneWay = Duration.ofMillis(2));
       }
       case 3 -> {
-        FakeInstance instance = any();
+        FakeInstance instance = anyInstance();
         instance.freeze();
-        fleet.simulation().after(lasting, instance::wake);
+        fleet.simulation().after(faultDuration, instance::wake);
       }
       case 4 -> {
-        FakeInstance one = any();
-        FakeInstance other = any();
+        FakeInstance one = anyInstance();
+        FakeInstance other = anyInstance();
         fleet.cut(one, other, true);
-        fleet.simulation().after(lasting, () -> fleet.cut(one, other, false));
+        fleet.simulation().after(faultDuration, () -> fleet.cut(one, other, false));
       }
       case 5 -> replace();
       case 6 -> {
         FakeServer server = anyServer();
         server.crash();
-        fleet.simulation().after(lasting, () -> server.gone = false);
+        fleet.simulation().after(faultDuration, () -> server.gone = false);
       }
       case 7 -> {
         FakeServer server = anyServer();
         server.silent = true;
-        fleet.simulation().after(lasting, () -> server.silent = false);
+        fleet.simulation().after(faultDuration, () -> server.silent = false);
       }
       case 8 -> {
-        FakeInstance instance = any();
+        FakeInstance instance = anyInstance();
         instance.deliver(new InstanceEvent.DrainRequested());
-        replaceWhenStopped(instance);
+        replaceOnceStopped(instance);
       }
       case 9 -> {
-        // An operator takes a frozen instance for gone.
-        FakeInstance instance = any();
+        // An operator retires an instance that is only suspended.
+        FakeInstance instance = anyInstance();
         instance.freeze();
         retired.add(instance);
         fleet.log().write("ops", new Entry.Retire(instance.incarnation(), "ops"));
-        fleet.simulation().after(lasting, instance::wake);
-        replaceWhenStopped(instance);
+        fleet.simulation().after(faultDuration, instance::wake);
+        replaceOnceStopped(instance);
       }
       case 10 -> {
-        granted += TOP_UP;
+        granted += TOP_UP_TOKENS;
         String operation = "top-up-" + granted;
-        fleet.log().write("ops", new Entry.TopUp(TEAM, TOP_UP, "ops", operation));
+        fleet.log().write("ops", new Entry.TopUp(TEAM, TOP_UP_TOKENS, "ops", operation));
       }
       default -> {
         FakeServer server = anyServer();
         server.refuses = true;
-        fleet.simulation().after(lasting, () -> server.refuses = false);
+        fleet.simulation().after(faultDuration, () -> server.refuses = false);
       }
     }
   }
@@ -178,25 +179,25 @@
   }
 
   private void replace() {
-    int which = random.nextInt(instances.size());
-    instances.get(which).kill();
-    killed.add(instances.get(which));
-    instances.set(which, fleet.start("r" + (which + 1), "hal-nord"));
+    int index = random.nextInt(instances.size());
+    instances.get(index).kill();
+    killed.add(instances.get(index));
+    instances.set(index, fleet.start("r" + (index + 1), "hal-nord"));
   }
 
-  private void replaceWhenStopped(FakeInstance instance) {
-    int which = instances.indexOf(instance);
-    if (which < 0) {
+  private void replaceOnceStopped(FakeInstance instance) {
+    int index = instances.indexOf(instance);
+    if (index < 0) {
       return;
     }
     if (instance.stopped()) {
-      instances.set(which, fleet.start("r" + (which + 1), "hal-nord"));
+      instances.set(index, fleet.start("r" + (index + 1), "hal-nord"));
     } else {
-      fleet.simulation().after(Duration.ofMillis(100), () -> replaceWhenStopped(instance));
+      fleet.simulation().after(Duration.ofMillis(100), () -> replaceOnceStopped(instance));
     }
   }
 
-  private void heal() {
+  private void endFaults() {
     fleet.log().down = false;
     fleet.log().losesAnswers = false;
     fleet.log().oneWay = Duration.ofMillis(2);
@@ -205,51 +206,51 @@
 
   void check() {
     AccountView budget = fleet.budget();
-    String where = "seed %d: ".formatted(seed);
-    assertEquals(Optional.empty(), fleet.ledger().imbalance(), where + "the ledger");
-    assertTrue(budget.remaining() >= 0, where + budget);
+    String prefix = "seed %d: ".formatted(seed);
+    assertEquals(Optional.empty(), fleet.ledger().imbalance(), prefix + "ledger out of balance");
+    assertTrue(budget.remaining() >= 0, prefix + budget);
     long spent = fleet.tokensSpent();
     long accounted = budget.charged() + budget.writtenOff() + budget.leased();
-    assertTrue(spent <= granted, where + "spent " + spent + " of " + granted);
-    assertTrue(spent <= accounted, where + "spent " + spent + ", " + budget);
-    assertTrue(budget.charged() <= spent, where + "spent " + spent + ", " + budget);
+    assertTrue(spent <= granted, prefix + "spent " + spent + " of " + granted);
+    assertTrue(spent <= accounted, prefix + "spent " + spent + ", " + budget);
+    assertTrue(budget.charged() <= spent, prefix + "spent " + spent + ", " + budget);
     Map<String, Integer> charges = fleet.chargesByRequest();
-    charges.forEach((request, count) -> assertEquals(1, count, where + request));
-    fleet.keyedRuns().forEach((key, runs) -> assertEquals(1, runs, where + key));
-    for (Sent each : sent) {
-      checkCall(where, each, charges);
+    charges.forEach((request, count) -> assertEquals(1, count, prefix + request));
+    fleet.keyedRuns().forEach((key, runs) -> assertEquals(1, runs, prefix + key));
+    for (SentCall sentCall : sent) {
+      checkCall(prefix, sentCall, charges);
     }
   }
 
-  private void checkCall(String where, Sent each, Map<String, Integer> charges) {
-    FakeCall call = each.call;
-    assertTrue(call.ends() <= 1, where + call);
-    assertTrue(call.ended() || each.hungUp, where + call);
+  private void checkCall(String prefix, SentCall sentCall, Map<String, Integer> charges) {
+    FakeCall call = sentCall.call;
+    assertTrue(call.ends() <= 1, prefix + call);
+    assertTrue(call.ended() || sentCall.disconnected, prefix + call);
     if (call.usage().isPresent()) {
-      assertTrue(call.whole(5), where + call);
+      assertTrue(call.whole(5), prefix + call);
     }
-    if (!each.model && call.plainBody().isPresent()) {
-      assertEquals("done " + each.key.orElseThrow(), call.plainBody().get(), where + call);
+    if (!sentCall.model && call.plainBody().isPresent()) {
+      assertEquals("done " + sentCall.key.orElseThrow(), call.plainBody().get(), prefix + call);
     }
-    if (answered(call) && !chargesMayBeLost(each.instance)) {
+    if (answered(call) && !chargesMayBeLost(sentCall.instance)) {
       String request = call.request().orElseThrow().value();
-      assertTrue(charges.containsKey(request), where + "no charge of " + call);
+      assertTrue(charges.containsKey(request), prefix + "no charge of " + call);
     }
     if (call.problem().map(problem -> problem.run() == RunStatus.NOT_RUN).orElse(false)) {
       RequestId request = call.request().orElseThrow();
-      assertEquals(0, fleet.runsOf(request), where + call);
+      assertEquals(0, fleet.runsOf(request), prefix + call);
     }
   }
 
-  /** Counts how the calls ended into {@code counts}. */
-  void countEnds(TreeMap<String, Integer> counts) {
-    sent.forEach(each -> counts.merge(kind(each.call), 1, Integer::sum));
+  /** Adds the number of calls per kind of ending to {@code counts}. */
+  void countOutcomes(TreeMap<String, Integer> counts) {
+    sent.forEach(sentCall -> counts.merge(outcome(sentCall.call), 1, Integer::sum));
   }
 
   /**
-   * A killed instance takes charges with it that neither the log nor a peer had. A retired one
-   * hands all of its charges to peers, which may be killed in turn, or have nobody to hand them to
-   * when all of them are retired at once.
+   * Returns whether charges of {@code instance} may be lost. A killed instance loses the charges
+   * that neither the log nor a peer has. A retired instance hands all of its charges to peers.
+   * These may be killed in turn, or no peer is available because all instances are retired at once.
    */
   private boolean chargesMayBeLost(FakeInstance instance) {
     boolean peersMayEnd = !killed.isEmpty() || retired.size() >= instances.size();
@@ -260,9 +261,9 @@
     return call.usage().isPresent() || call.plainBody().isPresent();
   }
 
-  private static String kind(FakeCall call) {
+  private static String outcome(FakeCall call) {
     if (answered(call)) {
-      return "whole";
+      return "complete";
     }
     return call.error().map(Enum::name).orElse(call.ended() ? "connection lost" : "open");
   }
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/RemovedPartTests.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/RemovedPartTests.java
@@ -20,10 +20,10 @@
 import org.teaseldeal.core.part.InstanceParts;
 import org.teaseldeal.ledger.outcome.Outcome;
 
-/** Takes one part out at a time and sees what it prevents. */
+/** Replaces one policy at a time with a weaker one and shows which fault it prevents. */
 class RemovedPartTests {
   private static final Duration TIMEOUT = Duration.ofSeconds(20);
-  private static final int MOST_SEEDS = 40;
+  private static final int MAX_SEEDS = 40;
 
   private final FakeFleet fleet = FakeFleet.withBudget(1, 100_000);
 
@@ -36,9 +36,9 @@
     assertTrue(ended, call::toString);
   }
 
-  /** The first thing that the checks report over the seeds. */
-  private static String reported(UnaryOperator<InstanceParts> change) {
-    for (long seed = 1; seed <= MOST_SEEDS; seed++) {
+  /** Returns the first violation that the checks report over the seeds. */
+  private static String firstViolation(UnaryOperator<InstanceParts> change) {
+    for (long seed = 1; seed <= MAX_SEEDS; seed++) {
       RandomFaults trial = new RandomFaults(seed, change);
       trial.run();
       try {
@@ -47,13 +47,13 @@
         return String.valueOf(e.getMessage());
       }
     }
-    return "nothing";
+    return "no violation";
   }
 
-  /** A late frame of another answer is passed on: the caller's answer is spliced. */
+  /** Shows that a late frame of another answer reaches the caller if frames aren't filtered. */
   @Test
-  void withoutTheFilterOfFramesAnAnswerIsSpliced() {
-    fleet.change(parts -> parts.withFrames((expected, position) -> FrameFilter.Verdict.NEXT));
+  void withoutTheFrameFilterAnAnswerIsMixed() {
+    fleet.change(parts -> parts.withFrameFilter((expected, position) -> FrameFilter.Verdict.NEXT));
     FakeInstance instance = fleet.startReady("r1").getFirst();
     FakeCall call = draft(instance);
     fleet.simulation().runUntil(() -> call.frames().size() >= 2, Duration.ofSeconds(5));
@@ -64,7 +64,7 @@
     assertFalse(call.whole(5), call::toString);
   }
 
-  /** Both instances take their claims as won at once, and both send the bid. */
+  /** Shows that both instances run a bid if they don't read their claims back. */
   @Test
   void withoutReadingClaimsBackABidRunsTwice() {
     fleet.change(
@@ -84,21 +84,21 @@
 
   @Test
   void withoutReadingClaimsBackTheChecksReportASecondRun() {
-    String report =
-        reported(
+    String violation =
+        firstViolation(
             parts ->
                 parts.withClaims(
                     (claim, ledger, then) -> {
                       ledger.submit(claim, outcome -> {});
                       then.accept(new Outcome.ClaimWon(claim.key()));
                     }));
-    assertTrue(report.contains("expected: <1>"), report);
+    assertTrue(violation.contains("expected: <1>"), violation);
   }
 
-  /** A stale list revives a server that leaves, and it is given work. */
+  /** Shows that a leaving server is given work again if a stale list may bring it back. */
   @Test
-  void withoutTheMemoryOfLeavingServersAStaleListRevivesThem() {
-    fleet.change(parts -> parts.withLeaving((known, listed) -> known.retainAll(listed)));
+  void withoutTheLeavingServerRuleAStaleListReactivatesThem() {
+    fleet.change(parts -> parts.withLeavingServerRule((known, listed) -> known.retainAll(listed)));
     FakeInstance instance = fleet.startReady("r1").getFirst();
     fleet.serverOf("engine-a").leaving = true;
     fleet.simulation().run(Duration.ofSeconds(1));
@@ -110,86 +110,97 @@
     assertTrue(fleet.serverOf("engine-a").runCount() > 0);
   }
 
-  /** With one token set aside for each request, callers at once use more than was granted. */
+  /**
+   * Shows that concurrent callers overspend the budget if only one token is reserved per request.
+   */
   @Test
   void withoutWorstCaseReservationsTheChecksReportOverspending() {
-    String report = reported(parts -> parts.withReservations((payload, service, cap) -> 1));
-    assertTrue(report.contains("spent"), report);
+    String violation =
+        firstViolation(parts -> parts.withReservations((payload, service, cap) -> 1));
+    assertTrue(violation.contains("spent"), violation);
   }
 
   /**
-   * A stream is given up at its deadline. Its tokens are freed at once, go back to the budget, and
-   * what the engine used is counted nowhere.
+   * Shows that tokens go unaccounted for if the reservation of an abandoned run is released at
+   * once. A stream is abandoned at its deadline, its tokens return to the budget, and the ledger
+   * never records what the engine used.
    */
   @Test
-  void withoutKeptReservationsOfAbandonedRunsTokensAreCountedNowhere() {
-    assertTrue(uncountedAfterADeadline(parts -> parts) <= 0);
-    assertTrue(uncountedAfterADeadline(parts -> parts.withAbandonedRuns(() -> false)) > 0);
+  void withoutTheAbandonedRunRuleTokensAreUnaccounted() {
+    assertTrue(unaccountedAfterADeadline(parts -> parts) <= 0);
+    assertTrue(unaccountedAfterADeadline(parts -> parts.withAbandonedRunRule(() -> false)) > 0);
   }
 
-  /** Tokens that engines used and the ledger shows neither as charged nor as written off. */
-  private static long uncountedAfterADeadline(UnaryOperator<InstanceParts> change) {
-    FakeFleet late = FakeFleet.withBudget(3, 100_000);
-    late.change(change);
-    FakeInstance instance = late.startReady("r1").getFirst();
-    late.serverOf("engine-a").perFrame = Duration.ofMillis(400);
-    late.serverOf("engine-b").perFrame = Duration.ofMillis(400);
+  /**
+   * Returns how many tokens the engines used that the ledger shows neither as charged nor as
+   * written off.
+   */
+  private static long unaccountedAfterADeadline(UnaryOperator<InstanceParts> change) {
+    FakeFleet fleetWithSlowEngines = FakeFleet.withBudget(3, 100_000);
+    fleetWithSlowEngines.change(change);
+    FakeInstance instance = fleetWithSlowEngines.startReady("r1").getFirst();
+    fleetWithSlowEngines.serverOf("engine-a").frameInterval = Duration.ofMillis(400);
+    fleetWithSlowEngines.serverOf("engine-b").frameInterval = Duration.ofMillis(400);
     FakeCall call = instance.callModel("mill", "drafts", Optional.empty(), Duration.ofSeconds(1));
-    late.simulation().runUntil(call::ended, Duration.ofSeconds(5));
-    late.simulation().run(Duration.ofSeconds(60));
-    assertEquals(0, late.budget().leased());
-    return late.tokensSpent() - late.budget().charged() - late.budget().writtenOff();
+    fleetWithSlowEngines.simulation().runUntil(call::ended, Duration.ofSeconds(5));
+    fleetWithSlowEngines.simulation().run(Duration.ofSeconds(60));
+    assertEquals(0, fleetWithSlowEngines.budget().leased());
+    return fleetWithSlowEngines.tokensSpent()
+        - fleetWithSlowEngines.budget().charged()
+        - fleetWithSlowEngines.budget().writtenOff();
   }
 
   @Test
-  void withoutTheRuleOfRerunsTheChecksReportASecondRun() {
-    String report = reported(parts -> parts.withReruns(service -> true));
-    assertTrue(report.contains("expected: <1>"), report);
+  void withoutTheRerunRuleTheChecksReportASecondRun() {
+    String violation = firstViolation(parts -> parts.withReruns(service -> true));
+    assertTrue(violation.contains("expected: <1>"), violation);
   }
 
   /**
-   * Messages between instances take so long that a draw is asked for twice, and answered twice. The
-   * receiver credits both answers, and the two instances hold more than the ledger has leased.
+   * Shows that tokens are duplicated if repeated replies are credited. Peer messages take so long
+   * that a draw is requested twice and answered twice. The two instances then hold more tokens than
+   * the ledger has leased.
    */
   @Test
-  void withoutTheMemoryOfCreditsARepeatedReplyIsCreditedTwice() {
-    assertTrue(heldAfterARepeatedReply(parts -> parts) <= 0);
+  void withoutTransferDeduplicationARepeatedReplyIsCreditedTwice() {
+    assertTrue(excessTokensAfterARepeatedReply(parts -> parts) <= 0);
     assertTrue(
-        heldAfterARepeatedReply(
-                parts -> parts.withCredits((transfers, number) -> transfers.get(number)))
+        excessTokensAfterARepeatedReply(
+                parts ->
+                    parts.withTransferDeduplication((transfers, number) -> transfers.get(number)))
             > 0);
   }
 
-  /** How many more tokens two instances hold than the ledger has leased and not seen charged. */
-  private static long heldAfterARepeatedReply(UnaryOperator<InstanceParts> change) {
-    FakeFleet slow = FakeFleet.withBudget(3, 100_000);
-    slow.change(change);
-    List<FakeInstance> pair = slow.startReady("r1", "r2");
+  /** Returns how many more tokens the two instances hold than the ledger has leased. */
+  private static long excessTokensAfterARepeatedReply(UnaryOperator<InstanceParts> change) {
+    FakeFleet fleetWithSlowPeers = FakeFleet.withBudget(3, 100_000);
+    fleetWithSlowPeers.change(change);
+    List<FakeInstance> pair = fleetWithSlowPeers.startReady("r1", "r2");
     FakeCall first = draft(pair.getFirst());
-    slow.simulation().runUntil(first::ended, Duration.ofSeconds(10));
-    slow.simulation().run(Duration.ofSeconds(1));
-    slow.log().down = true;
-    slow.simulation().run(Duration.ofSeconds(5));
-    slow.peerDelay = Duration.ofMillis(400);
-    FakeInstance without =
+    fleetWithSlowPeers.simulation().runUntil(first::ended, Duration.ofSeconds(10));
+    fleetWithSlowPeers.simulation().run(Duration.ofSeconds(1));
+    fleetWithSlowPeers.log().down = true;
+    fleetWithSlowPeers.simulation().run(Duration.ofSeconds(5));
+    fleetWithSlowPeers.peerDelay = Duration.ofMillis(400);
+    FakeInstance emptyInstance =
         pair.stream()
             .filter(i -> i.core().dump().budgets().stream().allMatch(b -> b.idle() < 100))
             .findFirst()
             .orElseThrow();
-    draft(without);
-    slow.simulation().run(Duration.ofSeconds(5));
+    draft(emptyInstance);
+    fleetWithSlowPeers.simulation().run(Duration.ofSeconds(5));
     long held =
         pair.stream()
             .flatMap(instance -> instance.core().dump().budgets().stream())
             .mapToLong(budget -> budget.idle() + budget.reserved())
             .sum();
-    return held - slow.budget().leased();
+    return held - fleetWithSlowPeers.budget().leased();
   }
 
-  /** A request that ends engines is tried until none is left. */
+  /** Shows that a request which crashes engines is tried until no engine is left. */
   @Test
-  void withoutQuarantineARequestEndsEveryEngine() {
-    fleet.change(parts -> parts.withQuarantine(suspect -> false));
+  void withoutQuarantineARequestCrashesEveryEngine() {
+    fleet.change(parts -> parts.withQuarantineRule(suspect -> false));
     FakeInstance instance = fleet.startReady("r1").getFirst();
     for (String engine : List.of("engine-a", "engine-b")) {
       fleet.serverOf(engine).endsOn = "prompt of -";
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/ServingTests.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/ServingTests.java
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void keepsTheAnswersOfTwoCallersApart() {
+    void doesNotMixTheAnswersOfTwoCallers() {
       FakeCall one = instance.callModel("mill", "drafts", NO_KEY, TIMEOUT);
       FakeCall other = instance.callModel("exporter", "wool/drafts", NO_KEY, TIMEOUT);
       untilEnded(one, other);
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void givesACallerThatWantsOneBodyAllFramesAtOnce() {
+    void sendsAllFramesTogetherToACallerThatWantsOneBody() {
       Payload payload = new Payload.ModelCall(new byte[] {1}, 40, OptionalLong.of(3), false);
       FakeCall call = instance.call("mill", "drafts", NO_KEY, TIMEOUT, payload);
       fleet.simulation().run(Duration.ofMillis(60));
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void givesTheSameCommandsForTheSameSeed() {
+    void producesTheSameCommandsForTheSameSeed() {
       List<String> first = transcriptOfSeed(7);
       assertEquals(first, transcriptOfSeed(7));
       assertEquals(5, first.stream().filter(line -> line.contains("FinishStream")).count());
@@ -101,9 +101,12 @@
     }
   }
 
-  /** Every team is on one of several streams, its settings and budget with it. */
+  /**
+   * Guards against wrong charges when the ledger has several streams. A team's settings and budget
+   * are together on one of the streams.
+   */
   @Test
-  void aLedgerOfSeveralStreamsServesAndChargesAlike() {
+  void aLedgerWithSeveralStreamsChargesCorrectly() {
     FakeFleet spread = FakeFleet.withBudget(1, 100_000, 5);
     List<FakeInstance> pair = spread.startReady("r1", "r2");
     for (int i = 0; i < 6; i++) {
@@ -127,7 +130,7 @@
     }
 
     @Test
-    void nameWhatIsWrongWithTheToken() {
+    void nameTheProblemOfTheToken() {
       assertEquals(ErrorKind.UNAUTHENTICATED, refusal("", "drafts", NO_KEY));
       assertEquals(ErrorKind.UNAUTHENTICATED, refusal("stolen", "drafts", NO_KEY));
       assertEquals(ErrorKind.FORBIDDEN, refusal("exporter", "holds", Optional.of("k")));
@@ -135,8 +138,8 @@
     }
 
     /**
-     * Other teams list the digest of the mill's token as their own. The mill's calls still reach
-     * the mill's team and are charged to it.
+     * Guards against other teams diverting calls by listing the digest of the mill's token as their
+     * own. The mill's calls still reach the mill's team and are charged to it.
      */
     @Test
     void areNotCausedByOtherTeamsThatListTheSameDigest() {
@@ -153,7 +156,7 @@
     }
 
     @Test
-    void nameWhatIsWrongWithTheRequest() {
+    void nameTheProblemOfTheRequest() {
       assertEquals(ErrorKind.UNKNOWN_SERVICE, refusal("mill", "nothing", NO_KEY));
       assertEquals(ErrorKind.UNKNOWN_SERVICE, refusal("mill", "rates", NO_KEY));
       assertEquals(ErrorKind.MISSING_KEY, refusal("mill", "holds", NO_KEY));
@@ -161,7 +164,7 @@
     }
 
     @Test
-    void sayThatMoreOutputIsAskedForThanAllowed() {
+    void reportAnOutputCapAboveTheLimit() {
       Payload payload = new Payload.ModelCall(new byte[] {1}, 40, OptionalLong.of(61), true);
       FakeCall call = instance.call("mill", "drafts", NO_KEY, TIMEOUT, payload);
       untilEnded(call);
@@ -169,7 +172,7 @@
     }
 
     @Test
-    void comeFromAnInstanceThatHasNotCaughtUp() {
+    void areSentByAnInstanceThatIsNotReady() {
       fleet.log().down = true;
       FakeInstance late = fleet.start("r2", "hal-syd");
       FakeCall call = late.callModel("mill", "drafts", NO_KEY, TIMEOUT);
@@ -184,8 +187,8 @@
     private final FakeInstance instance = fleet.startReady("r1").getFirst();
 
     /**
-     * The platform lists engine-a as leaving, then a stale copy of the list shows it live again.
-     * Callers are served by engine-b alone all the while.
+     * Guards against new work for a leaving server. The platform lists engine-a as leaving, and
+     * then a stale copy of the list shows it as live again. Only engine-b may serve the callers.
      */
     @Test
     void thatLeaveGetNoNewWorkEvenIfAStaleListShowsThemLive() {
@@ -201,7 +204,7 @@
     }
 
     @Test
-    void thatRefuseConnectionsAreTriedAroundWithoutTheCallerNoticing() {
+    void thatRefuseConnectionsAreSkippedWithoutAnError() {
       fleet.serverOf("engine-a").gone = true;
       for (int i = 0; i < 6; i++) {
         FakeCall call = instance.callModel("mill", "drafts", NO_KEY, TIMEOUT);
@@ -211,11 +214,12 @@
     }
 
     /**
-     * Most desks are gone while the list still names them, and many callers come at once. Each is
-     * served by what is left: what was never sent counts against no share of retries.
+     * Guards against refusals caused by the retry budget. Most plain servers are gone while the
+     * list still contains them, and many callers arrive at once. Refused connections don't count as
+     * retries, so the remaining server serves every caller.
      */
     @Test
-    void thatRefuseConnectionsTurnNoCallerAwayHoweverManyCome() {
+    void thatRefuseConnectionsDoNotUseUpTheRetryBudget() {
       for (int i = 0; i < 5; i++) {
         fleet.addServer("desk-gone-" + i, "desks").gone = true;
       }
@@ -231,7 +235,7 @@
     }
 
     @Test
-    void thatAreFullLetRequestsWaitForTheirTurn() {
+    void thatAreFullMakeRequestsWait() {
       FakeCall[] calls = new FakeCall[40];
       for (int i = 0; i < calls.length; i++) {
         calls[i] = instance.callModel("mill", "drafts", NO_KEY, TIMEOUT);
@@ -243,7 +247,7 @@
     }
 
     @Test
-    void thatAreAllGoneFromTheListMeanARefusalThatSaysNotRun() {
+    void thatAreAllLeavingCauseARefusalAsNotRun() {
       fleet.serverOf("engine-a").leaving = true;
       fleet.serverOf("engine-b").leaving = true;
       fleet.simulation().run(Duration.ofSeconds(1));
@@ -253,9 +257,9 @@
       assertEquals(0, fleet.runCount());
     }
 
-    /** The frames of a run are as the engine's, whoever reads them. */
+    /** Guards against frames that name another request than the caller's own. */
     @Test
-    void giveFramesThatNameTheirRequest() {
+    void sendFramesThatNameTheirRequest() {
       FakeCall call = instance.callModel("mill", "drafts", NO_KEY, TIMEOUT);
       untilEnded(call);
       String first = new String(FakeServer.frame(call.request().orElseThrow(), 0));
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/StreamTests.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/StreamTests.java
@@ -32,7 +32,7 @@
     return call;
   }
 
-  private void untilFrames(FakeCall call, int count) {
+  private void runUntilFrames(FakeCall call, int count) {
     boolean there =
         fleet.simulation().runUntil(() -> call.frames().size() >= count, Duration.ofSeconds(10));
     assertTrue(there, call::toString);
@@ -45,13 +45,13 @@
   }
 
   /**
-   * Frames of an attempt that nobody knows, and repeated and skipped positions of the right one,
-   * arrive in mid-stream. The caller gets its own frames, each once, in order.
+   * Guards against late and misdirected frames in a caller's answer. Frames of an unknown attempt,
+   * and repeated and skipped positions of the right one, arrive in mid-stream.
    */
   @Test
-  void lateAndCrossedFramesNeverReachACaller() {
+  void lateAndMisdirectedFramesNeverReachACaller() {
     FakeCall call = draft();
-    untilFrames(call, 2);
+    runUntilFrames(call, 2);
     AttemptId mine = new AttemptId(instance.incarnation(), 1);
     AttemptId strange = new AttemptId(instance.incarnation(), 99);
     byte[] other = FakeServer.frame(new RequestId("another"), 2);
@@ -64,19 +64,19 @@
   }
 
   /**
-   * A connection goes silent in mid-stream, as if something between had forgotten it, while new
-   * ones work. The answer is resumed on a new connection from the exact position; the caller only
-   * sees a pause, and pays once.
+   * Guards against a lost or repeated part of an answer when a connection goes silent in mid-stream
+   * while new connections work. The answer is resumed on a new connection from the exact position,
+   * and the caller pays once.
    */
   @Test
   void aSilentStreamIsResumedFromTheExactPosition() {
     FakeCall call = draft();
-    untilFrames(call, 2);
+    runUntilFrames(call, 2);
     FakeServer runner = runner();
     runner.silent = true;
     fleet.simulation().run(Duration.ofMillis(1_500));
     runner.silent = false;
-    // The old connection is lost for good: only a new one can bring the rest.
+    // The old connection is lost for good, so only a new one can deliver the rest.
     runner.forgetConnections();
     ended(call);
     assertTrue(call.whole(5), call::toString);
@@ -87,13 +87,14 @@
   }
 
   /**
-   * The engine dies in mid-stream. What the caller has can't be continued elsewhere, so the stream
-   * ends as visibly broken; its tokens are written off, not charged.
+   * Guards against an incomplete answer that looks complete when its engine crashes in mid-stream.
+   * What the caller has received can't be continued elsewhere, so the stream ends with an error.
+   * Its tokens are written off and not charged.
    */
   @Test
-  void aStreamWhoseEngineDiesIsBrokenVisibly() {
+  void aStreamWhoseEngineCrashesEndsWithAnError() {
     FakeCall call = draft();
-    untilFrames(call, 2);
+    runUntilFrames(call, 2);
     runner().crash();
     ended(call);
     assertEquals(Optional.of(ErrorKind.STREAM_BROKEN), call.error());
@@ -103,11 +104,14 @@
     assertEquals(100, fleet.budget().writtenOff());
   }
 
-  /** The engine dies before the first frame: an idempotent request is run elsewhere, whole. */
+  /**
+   * Guards against an error that a retry can avoid: the engine crashes before the first frame, and
+   * the idempotent request runs on another engine.
+   */
   @Test
-  void anEngineThatDiesBeforeTheFirstFrameIsReplacedUnnoticed() {
-    fleet.serverOf("engine-a").perFrame = Duration.ofMillis(500);
-    fleet.serverOf("engine-b").perFrame = Duration.ofMillis(500);
+  void anEngineThatCrashesBeforeTheFirstFrameIsReplaced() {
+    fleet.serverOf("engine-a").frameInterval = Duration.ofMillis(500);
+    fleet.serverOf("engine-b").frameInterval = Duration.ofMillis(500);
     FakeCall call = draft();
     fleet.simulation().run(Duration.ofMillis(300));
     FakeServer first = runner();
@@ -119,13 +123,13 @@
   }
 
   /**
-   * The caller hangs up in mid-stream. The engine is told to stop, and what it had used by then is
-   * charged, not the whole reservation.
+   * Guards against a run that continues after its caller closed the connection in mid-stream. The
+   * engine is told to stop, and only the tokens used so far are charged, not the whole reservation.
    */
   @Test
-  void aCallerThatHangsUpStopsTheEngineAndPaysWhatWasUsed() {
+  void aDisconnectedCallerStopsTheEngineAndIsChargedForTheUsage() {
     FakeCall call = draft();
-    untilFrames(call, 2);
+    runUntilFrames(call, 2);
     instance.hangUp(call);
     fleet.simulation().run(Duration.ofSeconds(2));
     assertTrue(runner().cancelled(call.request().orElseThrow()));
@@ -135,28 +139,31 @@
   }
 
   /**
-   * Two calls with one key are joined to one run at an engine, and the first caller hangs up. The
-   * run goes on for the second, which gets its whole answer.
+   * Guards against cutting off a caller that shares a run. Two calls with one idempotency key are
+   * joined to one run at an engine, and the first caller closes its connection.
    */
   @Test
-  void aCallerThatHangsUpDoesNotBreakAnotherThatSharesItsRun() {
+  void aDisconnectedCallerDoesNotCutOffAnotherCallerOfTheSameRun() {
     fleet.serverOf("engine-b").leaving = true;
     fleet.simulation().run(Duration.ofSeconds(1));
     Optional<String> key = Optional.of("draft-7");
     FakeCall first = instance.callModel("mill", "drafts", key, TIMEOUT);
     FakeCall second = instance.callModel("mill", "drafts", key, TIMEOUT);
-    untilFrames(second, 2);
+    runUntilFrames(second, 2);
     instance.hangUp(first);
     ended(second);
     assertTrue(second.whole(5), second::toString);
     assertEquals(1, fleet.runCount());
   }
 
-  /** The deadline passes in mid-stream: the caller is told, and the engine is stopped. */
+  /**
+   * Guards against a stream that silently continues past its deadline: the caller gets an error and
+   * the engine is told to stop.
+   */
   @Test
-  void aStreamPastItsDeadlineEndsWithSayingSo() {
-    fleet.serverOf("engine-a").perFrame = Duration.ofMillis(400);
-    fleet.serverOf("engine-b").perFrame = Duration.ofMillis(400);
+  void aStreamPastItsDeadlineEndsWithAnError() {
+    fleet.serverOf("engine-a").frameInterval = Duration.ofMillis(400);
+    fleet.serverOf("engine-b").frameInterval = Duration.ofMillis(400);
     FakeCall call = instance.callModel("mill", "drafts", Optional.empty(), Duration.ofSeconds(1));
     ended(call);
     assertEquals(Optional.of(ErrorKind.DEADLINE_PASSED), call.error());
@@ -166,11 +173,12 @@
   }
 
   /**
-   * A request ends every engine that runs it, and its caller sends it again through another
-   * instance. After two engines it is refused everywhere, and the third engine lives on.
+   * Guards against a request that crashes every engine that runs it, while its caller sends it
+   * again through another instance. After two engines it is refused everywhere, and the third
+   * engine survives.
    */
   @Test
-  void aRequestThatEndsEnginesIsQuarantinedFleetWide() {
+  void aRequestThatCrashesEnginesIsQuarantinedFleetWide() {
     FakeInstance second = fleet.startReady("r2").getFirst();
     FakeServer third = fleet.addServer("engine-c", "engines");
     fleet.serverOf("engine-a").endsOn = "prompt of -";
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/fake/FakeCall.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/fake/FakeCall.java
@@ -12,7 +12,7 @@
 import org.teaseldeal.api.Usage;
 import org.teaseldeal.core.CallId;
 
-/** One call as its caller saw it. */
+/** A call as its caller saw it. */
 public final class FakeCall {
   private final CallId id;
   private final List<String> frames = new ArrayList<>();
@@ -32,26 +32,26 @@
     return id;
   }
 
-  void onFrame(RequestId of, byte[] data) {
-    request = of;
+  void onFrame(RequestId requestId, byte[] data) {
+    request = requestId;
     frames.add(new String(data, UTF_8));
   }
 
-  void onFinish(RequestId of, Usage reported) {
-    request = of;
+  void onFinish(RequestId requestId, Usage reported) {
+    request = requestId;
     usage = reported;
     ends++;
   }
 
-  void onPlain(RequestId of, byte[] body) {
-    request = of;
+  void onPlain(RequestId requestId, byte[] body) {
+    request = requestId;
     plainBody = new String(body, UTF_8);
     ends++;
   }
 
-  void onProblem(RequestId of, Problem given, boolean afterFrames) {
-    request = of;
-    problem = given;
+  void onProblem(RequestId requestId, Problem received, boolean afterFrames) {
+    request = requestId;
+    problem = received;
     broken = afterFrames;
     ends++;
   }
@@ -60,12 +60,14 @@
     connectionLost = ends == 0;
   }
 
-  /** Whether the caller has its final answer, or lost its connection before. */
+  /**
+   * Returns whether the caller has received its final answer or lost its connection before that.
+   */
   public boolean ended() {
     return ends > 0 || connectionLost;
   }
 
-  /** Final answers; more than one is a fault. */
+  /** Returns the number of final answers. More than one is a fault. */
   public int ends() {
     return ends;
   }
@@ -98,14 +100,17 @@
     return List.copyOf(frames);
   }
 
-  /** Whether the caller has exactly the {@code count} frames of its own request, and the end. */
+  /**
+   * Returns whether the caller received exactly the {@code count} frames of its own request and the
+   * end of the answer.
+   */
   public boolean whole(long count) {
-    RequestId of = request;
-    if (of == null || usage == null || frames.size() != count) {
+    RequestId requestId = request;
+    if (requestId == null || usage == null || frames.size() != count) {
       return false;
     }
     for (int i = 0; i < count; i++) {
-      if (!frames.get(i).equals(new String(FakeServer.frame(of, i), UTF_8))) {
+      if (!frames.get(i).equals(new String(FakeServer.frame(requestId, i), UTF_8))) {
         return false;
       }
     }
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/fake/FakeFleet.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/fake/FakeFleet.java
@@ -41,12 +41,13 @@
 import org.teaseldeal.wire.gen.peer.Message;
 
 /**
- * Several instances in one process with a log, a network between them, backend servers and callers.
+ * Several instances in one process, with a log, a network between them, backend servers and
+ * callers.
  *
  * <p>Team {@code wool} has the services {@code drafts} (model, idempotent), {@code holds} (model,
  * not idempotent), {@code bids} (plain, not idempotent, 7 tokens a call) and {@code rates} (plain,
- * idempotent); its customers {@code mill} and {@code exporter} have their names as tokens, and
- * {@code exporter} may call {@code drafts} alone.
+ * idempotent). The tokens of its customers {@code mill} and {@code exporter} are their names, and
+ * {@code exporter} may call {@code drafts} only.
  */
 public final class FakeFleet {
   public static final String MILL = "mill";
@@ -65,12 +66,12 @@
   private final Set<String> cutLinks = new TreeSet<>();
   private final Map<String, Integer> runs = new TreeMap<>();
 
-  private final Set<String> frozenLists = new TreeSet<>();
+  private final Set<String> instancesWithFrozenList = new TreeSet<>();
 
-  /** Time that a message takes from instance to instance. */
+  /** Time that a message takes from one instance to another. */
   public Duration peerDelay = Duration.ofMillis(1);
 
-  /** Tells whether a message from one address to another is lost. */
+  /** Whether all messages between instances are lost. */
   public boolean losesPeerMessages;
 
   public FakeFleet(long seed) {
@@ -84,17 +85,19 @@
     log = new FakeLog(simulation);
   }
 
-  /** A fleet with settings and a budget of {@code tokens}, two engines and one desk. */
+  /**
+   * Creates a fleet with settings and a budget of {@code tokens}, two engines and one plain server.
+   */
   public static FakeFleet withBudget(long seed, long tokens) {
     return withBudget(seed, tokens, 1);
   }
 
-  /** The same on a ledger of {@code streams} streams. */
+  /** Creates such a fleet with a ledger of {@code streams} streams. */
   public static FakeFleet withBudget(long seed, long tokens, int streams) {
     return withBudget(seed, tokens, streams, FakeSettings.fleet(8));
   }
 
-  /** The same with a lease policy of its own. */
+  /** Creates such a fleet with the given lease policy. */
   public static FakeFleet withBudget(long seed, long tokens, LeasePolicySettings lease) {
     return withBudget(seed, tokens, 1, FakeSettings.fleet(8, lease));
   }
@@ -169,22 +172,25 @@
     return parts;
   }
 
-  /** Gives instances that start from now on other parts, to see what the usual ones prevent. */
+  /**
+   * Changes the policies of instances that start from now on, to show which faults the standard
+   * policies prevent.
+   */
   public void change(UnaryOperator<InstanceParts> change) {
     parts = change.apply(parts);
   }
 
-  /** Starts an instance, or a new run of one; it ticks from now on. */
+  /** Starts an instance, or a new incarnation of one, and schedules its ticks. */
   public FakeInstance start(String name, String dataCentre) {
     int run = runs.merge(name, 1, Integer::sum);
     FakeInstance instance = new FakeInstance(this, name, dataCentre, run, streams.count());
     instances.put(name, instance);
-    tick(instance);
-    list(instance);
+    scheduleTick(instance);
+    scheduleListRead(instance);
     return instance;
   }
 
-  /** Starts {@code names}, all in one data centre, and waits until they are ready. */
+  /** Starts the instances {@code names}, all in one data centre, and waits until they are ready. */
   public List<FakeInstance> startReady(String... names) {
     List<FakeInstance> started =
         java.util.Arrays.stream(names).map(name -> start(name, "hal-nord")).toList();
@@ -192,29 +198,30 @@
         simulation.runUntil(
             () -> started.stream().allMatch(i -> i.core().ready()), Duration.ofSeconds(20));
     if (!ready) {
-      throw new IllegalStateException("Not ready: " + started.getFirst().core().dump().readiness());
+      throw new IllegalStateException(
+          "instances did not become ready: " + started.getFirst().core().dump().readiness());
     }
     simulation.run(Duration.ofSeconds(1));
     return started;
   }
 
-  private void tick(FakeInstance instance) {
+  private void scheduleTick(FakeInstance instance) {
     simulation.after(
         TICK,
         () -> {
           if (instance.alive()) {
             instance.step();
-            tick(instance);
+            scheduleTick(instance);
           }
         });
   }
 
-  private void list(FakeInstance instance) {
+  private void scheduleListRead(FakeInstance instance) {
     simulation.after(
         Duration.ofMillis(1),
         () -> {
-          if (frozenLists.contains(instance.address())) {
-            simulation.after(LIST_INTERVAL, () -> list(instance));
+          if (instancesWithFrozenList.contains(instance.address())) {
+            simulation.after(LIST_INTERVAL, () -> scheduleListRead(instance));
           } else if (instance.alive()) {
             instance.deliver(
                 new InstanceEvent.ListRead(
@@ -223,22 +230,22 @@
                         .map(FakeInstance::listed)
                         .toList(),
                     servers.values().stream().map(FakeServer::listed).toList()));
-            simulation.after(LIST_INTERVAL, () -> list(instance));
+            simulation.after(LIST_INTERVAL, () -> scheduleListRead(instance));
           }
         });
   }
 
-  /** Keeps {@code instance} from reading the platform's list from now on. */
+  /** Prevents {@code instance} from reading the platform's list from now on. */
   public void freezeListOf(FakeInstance instance) {
-    frozenLists.add(instance.address());
+    instancesWithFrozenList.add(instance.address());
   }
 
-  /** Lets {@code instance} read the list again. */
+  /** Allows {@code instance} to read the platform's list again. */
   public void thawListOf(FakeInstance instance) {
-    frozenLists.remove(instance.address());
+    instancesWithFrozenList.remove(instance.address());
   }
 
-  /** Two operators publish the fleet's subtree on the same base. */
+  /** Publishes the fleet's settings subtree by two operators, both based on the same revision. */
   public void raceFleetSettings(String one, String other) {
     long base = ledger().subtree(SubtreeId.FLEET).orElseThrow().revision();
     for (String operator : List.of(one, other)) {
@@ -247,7 +254,9 @@
     }
   }
 
-  /** Publishes the ordinary settings, and {@code models} for each engine to have. */
+  /**
+   * Publishes the standard settings with {@code models} as the models that each engine should have.
+   */
   public void publishModels(Map<String, String> models) {
     long base = ledger().subtree(SubtreeId.FLEET).orElseThrow().revision();
     String text = settings.put(FakeSettings.withModels(models));
@@ -258,9 +267,9 @@
     return ledger().subtree(SubtreeId.FLEET).orElseThrow().toml();
   }
 
-  /** Everything that the fold of the whole log made of its entries, in order. */
+  /** Passes every outcome of the whole log to {@code each}, in order. */
   public void outcomes(Consumer<Settled> each) {
-    fold(each);
+    readLog(each);
   }
 
   public FakeServer addServer(String id, String pool) {
@@ -269,7 +278,7 @@
     return server;
   }
 
-  /** The server with the id {@code id}. */
+  /** Returns the server with the id {@code id}. */
   public FakeServer serverOf(String id) {
     return server(id + ":1");
   }
@@ -277,7 +286,7 @@
   FakeServer server(String address) {
     FakeServer server = servers.get(address);
     if (server == null) {
-      throw new IllegalStateException("No server has the address " + address);
+      throw new IllegalStateException("no server has the address " + address);
     }
     return server;
   }
@@ -286,7 +295,7 @@
     servers.values().forEach(server -> server.drop(attempt));
   }
 
-  /** Cuts the two instances off from each other, or joins them again. */
+  /** Cuts the link between two instances, or restores it. */
   public void cut(FakeInstance one, FakeInstance other, boolean cut) {
     for (String link :
         List.of(one.address() + ">" + other.address(), other.address() + ">" + one.address())) {
@@ -314,15 +323,15 @@
         });
   }
 
-  /** The ledger as a reader of the whole log sees it. */
+  /** Returns the ledger state after reading the whole log. */
   public LedgerState ledger() {
-    return fold(settled -> {});
+    return readLog(settled -> {});
   }
 
-  /** How often each request was charged, by request id. */
+  /** Returns how often each request was charged, by request id. */
   public Map<String, Integer> chargesByRequest() {
     Map<String, Integer> charges = new TreeMap<>();
-    fold(
+    readLog(
         settled -> {
           if (settled.outcome() instanceof Outcome.Charged charged) {
             charges.merge(charged.request().value(), 1, Integer::sum);
@@ -331,7 +340,7 @@
     return charges;
   }
 
-  private LedgerState fold(Consumer<Settled> each) {
+  private LedgerState readLog(Consumer<Settled> each) {
     LedgerFold fold = new LedgerFold(streams.of(WOOL), KeyRules.DEFAULT, settings);
     for (LogRecord record : log.records(streams.of(WOOL))) {
       fold.fold(record).forEach(each);
@@ -339,17 +348,17 @@
     return fold.state();
   }
 
-  /** The budget of the team. */
+  /** Returns the budget of team {@code wool}. */
   public AccountView budget() {
     return ledger().account(AccountId.of(WOOL)).orElseThrow();
   }
 
-  /** Runs of all servers together. */
+  /** Returns the number of runs on all servers. */
   public int runCount() {
     return servers.values().stream().mapToInt(FakeServer::runCount).sum();
   }
 
-  /** Tokens that all runs have used, answered or not; a plain call costs 7. */
+  /** Returns the tokens used by all runs, whether answered or not. A plain call costs 7. */
   public long tokensSpent() {
     long plain =
         servers.values().stream()
@@ -359,14 +368,17 @@
     return 7 * plain + servers.values().stream().mapToLong(FakeServer::tokensSpent).sum();
   }
 
-  /** How often {@code request} was run, on whichever servers. */
+  /** Returns how often {@code request} ran, on all servers together. */
   public int runsOf(RequestId request) {
     return servers.values().stream()
         .mapToInt(server -> server.starts().getOrDefault(request.value(), 0))
         .sum();
   }
 
-  /** Runs of each keyed request over all servers; every keyed call here is non-idempotent. */
+  /**
+   * Returns the runs of each keyed request on all servers. Every keyed call in these tests is
+   * non-idempotent.
+   */
   public Map<String, Integer> keyedRuns() {
     Map<String, Integer> sums = new TreeMap<>();
     for (FakeServer server : servers.values()) {
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/fake/FakeInstance.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/fake/FakeInstance.java
@@ -22,10 +22,10 @@
 import org.teaseldeal.core.event.InstanceEvent;
 
 /**
- * An instance in a fake fleet: its core, and what carries out the core's commands.
+ * An instance in a fake fleet: its core, and the code that carries out the core's commands.
  *
- * <p>A frozen instance takes in nothing until it wakes; then everything that came meanwhile is
- * there at once. A killed one loses everything.
+ * <p>A suspended instance processes nothing until it resumes, and then receives everything that
+ * arrived in the meantime at once. A killed instance loses all its state.
  */
 public final class FakeInstance {
   private enum State {
@@ -42,10 +42,12 @@
   private final List<String> transcript = new ArrayList<>();
   private final Deque<InstanceCommand.SendOrder> unsentOrders = new ArrayDeque<>();
 
-  /** Whether it freezes between its next decision to send an order and the sending. */
-  public boolean freezesBeforeOrder;
+  /**
+   * Whether the instance is suspended between its next decision to send an order and the sending.
+   */
+  public boolean suspendsBeforeOrder;
 
-  /** Whether its calls of the log fail. */
+  /** Whether the instance's calls of the log fail. */
   public boolean cutOffFromLog;
 
   private State state = State.RUNNING;
@@ -78,7 +80,7 @@
     return config.peerAddress();
   }
 
-  /** Everything that the core wanted done, as text, to compare two runs of one seed. */
+  /** Returns all commands of the core as text, for comparing two runs with the same seed. */
   public List<String> transcript() {
     return transcript;
   }
@@ -87,12 +89,12 @@
     return new ListedInstance(config.instance(), address(), config.dataCentre(), false);
   }
 
-  /** Whether its process is there, frozen or not. */
+  /** Returns whether the process exists, suspended or not. */
   public boolean alive() {
     return state != State.ENDED;
   }
 
-  /** Whether the core said that the process may end. */
+  /** Returns whether the core has allowed the process to exit. */
   public boolean stopped() {
     return stopped;
   }
@@ -109,7 +111,7 @@
     }
   }
 
-  /** Ends the process at once; its callers lose their connections. */
+  /** Kills the process at once. Its callers lose their connections. */
   public void kill() {
     state = State.ENDED;
     inbox.clear();
@@ -122,7 +124,7 @@
     }
   }
 
-  /** A model call of 40 input tokens at most. */
+  /** Sends a model call with at most 40 input tokens. */
   public FakeCall callModel(String token, String service, Optional<String> key, Duration timeout) {
     byte[] body =
         ("prompt of " + key.orElse("-")).getBytes(java.nio.charset.StandardCharsets.UTF_8);
@@ -130,7 +132,7 @@
     return call(token, service, key, timeout, payload);
   }
 
-  /** A call of a plain service whose body is {@code text}. */
+  /** Sends a call of a plain service with {@code text} as the body. */
   public FakeCall callPlain(
       String token, String service, Optional<String> key, Duration timeout, String text) {
     byte[] body = text.getBytes(java.nio.charset.StandardCharsets.UTF_8);
@@ -154,7 +156,7 @@
     return call;
   }
 
-  /** The caller closes its connection. */
+  /** Closes the caller's connection. */
   public void hangUp(FakeCall call) {
     deliver(new InstanceEvent.CallerGone(call.id()));
   }
@@ -168,12 +170,12 @@
     }
     core.tick();
     for (InstanceCommand command : core.drainCommands()) {
-      transcript.add(text(command));
+      transcript.add(describe(command));
       carryOut(command);
     }
   }
 
-  private String text(InstanceCommand command) {
+  private String describe(InstanceCommand command) {
     return fleet.simulation().instant() + " " + FakeFleet.describe(command);
   }
 
@@ -208,8 +210,8 @@
   }
 
   private void sendOrder(InstanceCommand.SendOrder order) {
-    if (freezesBeforeOrder) {
-      freezesBeforeOrder = false;
+    if (suspendsBeforeOrder) {
+      suspendsBeforeOrder = false;
       freeze();
     }
     if (state == State.FROZEN) {
@@ -222,7 +224,7 @@
   private FakeCall call(CallId id) {
     FakeCall call = calls.get(id.number());
     if (call == null) {
-      throw new IllegalStateException("An answer went to %s, which was never made".formatted(id));
+      throw new IllegalStateException("received an answer for unknown call %s".formatted(id));
     }
     return call;
   }
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/fake/FakeLog.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/fake/FakeLog.java
@@ -15,7 +15,7 @@
 import org.teaseldeal.ledger.codec.BatchCodec;
 import org.teaseldeal.ledger.entry.Entry;
 
-/** The platform's log in memory; its faults are fields that may be set at any time. */
+/** The platform's log in memory. Its faults are fields that may be set at any time. */
 public final class FakeLog {
   private static final int MAX_RECORDS = 100;
   private static final Duration LONG_POLL = Duration.ofMillis(500);
@@ -28,10 +28,10 @@
   /** Whether every call fails. */
   public boolean down;
 
-  /** Whether records are taken, but their writers told of a failure. */
+  /** Whether records are stored but their writers receive an error. */
   public boolean losesAnswers;
 
-  /** How long a call takes there, and as long back. */
+  /** The time that a call takes to reach the log, and its response to come back. */
   public Duration oneWay = Duration.ofMillis(2);
 
   private long appends;
@@ -40,7 +40,7 @@
     this.simulation = simulation;
   }
 
-  /** Appends of all writers so far. */
+  /** Returns the number of appends of all writers so far. */
   public long appends() {
     return appends;
   }
@@ -49,37 +49,37 @@
     return streams.computeIfAbsent(stream, s -> new ArrayList<>());
   }
 
-  /** Carries out a command of an instance. */
+  /** Carries out a log command of an instance. */
   public void carryOut(LogCommand command, Consumer<LogEvent> answer) {
     carryOut(command, false, answer);
   }
 
-  /** Carries out a command, or with {@code cutOff} lets it fail. */
+  /** Carries out a log command, or makes it fail if {@code cutOff} is true. */
   void carryOut(LogCommand command, boolean cutOff, Consumer<LogEvent> answer) {
     simulation.after(
         oneWay,
         () -> {
           switch (command) {
             case LogCommand.Append append when cutOff || down ->
-                back(answer, new LogEvent.AppendFailed(append.stream(), append.token(), "503"));
+                respond(answer, new LogEvent.AppendFailed(append.stream(), append.token(), "503"));
             case LogCommand.Append append -> append(append, answer);
             case LogCommand.Read read when cutOff ->
-                back(answer, new LogEvent.ReadFailed(read.stream(), read.fromOffset(), "503"));
+                respond(answer, new LogEvent.ReadFailed(read.stream(), read.fromOffset(), "503"));
             case LogCommand.Read read -> read(read, answer, simulation.instant().plus(LONG_POLL));
           }
         });
   }
 
   private void append(LogCommand.Append append, Consumer<LogEvent> answer) {
-    long offset = take(append.stream(), append.payload());
-    back(
+    long offset = store(append.stream(), append.payload());
+    respond(
         answer,
         losesAnswers
             ? new LogEvent.AppendFailed(append.stream(), append.token(), "time-out")
             : new LogEvent.AppendAnswered(append.stream(), append.token(), offset));
   }
 
-  private long take(StreamId stream, byte[] payload) {
+  private long store(StreamId stream, byte[] payload) {
     List<LogRecord> records = records(stream);
     appends++;
     records.add(new LogRecord(records.size(), simulation.instant(), payload.clone()));
@@ -89,7 +89,7 @@
   private void read(LogCommand.Read read, Consumer<LogEvent> answer, java.time.Instant until) {
     StreamId stream = read.stream();
     if (down) {
-      back(answer, new LogEvent.ReadFailed(stream, read.fromOffset(), "503"));
+      respond(answer, new LogEvent.ReadFailed(stream, read.fromOffset(), "503"));
       return;
     }
     List<LogRecord> records = records(stream);
@@ -100,23 +100,23 @@
     }
     int to = Math.min(records.size(), from + MAX_RECORDS);
     List<LogRecord> page = from >= to ? List.of() : records.subList(from, to);
-    back(answer, new LogEvent.RecordsRead(stream, read.fromOffset(), page, 0, records.size()));
+    respond(answer, new LogEvent.RecordsRead(stream, read.fromOffset(), page, 0, records.size()));
   }
 
-  private void back(Consumer<LogEvent> answer, LogEvent event) {
+  private void respond(Consumer<LogEvent> answer, LogEvent event) {
     simulation.after(oneWay, () -> answer.accept(event));
   }
 
-  /** Appends entries of an operator to the first stream at once, faults or not. */
+  /** Appends entries of an operator to the first stream at once, regardless of faults. */
   public void write(String writer, Entry... entries) {
     write(new StreamId(0), writer, entries);
   }
 
-  /** Appends entries of an operator at once, faults or not. */
+  /** Appends entries of an operator at once, regardless of faults. */
   public void write(StreamId stream, String writer, Entry... entries) {
     IncarnationId incarnation = new IncarnationId(writer);
     long sequence = sequences.merge(stream + "|" + writer, 1L, Long::sum);
     Batch batch = new Batch(incarnation, sequence, -1, List.of(entries));
-    take(stream, BatchCodec.encode(batch));
+    store(stream, BatchCodec.encode(batch));
   }
 }
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/fake/FakeServer.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/fake/FakeServer.java
@@ -27,23 +27,23 @@
 import org.teaseldeal.core.event.InstanceEvent;
 
 /**
- * A backend server: an engine if it is given model calls, a plain service otherwise.
+ * A backend server: an engine if it receives model calls, a plain service otherwise.
  *
- * <p>An engine's answer to a request is always the same frames, so that a test can tell a whole
- * answer from a spliced one. Faults are fields that may be set at any time.
+ * <p>An engine always answers a request with the same frames, so that a test can tell a complete
+ * answer from a mixed one. Faults are fields that may be set at any time.
  */
 public final class FakeServer {
-  /** One order that came here. */
+  /** An order that this server received. */
   public record OrderSeen(
       Instant at, IncarnationId sender, long fencing, EngineOrder order, boolean taken) {}
 
-  /** One start of a request here. */
+  /** A start of a request on this server. */
   public record Start(Instant at, RequestId request) {}
 
   private static final class Run {
     private final long frames;
     private final Usage usage;
-    private long ready;
+    private long generatedFrames;
     private boolean cancelled;
 
     private Run(long frames, Usage usage) {
@@ -73,29 +73,29 @@
   private final List<Run> allRuns = new ArrayList<>();
   private final List<Start> startLog = new ArrayList<>();
 
-  /** Frames of each answer; fewer if the cap is lower. */
+  /** Number of frames of each answer, or fewer if the output cap is lower. */
   public long frames = 5;
 
-  public Duration perFrame = Duration.ofMillis(20);
-  public Duration oneWay = Duration.ofMillis(1);
+  public Duration frameInterval = Duration.ofMillis(20);
+  public Duration oneWayDelay = Duration.ofMillis(1);
 
-  /** Whether its process is gone: connections are refused. */
+  /** Whether the process is gone, so that connections are refused. */
   public boolean gone;
 
-  /** Whether connections that are open now and later stay silent. */
+  /** Whether current and future connections stay silent. */
   public boolean silent;
 
-  /** Whether requests are turned away before they run. */
+  /** Whether requests are refused before they run. */
   public boolean refuses;
 
-  /** A prompt that ends the process when it is run; empty for none. */
+  /** The prompt that crashes the process when it runs; empty for none. */
   public String endsOn = "";
 
-  /** Whether an order with a fencing number below the highest seen is refused. */
+  /** Whether an order with a fencing token below the highest one seen is refused. */
   public boolean checksFencing = true;
 
-  /** Whether orders are taken without an answer. */
-  public boolean losesOrderAnswers;
+  /** Whether orders are accepted but their answers are lost. */
+  public boolean losesOrderResponses;
 
   private final TreeMap<String, String> models = new TreeMap<>();
   private final TreeMap<String, String> adapters = new TreeMap<>();
@@ -103,7 +103,7 @@
   private long highestFencing;
   private final List<OrderSeen> orders = new ArrayList<>();
 
-  /** Whether the platform lists it as leaving. */
+  /** Whether the platform lists this server as leaving. */
   public boolean leaving;
 
   public FakeServer(Simulation simulation, String id, String pool) {
@@ -124,43 +124,46 @@
     return new ListedServer(id, pool, address(), new DataCentre("hal-nord"), leaving);
   }
 
-  /** How often each request was started, by request id; attaching to a run is no start. */
+  /**
+   * Returns how often each request was started, by request id. Attaching to an existing run doesn't
+   * count as a start.
+   */
   public Map<String, Integer> starts() {
     return starts;
   }
 
-  private void noteStart(RequestId request) {
+  private void recordStart(RequestId request) {
     starts.merge(request.value(), 1, Integer::sum);
     startLog.add(new Start(simulation.instant(), request));
   }
 
-  /** All starts in their order. */
+  /** Returns all starts in order. */
   public List<Start> startLog() {
     return List.copyOf(startLog);
   }
 
-  /** How many requests were started in all. */
+  /** Returns the number of starts of all requests. */
   public int runCount() {
     return starts.values().stream().mapToInt(n -> n).sum();
   }
 
-  /** Tokens that runs here have used, those of lost ones among them; plain calls apart. */
+  /** Returns the tokens used by the model runs on this server, including lost ones. */
   public long tokensSpent() {
-    return allRuns.stream().mapToLong(run -> run.usage.inputTokens() + run.ready).sum();
+    return allRuns.stream().mapToLong(run -> run.usage.inputTokens() + run.generatedFrames).sum();
   }
 
-  /** Whether a run of {@code request} was cancelled. */
+  /** Returns whether the run of {@code request} was cancelled. */
   public boolean cancelled(RequestId request) {
     Run run = runs.get(request);
     return run != null && run.cancelled;
   }
 
-  /** Leaves the connections open at both ends, but nothing passes them any more. */
+  /** Leaves all connections open at both ends but delivers nothing on them any more. */
   public void forgetConnections() {
     connections.clear();
   }
 
-  /** Ends the process: whoever was connected loses the connection. */
+  /** Crashes the process. All callers of this server lose their connections. */
   public void crash() {
     gone = true;
     for (Map.Entry<AttemptId, Connection> open : new TreeMap<>(byNumber()).values()) {
@@ -184,7 +187,7 @@
   }
 
   void start(StartAttempt command, Consumer<InstanceEvent> events) {
-    simulation.after(oneWay, () -> onStart(command, events));
+    simulation.after(oneWayDelay, () -> onStart(command, events));
   }
 
   private void onStart(StartAttempt command, Consumer<InstanceEvent> events) {
@@ -196,7 +199,7 @@
     } else if (command.payload() instanceof Payload.PlainCall call) {
       answerPlain(command, call, events);
     } else {
-      attach(command, events);
+      attachToRun(command, events);
     }
   }
 
@@ -207,12 +210,12 @@
 
   private void answerPlain(
       StartAttempt command, Payload.PlainCall call, Consumer<InstanceEvent> events) {
-    noteStart(command.request());
+    recordStart(command.request());
     Connection connection = new Connection(new Run(1, Usage.NONE), 0, events);
     connections.put(command.attempt(), connection);
     byte[] body = ("done " + new String(call.body(), UTF_8)).getBytes(UTF_8);
     simulation.after(
-        perFrame,
+        frameInterval,
         () -> {
           if (!silent && connections.remove(command.attempt()) != null) {
             events.accept(
@@ -221,24 +224,24 @@
         });
   }
 
-  private void attach(StartAttempt command, Consumer<InstanceEvent> events) {
-    Run known = runs.get(command.request());
-    if (known == null && command.resumeFrom().isPresent()) {
+  private void attachToRun(StartAttempt command, Consumer<InstanceEvent> events) {
+    Run existing = runs.get(command.request());
+    if (existing == null && command.resumeFrom().isPresent()) {
       fail(events, command.attempt(), AttemptFailure.RESUME_UNKNOWN, "404");
       return;
     }
-    Run run = known == null ? begin(command) : known;
+    Run run = existing == null ? begin(command) : existing;
     Connection connection = new Connection(run, command.resumeFrom().orElse(0), events);
     connections.put(command.attempt(), connection);
     if (endsOn.equals(new String(command.payload().body(), UTF_8))) {
       crash();
       return;
     }
-    pump(command.request(), command.attempt());
+    deliverFrames(command.request(), command.attempt());
   }
 
   private Run begin(StartAttempt command) {
-    noteStart(command.request());
+    recordStart(command.request());
     long output = Math.min(frames, command.maxOutputTokens());
     Payload.ModelCall call = (Payload.ModelCall) command.payload();
     Run run = new Run(output, new Usage(call.inputTokenBound() / 2, output));
@@ -250,22 +253,22 @@
 
   private void generate(Run run) {
     simulation.after(
-        perFrame,
+        frameInterval,
         () -> {
-          if (run.ready < run.frames && !run.cancelled) {
-            run.ready++;
+          if (run.generatedFrames < run.frames && !run.cancelled) {
+            run.generatedFrames++;
             generate(run);
           }
         });
   }
 
-  private void pump(RequestId request, AttemptId attempt) {
+  private void deliverFrames(RequestId request, AttemptId attempt) {
     Connection connection = connections.get(attempt);
     if (connection == null) {
       return;
     }
     if (!silent) {
-      while (connection.position < connection.run.ready) {
+      while (connection.position < connection.run.generatedFrames) {
         connection.events.accept(
             new InstanceEvent.FrameReceived(
                 attempt, connection.position, frame(request, connection.position)));
@@ -278,39 +281,39 @@
         return;
       }
     }
-    simulation.after(perFrame, () -> pump(request, attempt));
+    simulation.after(frameInterval, () -> deliverFrames(request, attempt));
   }
 
-  /** What frame {@code position} of the answer to {@code request} says. */
+  /** Returns frame {@code position} of the answer to {@code request}. */
   public static byte[] frame(RequestId request, long position) {
     return "{\"frame\":%d,\"of\":\"%s\"}".formatted(position, request).getBytes(UTF_8);
   }
 
-  /** What it has, as orders have left it. */
+  /** Returns the models, adapters and role that the accepted orders have produced. */
   public EngineState orderState() {
     return new EngineState(models, adapters, role);
   }
 
-  /** All orders that came, in their order. */
+  /** Returns all received orders in order. */
   public List<OrderSeen> orders() {
     return List.copyOf(orders);
   }
 
   void askOrderState(Consumer<InstanceEvent> events) {
     simulation.after(
-        oneWay,
+        oneWayDelay,
         () -> {
           InstanceEvent answer =
               gone
                   ? new InstanceEvent.OrderStateUnknown(id, "connection refused")
                   : new InstanceEvent.OrderStateReported(id, orderState());
-          simulation.after(oneWay, () -> events.accept(answer));
+          simulation.after(oneWayDelay, () -> events.accept(answer));
         });
   }
 
   void order(IncarnationId sender, SendOrder command, Consumer<InstanceEvent> events) {
     simulation.after(
-        oneWay,
+        oneWayDelay,
         () -> {
           if (gone) {
             events.accept(new InstanceEvent.OrderFailed(id, command.number(), "refused"));
@@ -328,8 +331,8 @@
             highestFencing = Math.max(highestFencing, command.fencing());
             carryOut(command.order());
           }
-          if (!losesOrderAnswers) {
-            simulation.after(oneWay, () -> events.accept(answer));
+          if (!losesOrderResponses) {
+            simulation.after(oneWayDelay, () -> events.accept(answer));
           }
         });
   }
@@ -345,7 +348,7 @@
 
   void cancel(AttemptId attempt, RequestId request) {
     simulation.after(
-        oneWay,
+        oneWayDelay,
         () -> {
           connections.remove(attempt);
           Run run = runs.get(request);
@@ -361,7 +364,7 @@
 
   void askUsage(AttemptId attempt, RequestId request, Consumer<InstanceEvent> events) {
     simulation.after(
-        oneWay.multipliedBy(2),
+        oneWayDelay.multipliedBy(2),
         () -> {
           if (gone) {
             events.accept(new InstanceEvent.UsageUnknown(attempt, "connection refused"));
@@ -370,8 +373,8 @@
           Run run = runs.get(request);
           if (run == null) {
             events.accept(new InstanceEvent.UsageKnown(attempt, Optional.empty()));
-          } else if (run.cancelled || run.ready == run.frames) {
-            Usage usage = new Usage(run.usage.inputTokens(), run.ready);
+          } else if (run.cancelled || run.generatedFrames == run.frames) {
+            Usage usage = new Usage(run.usage.inputTokens(), run.generatedFrames);
             events.accept(new InstanceEvent.UsageKnown(attempt, Optional.of(usage)));
           } else {
             events.accept(new InstanceEvent.UsageUnknown(attempt, "still running"));
