--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/fake/FakeSettings.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/fake/FakeSettings.java
@@ -14,7 +14,7 @@
 import org.teaseldeal.settings.SubtreeId;
 import org.teaseldeal.settings.TeamSettings;
 
-/** Typed settings that stand on the log by a name in place of their TOML. */
+/** Typed settings that are represented on the log by a name instead of their TOML. */
 public final class FakeSettings implements SettingsValidator {
   private final Map<String, FleetSettings> fleets = new HashMap<>();
   private final Map<String, TeamSettings> teams = new HashMap<>();
@@ -33,14 +33,17 @@
     return text;
   }
 
-  /** Two pools, {@code engines} and {@code desks}, and a lease policy for small budgets. */
+  /**
+   * Returns settings with two pools, {@code engines} and {@code desks}, and a lease policy for
+   * small budgets.
+   */
   public static FleetSettings fleet(int maxConcurrentPerServer) {
     return fleet(
         maxConcurrentPerServer,
         new LeasePolicySettings(Duration.ofSeconds(20), 0.25, 500, Duration.ofSeconds(30)));
   }
 
-  /** The same with a lease policy of its own. */
+  /** Returns such settings with the given lease policy. */
   static FleetSettings fleet(int maxConcurrentPerServer, LeasePolicySettings lease) {
     return new FleetSettings(
         Map.of(
@@ -56,7 +59,9 @@
         Duration.ofHours(24));
   }
 
-  /** The ordinary settings, and {@code models} for each engine to have. */
+  /**
+   * Returns the standard settings with {@code models} as the models that each engine should have.
+   */
   public static FleetSettings withModels(Map<String, String> models) {
     FleetSettings base = fleet(8);
     PoolSettings engines =
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/fake/Simulation.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/fake/Simulation.java
@@ -8,7 +8,10 @@
 import java.util.function.BooleanSupplier;
 import java.util.random.RandomGenerator;
 
-/** Virtual time: actions run in order of their times, and in order of scheduling within one. */
+/**
+ * Virtual time. Actions run in order of their times, and actions with the same time in the order in
+ * which they were scheduled.
+ */
 public final class Simulation implements InstantSource {
   private record Action(Instant at, long order, Runnable effect) implements Comparable<Action> {
     @Override
@@ -32,7 +35,7 @@
     return now;
   }
 
-  /** A random source of its own for one part, drawn from the seed. */
+  /** Returns a new random source, derived from the seed, for one component. */
   public RandomGenerator random() {
     return random.split();
   }
@@ -41,7 +44,7 @@
     actions.add(new Action(now.plus(delay), ++lastOrder, effect));
   }
 
-  /** Repeats {@code effect} for ever. */
+  /** Runs {@code effect} repeatedly, without end. */
   public void every(Duration interval, Runnable effect) {
     after(
         interval,
@@ -51,7 +54,7 @@
         });
   }
 
-  /** Lets {@code duration} pass. */
+  /** Advances the time by {@code duration}. */
   public void run(Duration duration) {
     Instant end = now.plus(duration);
     while (!actions.isEmpty() && !actions.peek().at.isAfter(end)) {
@@ -60,7 +63,10 @@
     now = end;
   }
 
-  /** Lets time pass until {@code condition} holds, at most {@code bound}. */
+  /**
+   * Advances the time until {@code condition} holds, by {@code bound} at most, and returns whether
+   * it holds.
+   */
   public boolean runUntil(BooleanSupplier condition, Duration bound) {
     Instant end = now.plus(bound);
     while (!condition.getAsBoolean()) {
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/package-info.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/package-info.java
@@ -1,4 +1,4 @@
-/** Whole instances in one process, on fakes of everything around them. */
+/** Tests of complete instances in one process, with fakes of everything around them. */
 @NullMarked
 package org.teaseldeal.core;
 
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/system/StoredAnswerTests.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/system/StoredAnswerTests.java
@@ -8,14 +8,14 @@
 import org.junit.jupiter.api.Test;
 
 class StoredAnswerTests {
-  /** Octets of another kind of answer under the same claim are no frames, whatever they say. */
+  /** Guards against decoding the bytes of another kind of answer as frames. */
   @Test
-  void octetsThatAreNoFramesAreNotRead() {
-    assertEquals(Optional.empty(), StoredAnswer.parse(new byte[0]));
+  void bytesThatAreNotFramesAreNotDecoded() {
+    assertEquals(Optional.empty(), StoredAnswer.decode(new byte[0]));
     assertEquals(
-        Optional.empty(), StoredAnswer.parse("a plain answer of a service".getBytes(UTF_8)));
+        Optional.empty(), StoredAnswer.decode("a plain answer of a service".getBytes(UTF_8)));
     byte[] negative = new byte[30];
     Arrays.fill(negative, (byte) 0xff);
-    assertEquals(Optional.empty(), StoredAnswer.parse(negative));
+    assertEquals(Optional.empty(), StoredAnswer.decode(negative));
   }
 }
