--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/part/EngineRecheckRule.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/part/EngineRecheckRule.java
@@ -4,9 +4,9 @@
 @FunctionalInterface
 public interface EngineRecheckRule {
   /**
-   * Queries every engine again, whether it agreed or not. An engine that ignores fencing tokens
-   * carries out the orders of a term holder that was suspended and resumes later. If engines that
-   * once agreed weren't queried again, the deviation would stay.
+   * Queries every engine again, whether its state matched or not. An engine that ignores fencing
+   * tokens carries out the orders of a term holder that was suspended and resumes later. If engines
+   * that once matched weren't queried again, the deviation would stay.
    */
   EngineRecheckRule ALWAYS = matched -> true;
 
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/BudgetSystem.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/BudgetSystem.java
@@ -360,9 +360,8 @@
     if (idle == 0) {
       return;
     }
-    for (Draw transfer : leases.take(service, idle)) {
-      ledger.submit(
-          service.team(), new Entry.ReturnLease(service, transfer.source(), transfer.tokens()));
+    for (Draw draw : leases.take(service, idle)) {
+      ledger.submit(service.team(), new Entry.ReturnLease(service, draw.source(), draw.tokens()));
     }
   }
 
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/Context.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/Context.java
@@ -18,6 +18,10 @@
 
 /** State that all systems of one instance share. */
 final class Context {
+  /**
+   * A longer gap between two clock readings counts as a suspension of this process. For the same
+   * time after a suspension, the silence of peers and of the log means nothing.
+   */
   private static final Duration SUSPENSION_THRESHOLD = Duration.ofSeconds(1);
 
   final InstanceConfig config;
@@ -70,7 +74,7 @@
   /**
    * Returns whether this process was suspended until a moment ago.
    *
-   * <p>Everything received before the suspension is then old, and fresh messages may still arrive.
+   * <p>Everything received before the suspension is then old, but fresh messages may still arrive.
    * A peer or the log needs some time to answer, and during that time its silence means nothing.
    */
   boolean justResumed() {
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/OrderSystem.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/OrderSystem.java
@@ -43,14 +43,14 @@
   private static final Duration CHECK_INTERVAL = Duration.ofMillis(100);
 
   /**
-   * The interval at which one engine is queried. In a large pool the interval is longer: the second
-   * figure times the number of engines.
+   * The interval at which one engine is queried. In a large pool the interval is longer: {@link
+   * #QUERY_INTERVAL_PER_ENGINE} times the number of engines.
    */
   private static final Duration QUERY_INTERVAL = Duration.ofSeconds(1);
 
   private static final Duration QUERY_INTERVAL_PER_ENGINE = Duration.ofMillis(10);
 
-  /** This time-out is longer than the router's own for an engine's answer. */
+  /** Longer than the time-out with which the router waits for an engine's answer to an order. */
   private static final Duration ORDER_ANSWER_TIMEOUT = Duration.ofSeconds(6);
 
   /**
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/OrderTests.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/OrderTests.java
@@ -309,7 +309,7 @@
       assertEquals(2, count(Counter.ORDER_DEVIATIONS));
     }
 
-    /** Shows that the deviation lasts if engines that once agreed aren't queried again. */
+    /** Shows that the deviation lasts if engines that once matched aren't queried again. */
     @Test
     void remainInEffectIfMatchingEnginesAreNotQueriedAgain() {
       engines().forEach(engine -> engine.checksFencing = false);
