--- a/teaseldeal-api/src/main/java/org/teaseldeal/api/AttemptId.java
+++ b/teaseldeal-api/src/main/java/org/teaseldeal/api/AttemptId.java
@@ -1,6 +1,9 @@
 package org.teaseldeal.api;
 
-/** Identifies one try of a request at one backend server; every frame of the answer repeats it. */
+/**
+ * Identifies one attempt to run a request at one backend server. Every frame of the server's answer
+ * repeats it.
+ */
 public record AttemptId(IncarnationId incarnation, long number) {
   public AttemptId {
     Preconditions.requirePositive(number, "attempt number");
--- a/teaseldeal-api/src/main/java/org/teaseldeal/api/BackendServerId.java
+++ b/teaseldeal-api/src/main/java/org/teaseldeal/api/BackendServerId.java
@@ -1,6 +1,8 @@
 package org.teaseldeal.api;
 
-/** Names one incarnation of a backend server as the platform lists it. */
+/**
+ * Identifies one incarnation of a backend server, by the name under which the platform lists it.
+ */
 public record BackendServerId(String name) implements Comparable<BackendServerId> {
   public BackendServerId {
     Preconditions.requireText(name, "backend server id");
--- a/teaseldeal-api/src/main/java/org/teaseldeal/api/CustomerId.java
+++ b/teaseldeal-api/src/main/java/org/teaseldeal/api/CustomerId.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 
 /**
- * Names a customer of a team, the party whose caller presents a token; written {@code
+ * Identifies a customer of a team, on whose behalf a caller presents a token. Written as {@code
  * team/customer}.
  */
 public record CustomerId(TeamId team, String name) implements Comparable<CustomerId> {
@@ -14,7 +14,7 @@
     Preconditions.requireName(name, "customer name");
   }
 
-  /** Reads {@code team/customer}. */
+  /** Parses {@code team/customer}. */
   public static CustomerId parse(String text) {
     int slash = text.indexOf('/');
     Preconditions.require(slash > 0, "customer was '%s', expected team/customer".formatted(text));
--- a/teaseldeal-api/src/main/java/org/teaseldeal/api/DataCentre.java
+++ b/teaseldeal-api/src/main/java/org/teaseldeal/api/DataCentre.java
@@ -1,6 +1,6 @@
 package org.teaseldeal.api;
 
-/** Names a data centre. */
+/** Identifies a data centre by its name. */
 public record DataCentre(String name) implements Comparable<DataCentre> {
   public DataCentre {
     Preconditions.requireName(name, "data centre");
--- a/teaseldeal-api/src/main/java/org/teaseldeal/api/EngineOrder.java
+++ b/teaseldeal-api/src/main/java/org/teaseldeal/api/EngineOrder.java
@@ -3,20 +3,20 @@
 import java.util.Locale;
 
 /**
- * One order to an engine; to carry it out twice is the same as once.
+ * An order to an engine. Orders are idempotent: carrying one out twice has the same effect as once.
  *
- * @param target the model, the adapter or the role
- * @param version the version to load; empty where a kind has none
+ * @param target the name of the model or adapter, or the role
+ * @param version the version to load; empty for kinds of orders without a version
  */
 public record EngineOrder(Kind kind, String target, String version) {
-  /** What engines can be ordered to do. */
+  /** The kinds of orders. */
   public enum Kind {
     LOAD_MODEL,
     UNLOAD_MODEL,
     LOAD_ADAPTER,
     SET_ROLE;
 
-    /** The name in the engines' protocol. */
+    /** Returns the name of this kind in the engine protocol. */
     public String label() {
       return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
--- a/teaseldeal-api/src/main/java/org/teaseldeal/api/EngineState.java
+++ b/teaseldeal-api/src/main/java/org/teaseldeal/api/EngineState.java
@@ -5,7 +5,10 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** What an engine reports of itself: versions by the names of models and adapters, and its role. */
+/**
+ * The state that an engine reports: its role, and the versions of its models and adapters by their
+ * names.
+ */
 public record EngineState(
     SortedMap<String, String> models, SortedMap<String, String> adapters, String role) {
   public EngineState {
--- a/teaseldeal-api/src/main/java/org/teaseldeal/api/ErrorKind.java
+++ b/teaseldeal-api/src/main/java/org/teaseldeal/api/ErrorKind.java
@@ -7,10 +7,10 @@
 import java.util.Locale;
 
 /**
- * The closed list of errors a caller can be given, and the table from each to its answer.
+ * All kinds of errors that a caller can receive, and the answer to each.
  *
  * <p>{@link #runStatus()} is part of the contract: a kind with {@link RunStatus#NOT_RUN} is used
- * only when no backend server was or will be given the request.
+ * only if no backend server has been or will be given the request.
  */
 public enum ErrorKind {
   MALFORMED_REQUEST(400, NOT_RUN, "The request is malformed", false),
@@ -59,35 +59,39 @@
     this.retryable = retryable;
   }
 
-  /** The HTTP status of the answer. */
+  /** Returns the HTTP status of the answer. */
   public int status() {
     return status;
   }
 
-  /** What the answer says about whether the request was run. */
+  /** Returns what the answer states about whether the request was run. */
   public RunStatus runStatus() {
     return runStatus;
   }
 
-  /** A short summary that is the same for every answer of this kind. */
+  /** Returns a short summary that is the same for every answer of this kind. */
   public String title() {
     return title;
   }
 
-  /** Whether coming back with the same request can succeed without anyone changing it. */
+  /**
+   * Returns whether the same request can succeed on a retry without anybody changing the request,
+   * the settings or the budget.
+   */
   public boolean retryable() {
     return retryable;
   }
 
   /**
-   * Whether it speaks of the moment, so that another try of the same request can end otherwise; any
-   * other kind speaks of the request itself and is the same for each try.
+   * Returns whether the error depends on circumstances that change with time, so that another
+   * attempt of the same request can have another result. All other kinds depend on the request
+   * itself and would be the same for every attempt.
    */
-  public boolean speaksOfTheMoment() {
+  public boolean isTransient() {
     return retryable || this == BUDGET_EXHAUSTED;
   }
 
-  /** The name in answers, logs and metrics: lower case with hyphens. */
+  /** Returns the name in answers, logs and metrics, in lower case with hyphens. */
   public String label() {
     return name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
--- a/teaseldeal-api/src/main/java/org/teaseldeal/api/IncarnationId.java
+++ b/teaseldeal-api/src/main/java/org/teaseldeal/api/IncarnationId.java
@@ -1,6 +1,8 @@
 package org.teaseldeal.api;
 
-/** Identifies one run of a process that writes to the ledger; a restart gets a new one. */
+/**
+ * Identifies one run of a process that writes to the ledger. A restarted process gets a new one.
+ */
 public record IncarnationId(String value) implements Comparable<IncarnationId> {
   public IncarnationId {
     Preconditions.requireText(value, "incarnation id");
--- a/teaseldeal-api/src/main/java/org/teaseldeal/api/InstanceId.java
+++ b/teaseldeal-api/src/main/java/org/teaseldeal/api/InstanceId.java
@@ -1,6 +1,8 @@
 package org.teaseldeal.api;
 
-/** Names an entry instance's place in the fleet; survives restarts, unlike its incarnation. */
+/**
+ * Identifies an entry instance within the fleet. Unlike its incarnation id, it survives restarts.
+ */
 public record InstanceId(String name) implements Comparable<InstanceId> {
   public InstanceId {
     Preconditions.requireName(name, "instance name");
--- a/teaseldeal-api/src/main/java/org/teaseldeal/api/Preconditions.java
+++ b/teaseldeal-api/src/main/java/org/teaseldeal/api/Preconditions.java
@@ -3,16 +3,19 @@
 import java.util.regex.Pattern;
 
 /**
- * Guard clauses for constructor and method arguments.
+ * Checks constructor and method arguments.
  *
- * <p>Every message says which argument was wrong, what was given and what was expected.
+ * <p>Every message names the argument and says which value was given and what was expected.
  */
 public final class Preconditions {
   private static final Pattern NAME = Pattern.compile("[a-z0-9][a-z0-9._-]{0,62}");
 
   private Preconditions() {}
 
-  /** Returns {@code value} if it is a lower-case name of at most 63 characters, else throws. */
+  /**
+   * Returns {@code value} if it is a name of at most 63 lower-case letters, digits, dots,
+   * underscores and hyphens, and throws an {@link IllegalArgumentException} otherwise.
+   */
   public static String requireName(String value, String argument) {
     if (!NAME.matcher(value).matches()) {
       throw new IllegalArgumentException(
@@ -21,7 +24,10 @@
     return value;
   }
 
-  /** Returns {@code value} if it isn't blank, else throws. */
+  /**
+   * Returns {@code value} if it is not blank, and throws an {@link IllegalArgumentException}
+   * otherwise.
+   */
   public static String requireText(String value, String argument) {
     if (value.isBlank()) {
       throw new IllegalArgumentException(
@@ -30,7 +36,10 @@
     return value;
   }
 
-  /** Returns {@code value} if it is zero or more, else throws. */
+  /**
+   * Returns {@code value} if it is zero or more, and throws an {@link IllegalArgumentException}
+   * otherwise.
+   */
   public static long requireNotNegative(long value, String argument) {
     if (value < 0) {
       throw new IllegalArgumentException(
@@ -39,7 +48,10 @@
     return value;
   }
 
-  /** Returns {@code value} if it is greater than zero, else throws. */
+  /**
+   * Returns {@code value} if it is greater than zero, and throws an {@link
+   * IllegalArgumentException} otherwise.
+   */
   public static long requirePositive(long value, String argument) {
     if (value <= 0) {
       throw new IllegalArgumentException(
@@ -48,7 +60,9 @@
     return value;
   }
 
-  /** Throws with {@code message} unless {@code condition} holds. */
+  /**
+   * Throws an {@link IllegalArgumentException} with {@code message} unless {@code condition} holds.
+   */
   public static void require(boolean condition, String message) {
     if (!condition) {
       throw new IllegalArgumentException(message);
--- a/teaseldeal-api/src/main/java/org/teaseldeal/api/Problem.java
+++ b/teaseldeal-api/src/main/java/org/teaseldeal/api/Problem.java
@@ -4,11 +4,12 @@
 import java.util.Optional;
 
 /**
- * One error as given to a caller.
+ * An error that is sent to a caller.
  *
- * @param detail what happened here
- * @param retryAfter when to come back, if that makes sense
- * @param run what is known of whether the request was run; as its kind says, or less
+ * @param detail what happened to this request
+ * @param retryAfter how long the caller should wait before a retry, if a retry makes sense
+ * @param run what is known of whether the request was run: the run status of {@code kind}, or
+ *     unknown
  */
 public record Problem(ErrorKind kind, String detail, Optional<Duration> retryAfter, RunStatus run) {
   public Problem {
@@ -22,26 +23,26 @@
         "run was %s for %s, expected %s or unknown".formatted(run, kind, kind.runStatus()));
   }
 
-  /** Creates a problem without a time to come back. */
+  /** Creates a problem without a time to wait before a retry. */
   public static Problem of(ErrorKind kind, String detail) {
     return new Problem(kind, detail, Optional.empty(), kind.runStatus());
   }
 
-  /** Creates a problem of a retryable kind with a time to come back. */
+  /** Creates a problem of a retryable kind with a time to wait before a retry. */
   public static Problem retryable(ErrorKind kind, String detail, Duration retryAfter) {
     return new Problem(kind, detail, Optional.of(retryAfter), kind.runStatus());
   }
 
   /**
-   * This problem as told to a caller whose request has a key.
+   * Returns this problem as it is sent to a caller whose request has an idempotency key.
    *
-   * <p>The key stands for all tries of a request. An instance that has no room for one try can't
-   * know whether another instance has run an earlier one, or still will when it wakes up. Told
-   * "not-run", the caller might send the request again under a new key, and it would run twice.
+   * <p>A key stands for all attempts of a request. An instance that rejects one attempt can't know
+   * whether another instance has run an earlier one, or will still run it, for example after a
+   * pause. If the answer said "not-run", the caller could send the request again under a new key,
+   * and it would be run twice. The run status of a problem that another attempt might not meet is
+   * therefore unknown.
    */
   public Problem ofOneTryAmongOthers() {
-    return kind.speaksOfTheMoment()
-        ? new Problem(kind, detail, retryAfter, RunStatus.UNKNOWN)
-        : this;
+    return kind.isTransient() ? new Problem(kind, detail, retryAfter, RunStatus.UNKNOWN) : this;
   }
 }
--- a/teaseldeal-api/src/main/java/org/teaseldeal/api/RequestId.java
+++ b/teaseldeal-api/src/main/java/org/teaseldeal/api/RequestId.java
@@ -1,10 +1,10 @@
 package org.teaseldeal.api;
 
 /**
- * Identifies a caller's request over all its attempts.
+ * Identifies a caller's request across all its attempts.
  *
- * <p>A request that carries an idempotency key gets an id derived from team, service and key, so a
- * retry through another instance has the same id. Any other request gets {@code
+ * <p>The id of a request with an idempotency key is derived from team, service and key, so that a
+ * retry at another instance has the same id. The id of any other request is {@code
  * incarnation-number}.
  */
 public record RequestId(String value) {
--- a/teaseldeal-api/src/main/java/org/teaseldeal/api/Result.java
+++ b/teaseldeal-api/src/main/java/org/teaseldeal/api/Result.java
@@ -1,6 +1,6 @@
 package org.teaseldeal.api;
 
-/** Either a value or the {@link Problem} that stands in its place. */
+/** Either a value or the {@link Problem} that occurred instead. */
 public sealed interface Result<T> {
   /** A value. */
   record Ok<T>(T value) implements Result<T> {}
--- a/teaseldeal-api/src/main/java/org/teaseldeal/api/RunStatus.java
+++ b/teaseldeal-api/src/main/java/org/teaseldeal/api/RunStatus.java
@@ -1,8 +1,8 @@
 package org.teaseldeal.api;
 
-/** Says what a refusal or failure knows about whether the request was run. */
+/** States what is known of whether a refused or failed request was run. */
 public enum RunStatus {
-  /** No backend server was or will be given the request. */
+  /** No backend server has been or will be given the request. */
   NOT_RUN("not-run"),
   /** A backend server ran the request. */
   RAN("ran"),
@@ -15,7 +15,7 @@
     this.label = label;
   }
 
-  /** The name callers see. */
+  /** Returns the name that callers see. */
   public String label() {
     return label;
   }
--- a/teaseldeal-api/src/main/java/org/teaseldeal/api/ServiceId.java
+++ b/teaseldeal-api/src/main/java/org/teaseldeal/api/ServiceId.java
@@ -2,7 +2,7 @@
 
 import java.util.Comparator;
 
-/** Names a service of a team; written {@code team/service}. */
+/** Identifies a service of a team. Written as {@code team/service}. */
 public record ServiceId(TeamId team, String name) implements Comparable<ServiceId> {
   private static final Comparator<ServiceId> ORDER =
       Comparator.comparing(ServiceId::team).thenComparing(ServiceId::name);
@@ -16,7 +16,7 @@
     return new ServiceId(new TeamId(team), name);
   }
 
-  /** Reads {@code team/service}. */
+  /** Parses {@code team/service}. */
   public static ServiceId parse(String text) {
     int slash = text.indexOf('/');
     Preconditions.require(slash > 0, "service was '%s', expected team/service".formatted(text));
--- a/teaseldeal-api/src/main/java/org/teaseldeal/api/Sha256.java
+++ b/teaseldeal-api/src/main/java/org/teaseldeal/api/Sha256.java
@@ -5,11 +5,11 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 
-/** SHA-256 of octets and of texts in UTF-8. */
+/** Computes SHA-256 digests of bytes and of strings in UTF-8. */
 public final class Sha256 {
   private Sha256() {}
 
-  /** Starts a digest that is fed in parts. */
+  /** Returns a new digest, to be updated in parts. */
   public static MessageDigest begin() {
     try {
       return MessageDigest.getInstance("SHA-256");
@@ -18,18 +18,18 @@
     }
   }
 
-  /** The digest of a text. */
+  /** Returns the digest of a string. */
   public static byte[] of(String text) {
     return begin().digest(text.getBytes(StandardCharsets.UTF_8));
   }
 
-  /** The digest of a text as 64 hexadecimal digits in lower case. */
+  /** Returns the digest of a string as 64 hexadecimal digits in lower case. */
   public static String hex(String text) {
     return HexFormat.of().formatHex(of(text));
   }
 
-  /** The digest of {@code octets} as 64 hexadecimal digits in lower case. */
-  public static String hex(byte[] octets) {
-    return HexFormat.of().formatHex(begin().digest(octets));
+  /** Returns the digest of {@code bytes} as 64 hexadecimal digits in lower case. */
+  public static String hex(byte[] bytes) {
+    return HexFormat.of().formatHex(begin().digest(bytes));
   }
 }
--- a/teaseldeal-api/src/main/java/org/teaseldeal/api/TeamId.java
+++ b/teaseldeal-api/src/main/java/org/teaseldeal/api/TeamId.java
@@ -1,6 +1,6 @@
 package org.teaseldeal.api;
 
-/** Names a team, which owns one subtree of the settings. */
+/** Identifies a team, which owns one subtree of the settings. */
 public record TeamId(String name) implements Comparable<TeamId> {
   public TeamId {
     Preconditions.requireName(name, "team name");
--- a/teaseldeal-api/src/main/java/org/teaseldeal/api/Usage.java
+++ b/teaseldeal-api/src/main/java/org/teaseldeal/api/Usage.java
@@ -1,6 +1,6 @@
 package org.teaseldeal.api;
 
-/** Tokens a backend server reports for one attempt. */
+/** The tokens that a backend server reports for one attempt. */
 public record Usage(long inputTokens, long outputTokens) {
   /** No tokens. */
   public static final Usage NONE = new Usage(0, 0);
@@ -10,7 +10,7 @@
     Preconditions.requireNotNegative(outputTokens, "output tokens");
   }
 
-  /** Input and output together, which is what is charged. */
+  /** Returns the sum of input and output tokens, which is what is charged. */
   public long total() {
     return inputTokens + outputTokens;
   }
--- a/teaseldeal-api/src/main/java/org/teaseldeal/api/package-info.java
+++ b/teaseldeal-api/src/main/java/org/teaseldeal/api/package-info.java
@@ -1,4 +1,4 @@
-/** Plain model shared by every module: identifiers, error kinds, results and guard clauses. */
+/** Model types shared by all modules: identifiers, error kinds, results and argument checks. */
 @NullMarked
 package org.teaseldeal.api;
 
