--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/AccountId.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/AccountId.java
@@ -4,19 +4,22 @@
 import org.teaseldeal.api.ServiceId;
 import org.teaseldeal.api.TeamId;
 
-/** Names a prepaid budget: a team's, or one of its services'; spending draws on both. */
+/**
+ * Identifies a prepaid budget, which belongs to a team or to one of its services. Charges of a
+ * service draw on both budgets.
+ */
 public record AccountId(TeamId team, Optional<String> service) implements Comparable<AccountId> {
-  /** The team's own budget. */
+  /** Returns the id of the team's own budget. */
   public static AccountId of(TeamId team) {
     return new AccountId(team, Optional.empty());
   }
 
-  /** The budget of one service. */
+  /** Returns the id of the budget of one service. */
   public static AccountId of(ServiceId service) {
     return new AccountId(service.team(), Optional.of(service.name()));
   }
 
-  /** Reads {@code team} or {@code team/service}. */
+  /** Parses {@code team} or {@code team/service}. */
   public static AccountId parse(String text) {
     return text.indexOf('/') < 0 ? of(new TeamId(text)) : of(ServiceId.parse(text));
   }
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/ClaimKey.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/ClaimKey.java
@@ -2,7 +2,7 @@
 
 import org.teaseldeal.api.Preconditions;
 
-/** The digest of team, service, customer and the caller's idempotency key. */
+/** Identifies a claim by the digest of team, service, customer and the caller's idempotency key. */
 public record ClaimKey(String digest) {
   public ClaimKey {
     Preconditions.requireText(digest, "claim key");
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/LogCommand.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/LogCommand.java
@@ -1,13 +1,16 @@
 package org.teaseldeal.ledger;
 
-/** What a {@link LedgerClient} wants done at the platform's log; the caller does the I/O. */
+/**
+ * A log operation that a {@link LedgerClient} requests. The caller carries it out and hands the
+ * result back as a {@link LogEvent}.
+ */
 public sealed interface LogCommand {
-  /** The stream it is for. */
+  /** Returns the stream that the operation is for. */
   StreamId stream();
 
-  /** Append {@code payload}; {@code token} comes back with the answer. */
+  /** Appends {@code payload}. The result carries the same {@code token}. */
   record Append(StreamId stream, long token, byte[] payload) implements LogCommand {}
 
-  /** Read records from {@code fromOffset} on, waiting a little if there are none yet. */
+  /** Reads records from {@code fromOffset} on, and waits a short time if there are none yet. */
   record Read(StreamId stream, long fromOffset) implements LogCommand {}
 }
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/LogEvent.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/LogEvent.java
@@ -2,19 +2,22 @@
 
 import java.util.List;
 
-/** What came of a {@link LogCommand}. */
+/** The result of a {@link LogCommand}. */
 public sealed interface LogEvent {
-  /** The stream it is about. */
+  /** Returns the stream that the result is for. */
   StreamId stream();
 
-  /** The log says that it took the record; the fold learns so only by reading it back. */
+  /**
+   * The log acknowledged the append. The entries take effect only when the record has been read
+   * back and folded.
+   */
   record AppendAnswered(StreamId stream, long token, long offset) implements LogEvent {}
 
-  /** No answer, or an error: the record may or may not be on the log. */
+  /** The append failed or was not answered in time, so the record may or may not be on the log. */
   record AppendFailed(StreamId stream, long token, String detail) implements LogEvent {}
 
   /**
-   * Records in offset order, without a hole, from the offset asked for.
+   * Records in offset order, without gaps, from the requested offset on.
    *
    * @param earliest the earliest offset that the log still keeps
    * @param next the offset that the next append will get
@@ -27,7 +30,7 @@
     }
   }
 
-  /** The offset asked for is no longer kept. */
+  /** The log no longer keeps the record at the requested offset. */
   record OffsetExpired(StreamId stream, long fromOffset, long earliest, long next)
       implements LogEvent {}
 
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/LogRecord.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/LogRecord.java
@@ -2,5 +2,8 @@
 
 import java.time.Instant;
 
-/** One record as the platform's log gives it: offset, the log's own time of append, payload. */
+/**
+ * One record of the platform's log: its offset, the time at which the log appended it, and its
+ * payload.
+ */
 public record LogRecord(long offset, Instant appendedAt, byte[] payload) {}
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/Streams.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/Streams.java
@@ -6,25 +6,25 @@
 import org.teaseldeal.settings.SubtreeId;
 
 /**
- * Spreads teams over the ledger's streams.
+ * Distributes teams over the ledger's streams by hash.
  *
- * <p>All that belongs to a team stands on one stream; the fleet's subtree stands on the first.
+ * <p>All entries of a team are on one stream; the fleet's settings subtree is on the first stream.
  */
 public record Streams(int count) {
-  /** Everything on one stream. */
+  /** Keeps all entries on one stream. */
   public static final Streams ONE = new Streams(1);
 
   public Streams {
     Preconditions.requirePositive(count, "stream count");
   }
 
-  /** The stream of {@code team}. */
+  /** Returns the stream of {@code team}. */
   public StreamId of(TeamId team) {
     long hash = Hashing.komihash5_0().hashCharsToLong(team.name());
     return new StreamId(Math.floorMod(hash, count));
   }
 
-  /** The stream of {@code subtree}. */
+  /** Returns the stream of {@code subtree}. */
   public StreamId of(SubtreeId subtree) {
     return subtree.isFleet() ? StreamId.FLEET : of(subtree.team());
   }
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/client/AppendConfig.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/client/AppendConfig.java
@@ -4,23 +4,24 @@
 import org.teaseldeal.api.Preconditions;
 
 /**
- * How entries are gathered into records, as appends are scarce for the fleet as a whole.
+ * Configures how entries are grouped into records. The log limits the appends per second of the
+ * whole fleet, so each instance has to append few records.
  *
- * @param flushInterval how long an entry waits for others
- * @param urgentInterval the shortest time between two appends, which is all that an urgent entry
- *     waits for; its inverse bounds this instance's appends a second
- * @param maxBatchBytes octets of entries in one record; a larger entry has a record of its own
- * @param timeout how long to wait for an answer, or for the record to be read back, before the same
- *     record is appended again
+ * @param flushInterval how long an entry waits for further entries
+ * @param minInterval the minimum time between two appends. An urgent entry waits no longer than
+ *     this, and the inverse limits this instance's appends per second
+ * @param maxBatchBytes bytes of entries in one record; a larger entry gets a record of its own
+ * @param timeout how long to wait for an acknowledgement, or for the record to be read back, before
+ *     the same record is appended again
  * @param backoff the wait after a failed append
  */
 public record AppendConfig(
     Duration flushInterval,
-    Duration urgentInterval,
+    Duration minInterval,
     int maxBatchBytes,
     Duration timeout,
     Backoff backoff) {
-  /** At most 50 appends a second, 10 without urgent entries. */
+  /** Allows at most 50 appends per second, and 10 without urgent entries. */
   public static final AppendConfig DEFAULT =
       new AppendConfig(
           Duration.ofMillis(100),
@@ -31,7 +32,7 @@
 
   public AppendConfig {
     Preconditions.requireNotNegative(flushInterval.toMillis(), "flush interval");
-    Preconditions.requireNotNegative(urgentInterval.toMillis(), "urgent interval");
+    Preconditions.requireNotNegative(minInterval.toMillis(), "min append interval");
     Preconditions.requirePositive(maxBatchBytes, "max batch bytes");
     Preconditions.requirePositive(timeout.toMillis(), "append timeout");
   }
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/client/Appender.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/client/Appender.java
@@ -16,15 +16,16 @@
 import org.teaseldeal.ledger.entry.Entry;
 
 /**
- * Gathers entries into records and appends them, one at a time.
+ * Gathers entries into records and appends one record at a time.
  *
- * <p>A record is done when it has been read back. Until then the same octets are appended again
- * after each failure or timeout: an answer can be lost after the write took effect, and the fold
- * drops a repeat by its sequence number, so one more copy is harmless and one too few is not.
+ * <p>A record is done when it has been read back. Until then the same bytes are appended again
+ * after each failure or timeout, because the acknowledgement of a successful append can be lost. A
+ * surplus copy is harmless, since the fold ignores it by its sequence number; a missing record
+ * would lose its entries.
  */
 final class Appender {
-  /** An answered append is only repeated this many timeouts later, if it is never read back. */
-  private static final int ANSWERED_TIMEOUTS = 4;
+  /** An acknowledged record that is not read back is appended again after this many timeouts. */
+  private static final int ACKNOWLEDGED_TIMEOUTS = 4;
 
   private final IncarnationId self;
   private final StreamId stream;
@@ -49,82 +50,88 @@
 
   Ticket submit(Entry entry, boolean urgent, Instant now) {
     int size = EntryCodec.size(entry);
-    PendingBatch open = queue.peekLast();
-    if (open == null || !open.fits(size, config.maxBatchBytes())) {
-      open = new PendingBatch(nextSequence++, now);
-      queue.add(open);
+    PendingBatch last = queue.peekLast();
+    if (last == null || !last.fits(size, config.maxBatchBytes())) {
+      last = new PendingBatch(nextSequence++, now);
+      queue.add(last);
     }
-    return open.add(entry, size, urgent);
+    return last.add(entry, size, urgent);
   }
 
-  /** The append that is to be made now, if any. */
+  /** Returns the append that is due now, if any. */
   Optional<LogCommand> poll(Instant now, long foldedTo) {
     if (inFlight != null) {
-      return again(inFlight, now, foldedTo);
+      return retryIfDue(inFlight, now, foldedTo);
     }
     PendingBatch head = queue.peek();
-    if (head == null || !due(head, now)) {
+    if (head == null || !isDue(head, now)) {
       return Optional.empty();
     }
     queue.remove();
     Batch batch = new Batch(self, head.sequence, foldedTo, head.entries);
-    InFlight first = new InFlight(head, BatchCodec.encode(batch), now);
-    inFlight = first;
+    InFlight record = new InFlight(head, BatchCodec.encode(batch), now);
+    inFlight = record;
     lastSent = head.sequence;
-    return Optional.of(append(first, now));
+    return Optional.of(append(record, now));
   }
 
-  private boolean due(PendingBatch head, Instant now) {
-    if (now.isBefore(later(lastAppendAt, config.urgentInterval()))) {
+  private boolean isDue(PendingBatch head, Instant now) {
+    if (now.isBefore(later(lastAppendAt, config.minInterval()))) {
       return false;
     }
     return head.urgent()
         || queue.size() > 1
-        || head.full(config.maxBatchBytes())
+        || head.isFull(config.maxBatchBytes())
         || !now.isBefore(head.openedAt.plus(config.flushInterval()));
   }
 
-  private Optional<LogCommand> again(InFlight waiting, Instant now, long foldedTo) {
-    if (now.isBefore(passedBy(waiting, foldedTo) ? waiting.timeoutAt : waiting.nextTryAt)) {
+  private Optional<LogCommand> retryIfDue(InFlight record, Instant now, long foldedTo) {
+    if (now.isBefore(
+        isMissingAtAcknowledgedOffset(record, foldedTo)
+            ? record.timeoutAt
+            : record.nextAttemptAt)) {
       return Optional.empty();
     }
-    if (waiting.awaitingAnswer) {
+    if (record.awaitingAcknowledgement) {
       failures++;
     }
     repeats++;
-    return Optional.of(append(waiting, now));
+    return Optional.of(append(record, now));
   }
 
-  /** Whether the offset that the log answered with was folded without the record in it. */
-  private static boolean passedBy(InFlight waiting, long foldedTo) {
-    return waiting.answeredOffset >= 0 && foldedTo >= waiting.answeredOffset;
+  /**
+   * Returns whether the offset named in the acknowledgement has been folded without finding the
+   * record there.
+   */
+  private static boolean isMissingAtAcknowledgedOffset(InFlight record, long foldedTo) {
+    return record.acknowledgedOffset >= 0 && foldedTo >= record.acknowledgedOffset;
   }
 
   private LogCommand append(InFlight record, Instant now) {
     record.token = nextToken++;
     record.attempts++;
-    record.awaitingAnswer = true;
-    record.answeredOffset = -1;
+    record.awaitingAcknowledgement = true;
+    record.acknowledgedOffset = -1;
     record.timeoutAt = now.plus(config.timeout());
-    record.nextTryAt = record.timeoutAt;
+    record.nextAttemptAt = record.timeoutAt;
     lastAppendAt = now;
     appends++;
     bytes += record.payload.length;
     return new LogCommand.Append(stream, record.token, record.payload);
   }
 
-  void answered(long token, long offset, Instant now) {
+  void acknowledged(long token, long offset, Instant now) {
     if (inFlight != null && inFlight.token == token) {
-      inFlight.awaitingAnswer = false;
-      inFlight.answeredOffset = offset;
-      inFlight.nextTryAt = now.plus(config.timeout().multipliedBy(ANSWERED_TIMEOUTS));
+      inFlight.awaitingAcknowledgement = false;
+      inFlight.acknowledgedOffset = offset;
+      inFlight.nextAttemptAt = now.plus(config.timeout().multipliedBy(ACKNOWLEDGED_TIMEOUTS));
     }
   }
 
   void failed(long token, Instant now) {
     if (inFlight != null && inFlight.token == token) {
-      inFlight.awaitingAnswer = false;
-      inFlight.nextTryAt = now.plus(config.backoff().delay(inFlight.attempts, seed()));
+      inFlight.awaitingAcknowledgement = false;
+      inFlight.nextAttemptAt = now.plus(config.backoff().delay(inFlight.attempts, seed()));
       failures++;
     }
   }
@@ -133,7 +140,10 @@
     return self.hashCode() * 31L + lastSent;
   }
 
-  /** The fold has taken everything of this writer up to {@code sequence}. */
+  /**
+   * Reports that the fold has applied all records of this writer up to {@code sequence}. Returns
+   * the tickets of the record in flight if it is among them.
+   */
   List<Ticket> readBack(long sequence) {
     lastReadBack = Math.max(lastReadBack, sequence);
     if (inFlight == null || sequence < inFlight.batch.sequence) {
@@ -144,17 +154,27 @@
     return done;
   }
 
-  /** Whether the log has a record of this writer that this appender didn't write. */
-  boolean overtakenBy(long sequence) {
+  /**
+   * Returns whether {@code sequence}, the last one that the fold has applied from this writer, is
+   * that of a record which this appender never sent.
+   */
+  boolean neverSent(long sequence) {
     return sequence > lastSent;
   }
 
-  /** Whether the fold no longer knows this writer, and so takes nothing from it any more. */
-  boolean forgottenAt(long sequence) {
+  /**
+   * Returns whether {@code sequence}, the last one that the fold has applied from this writer, is
+   * lower than one reported before. The fold has then removed this writer and ignores its further
+   * records.
+   */
+  boolean isForgottenByFold(long sequence) {
     return sequence < lastReadBack;
   }
 
-  /** Gives up everything; the tickets that get no outcome any more. */
+  /**
+   * Drops all records that are in flight or queued, and returns their tickets, which will get no
+   * outcome.
+   */
   List<Ticket> stop() {
     List<Ticket> lost = new ArrayList<>(readBack(Long.MAX_VALUE));
     queue.forEach(batch -> lost.addAll(batch.tickets()));
@@ -162,8 +182,8 @@
     return lost;
   }
 
-  /** Whether a chunk can be added without holding up what else is to be said. */
-  boolean takesChunk() {
+  /** Returns whether a snapshot chunk can be added without delaying other entries. */
+  boolean acceptsChunk() {
     return queue.size() <= 1 && (queue.isEmpty() || !queue.element().hasChunk());
   }
 
@@ -195,17 +215,17 @@
     return instant.equals(Instant.MIN) ? instant : instant.plus(duration);
   }
 
-  /** The record that is being appended. */
+  /** The record in flight. */
   private static final class InFlight {
     final PendingBatch batch;
     final byte[] payload;
     final Instant firstAt;
     long token;
     int attempts;
-    boolean awaitingAnswer;
-    long answeredOffset = -1;
+    boolean awaitingAcknowledgement;
+    long acknowledgedOffset = -1;
     Instant timeoutAt = Instant.MIN;
-    Instant nextTryAt = Instant.MIN;
+    Instant nextAttemptAt = Instant.MIN;
 
     InFlight(PendingBatch batch, byte[] payload, Instant firstAt) {
       this.batch = batch;
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/client/Backoff.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/client/Backoff.java
@@ -5,14 +5,15 @@
 import org.teaseldeal.api.Preconditions;
 
 /**
- * How long to wait after a failure: doubled each time, between {@code min} and {@code max}.
+ * An exponential back-off with jitter: the wait doubles after each failure, between {@code min} and
+ * {@code max}.
  *
- * <p>Up to half of it is left out, by a hash of the caller's seed, as instances that lost the log
- * together would otherwise come back to it together.
+ * <p>A hash of the caller's seed shortens each wait by up to half. Without this jitter, instances
+ * that lost the log at the same time would all retry at the same time.
  */
 public record Backoff(Duration min, Duration max) {
   private static final int MAX_DOUBLINGS = 20;
-  private static final int SPREAD_STEPS = 1024;
+  private static final int JITTER_STEPS = 1024;
 
   public Backoff {
     Preconditions.requirePositive(min.toMillis(), "min backoff");
@@ -20,12 +21,12 @@
         max.compareTo(min) >= 0, "max backoff was %s, expected at least %s".formatted(max, min));
   }
 
-  /** The wait after {@code failures} failures in a row, from 1. */
+  /** Returns the wait after {@code failures} consecutive failures, counted from 1. */
   public Duration delay(int failures, long seed) {
     int doublings = Math.clamp(failures - 1, 0, MAX_DOUBLINGS);
     long millis = Math.min(max.toMillis(), min.toMillis() << doublings);
     long hash = Hashing.komihash5_0().hashLongLongToLong(seed, failures);
-    long leftOut = millis / 2 * Math.floorMod(hash, SPREAD_STEPS) / SPREAD_STEPS;
-    return Duration.ofMillis(millis - leftOut);
+    long jitterMillis = millis / 2 * Math.floorMod(hash, JITTER_STEPS) / JITTER_STEPS;
+    return Duration.ofMillis(millis - jitterMillis);
   }
 }
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/client/ClientCounters.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/client/ClientCounters.java
@@ -3,17 +3,17 @@
 import org.teaseldeal.ledger.fold.FoldCounters;
 
 /**
- * What a {@link LedgerClient} has done since it was created.
+ * Counts of what a {@link LedgerClient} has done since it was created.
  *
- * @param appends append commands given, repeats among them
- * @param repeats appends of a record that had been given before
- * @param appendedBytes octets in all append commands
+ * @param appends append commands issued, including repeats
+ * @param repeats append commands for a record that had been appended before
+ * @param appendedBytes payload bytes of all append commands
  * @param appendFailures appends that failed or were not answered in time
- * @param reads read commands given
+ * @param reads read commands issued
  * @param readFailures reads that failed or were not answered in time
- * @param gaps times that records had expired before they were read, or came with a hole
- * @param corruptSnapshots snapshots on the log that were whole but unusable
- * @param fold what the fold has met
+ * @param gaps how often records had expired before they were read, or an answer lacked a record
+ * @param corruptSnapshots complete snapshots on the log that could not be used
+ * @param fold the counters of the fold
  */
 public record ClientCounters(
     long appends,
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/client/LedgerClient.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/client/LedgerClient.java
@@ -21,21 +21,25 @@
 import org.teaseldeal.ledger.state.LedgerState;
 
 /**
- * Follows and writes one stream of the ledger for one incarnation, without I/O of its own.
+ * Follows and writes one stream of the ledger for one incarnation, without doing I/O itself.
  *
- * <p>Each tick: carry out what {@link #poll()} returns, and hand what comes of it to {@link
- * #handle}. An outcome counts only once it has been read back; it then comes out of {@code handle}
- * with the {@link Ticket} that {@link #submit} gave. An incarnation id must never be used again by
- * another process, or its records count as repeats. Not thread-safe.
+ * <p>On each tick, the caller carries out the commands that {@link #poll()} returns and passes each
+ * result to {@link #handle}. An entry takes effect only when its record has been read back; {@code
+ * handle} then returns its outcome, and {@link #ticket} matches it with the {@link Ticket} that
+ * {@link #submit} returned. No other process may use the same incarnation id, because its records
+ * would be ignored as repeats. Not thread-safe.
  */
 public final class LedgerClient {
-  /** Where to begin to look for a snapshot: one may be overdue, and its chunks are records too. */
-  private static final long STRETCH_IN_SNAPSHOTS = 2;
+  /**
+   * The search for a snapshot begins this many snapshot intervals before the end of the log. One
+   * interval is not enough, because a snapshot can be overdue and its chunks are records too.
+   */
+  private static final long SCAN_LENGTH_IN_SNAPSHOTS = 2;
 
   private final IncarnationId self;
   private final StreamId stream;
   private final LedgerConfig config;
-  private final SteadyClock clock;
+  private final MonotonicClock clock;
   private final LedgerFold fold;
   private final Appender appender;
   private final Reader reader;
@@ -46,11 +50,11 @@
   private @Nullable String problem;
   private boolean caughtUp;
   private boolean stopped;
-  private long knownNext;
+  private long knownNextOffset;
   private long gaps;
   private long corruptSnapshots;
 
-  /** Creates a client that starts to read at offset 0. */
+  /** Creates a client that starts reading at offset 0. */
   public LedgerClient(
       IncarnationId self,
       StreamId stream,
@@ -60,20 +64,22 @@
     this.self = self;
     this.stream = stream;
     this.config = config;
-    this.clock = new SteadyClock(clock);
+    this.clock = new MonotonicClock(clock);
     fold = new LedgerFold(stream, config.keys(), validator);
     appender = new Appender(self, stream, config.appends());
     reader = new Reader(stream, config.reads(), self.hashCode());
     snapshots = new SnapshotWriter(self, config.snapshots());
   }
 
-  /** Submits an entry; claims, leases and what operators do are appended without delay. */
+  /**
+   * Submits an entry. Claims, lease requests and entries of operators are appended without delay.
+   */
   public Ticket submit(Entry entry) {
-    return submit(entry, urgent(entry));
+    return submit(entry, isUrgent(entry));
   }
 
   /**
-   * Submits an entry, to be appended without delay if {@code urgent}.
+   * Submits an entry, which is appended without delay if {@code urgent}.
    *
    * @throws IllegalStateException if this incarnation has {@linkplain #retired() ended}
    */
@@ -84,7 +90,7 @@
     return appender.submit(entry, urgent, clock.instant());
   }
 
-  private static boolean urgent(Entry entry) {
+  private static boolean isUrgent(Entry entry) {
     return switch (entry) {
       case Entry.Claim e -> true;
       case Entry.RequestLease e -> true;
@@ -104,7 +110,7 @@
     };
   }
 
-  /** What is to be done at the log now. */
+  /** Returns the log commands that are due now. */
   public List<LogCommand> poll() {
     Instant now = clock.instant();
     List<LogCommand> commands = new ArrayList<>(2);
@@ -122,7 +128,9 @@
     return scan != null ? scan.next() : fold.state().foldedTo() + 1;
   }
 
-  /** Takes what came of a command; the outcomes of all entries that were folded by it. */
+  /**
+   * Handles the result of a command and returns the outcomes of all entries that were folded by it.
+   */
   public List<Settled> handle(LogEvent event) {
     Preconditions.require(
         event.stream().equals(stream),
@@ -131,7 +139,7 @@
     return switch (event) {
       case LogEvent.AppendAnswered e -> {
         lastContact = now;
-        appender.answered(e.token(), e.offset(), now);
+        appender.acknowledged(e.token(), e.offset(), now);
         yield List.of();
       }
       case LogEvent.AppendFailed e -> {
@@ -153,7 +161,7 @@
   private List<Settled> recordsRead(LogEvent.RecordsRead event, Instant now) {
     lastContact = now;
     reader.answered(event.fromOffset());
-    knownNext = Math.max(knownNext, event.next());
+    knownNextOffset = Math.max(knownNextOffset, event.next());
     if (scan != null) {
       scan(scan, event, now);
       return List.of();
@@ -162,29 +170,32 @@
   }
 
   private List<Settled> foldAll(LogEvent.RecordsRead event, Instant now) {
-    boolean late = event.fromOffset() != position();
-    List<Settled> settled = new ArrayList<>();
+    boolean stale = event.fromOffset() != position();
+    List<Settled> outcomes = new ArrayList<>();
     for (LogRecord record : event.records()) {
       long expected = fold.state().foldedTo() + 1;
       if (record.offset() > expected) {
         gaps++;
-        reader.postpone(now);
+        reader.backOff(now);
         break;
       }
       if (record.offset() == expected) {
-        settled.addAll(fold.fold(record));
+        outcomes.addAll(fold.fold(record));
       }
     }
     appender.readBack(fold.state().lastSequence(self));
-    checkSelf();
-    if (!late) {
-      checkEnd(event.next());
+    checkOwnWriter();
+    if (!stale) {
+      checkLogEnd(event.next());
     }
-    return settled;
+    return outcomes;
   }
 
-  /** A log that ends before what was folded has lost records, or is another one. */
-  private void checkEnd(long next) {
+  /**
+   * Checks the end of the log against the folded state. A log that ends before the last folded
+   * offset has lost records, or is a different log.
+   */
+  private void checkLogEnd(long next) {
     if (fold.state().foldedTo() + 1 >= next) {
       caughtUp = true;
     }
@@ -197,15 +208,15 @@
     }
   }
 
-  private void checkSelf() {
+  private void checkOwnWriter() {
     if (stopped) {
       return;
     }
     long lastSequence = fold.state().lastSequence(self);
-    if (appender.overtakenBy(lastSequence)) {
+    if (appender.neverSent(lastSequence)) {
       problem = "another process writes as " + self;
       stop();
-    } else if (appender.forgottenAt(lastSequence)) {
+    } else if (appender.isForgottenByFold(lastSequence)) {
       problem = self + " never joined, was silent for the key memory and has been forgotten";
       stop();
     } else if (fold.state().ended(self)) {
@@ -222,7 +233,7 @@
   private void offsetExpired(LogEvent.OffsetExpired event, Instant now) {
     lastContact = now;
     reader.answered(event.fromOffset());
-    knownNext = Math.max(knownNext, event.next());
+    knownNextOffset = Math.max(knownNextOffset, event.next());
     if (event.fromOffset() != position() || event.earliest() <= position()) {
       return;
     }
@@ -237,8 +248,8 @@
   }
 
   private SnapshotScan newScan(LogEvent.OffsetExpired event) {
-    long stretch = config.snapshots().recordsPerSnapshot() * STRETCH_IN_SNAPSHOTS;
-    return new SnapshotScan(event.earliest(), event.next(), stretch);
+    long scanLength = config.snapshots().recordsPerSnapshot() * SCAN_LENGTH_IN_SNAPSHOTS;
+    return new SnapshotScan(event.earliest(), event.next(), scanLength);
   }
 
   private void scan(SnapshotScan running, LogEvent.RecordsRead event, Instant now) {
@@ -246,9 +257,9 @@
       return;
     }
     for (LogRecord record : event.records()) {
-      if (!running.take(record)) {
+      if (!running.accept(record)) {
         gaps++;
-        reader.postpone(now);
+        reader.backOff(now);
         return;
       }
     }
@@ -258,7 +269,7 @@
   }
 
   private void finishScan(SnapshotScan finished, long earliest, long end) {
-    Optional<Snapshot> found = finished.found().latest();
+    Optional<Snapshot> found = finished.assembler().latest();
     if (found.isEmpty() || found.get().coveredOffset() + 1 < earliest) {
       if (!finished.widen(end)) {
         problem =
@@ -270,7 +281,7 @@
     try {
       replaceState(found.get().state());
     } catch (IllegalArgumentException e) {
-      finished.found().dropLatest();
+      finished.assembler().dropLatest();
       problem = "the latest snapshot is unusable: " + e.getMessage();
     }
   }
@@ -278,7 +289,7 @@
   private void replaceState(byte[] exported) {
     fold.restore(exported);
     if (scan != null) {
-      corruptSnapshots += scan.found().corrupt();
+      corruptSnapshots += scan.assembler().corrupt();
     }
     scan = null;
     snapshots.abandon();
@@ -286,19 +297,19 @@
       problem = null;
     }
     lostTickets.addAll(appender.readBack(fold.state().lastSequence(self)));
-    checkSelf();
+    checkOwnWriter();
   }
 
-  /** The ticket of an outcome, if its entry was submitted here. */
-  public Optional<Ticket> ticket(Settled settled) {
-    return settled.writer().equals(self)
-        ? Optional.of(new Ticket(settled.sequence(), settled.index()))
+  /** Returns the ticket of an outcome if its entry was submitted to this client. */
+  public Optional<Ticket> ticket(Settled outcome) {
+    return outcome.writer().equals(self)
+        ? Optional.of(new Ticket(outcome.sequence(), outcome.index()))
         : Optional.empty();
   }
 
   /**
-   * Tickets whose outcomes will never be seen, each given once: their record lies in a stretch that
-   * had expired before it was read, or this incarnation ended before it was appended.
+   * Returns the tickets whose outcomes will never be known, each once. Their record was in a range
+   * that expired before it was read, or this incarnation ended before the record was appended.
    */
   public List<Ticket> takeLostTickets() {
     List<Ticket> lost = List.copyOf(lostTickets);
@@ -306,40 +317,43 @@
     return lost;
   }
 
-  /** The state as far as it has been folded; ask anew after each {@link #handle}. */
+  /** Returns the folded state. Callers must get it anew after each {@link #handle}. */
   public LedgerState state() {
     return fold.state();
   }
 
-  /** The last offset folded, -1 for none. */
+  /** Returns the last folded offset, -1 if there is none. */
   public long foldedTo() {
     return fold.state().foldedTo();
   }
 
   /**
-   * Whether the end of the log, as it then was, has been reached since the start or since records
-   * were last missed, or a peer's state was taken instead.
+   * Returns whether the client has caught up: it has reached the end of the log, as known at that
+   * time, since the start or since it last missed records, or it has restored a peer's state.
    */
   public boolean caughtUp() {
     return caughtUp;
   }
 
-  /** How many records are known to be on the log and not folded yet. */
+  /** Returns the number of records that are known to be on the log but are not folded yet. */
   public long lag() {
-    return Math.max(0, knownNext - 1 - foldedTo());
+    return Math.max(0, knownNextOffset - 1 - foldedTo());
   }
 
-  /** When the log last answered, on the clock that was passed in. */
+  /** Returns when the log last answered, on the clock passed to the constructor. */
   public Optional<Instant> lastContact() {
-    return Optional.ofNullable(lastContact).map(clock::onSource);
+    return Optional.ofNullable(lastContact).map(clock::toSourceTime);
   }
 
-  /** Whether a record has been waiting to be read back for {@code duration} or longer. */
+  /**
+   * Returns whether a record has been in flight, without being read back, for {@code duration} or
+   * longer.
+   */
   public boolean appendOutstandingFor(Duration duration) {
     return appender.outstandingFor(duration, clock.instant());
   }
 
-  /** Whether the log answers, and takes what is appended. */
+  /** Returns whether the log answers and appended records are read back in time. */
   public boolean logReachable() {
     Duration limit = config.reads().unreachableAfter();
     return lastContact != null
@@ -347,27 +361,27 @@
         && !appendOutstandingFor(limit);
   }
 
-  /** Whether nothing is waiting to be appended or read back. */
+  /** Returns whether no entry is waiting to be appended or read back. */
   public boolean idle() {
     return appender.idle();
   }
 
   /**
-   * Whether this incarnation has ended, or can't write any more for another {@link #problem()};
-   * what it holds must not be spent then.
+   * Returns whether this incarnation has ended, or can no longer write for the reason in {@link
+   * #problem()}. The tokens that it holds must then not be spent.
    */
   public boolean retired() {
     return stopped;
   }
 
-  /** What keeps this client from following the log, if anything does. */
+  /** Returns what keeps this client from following the log, if anything does. */
   public Optional<String> problem() {
     return Optional.ofNullable(problem);
   }
 
-  /** What has been done so far. */
+  /** Returns the counters of this client. */
   public ClientCounters counters() {
-    long corrupt = corruptSnapshots + (scan == null ? 0 : scan.found().corrupt());
+    long corrupt = corruptSnapshots + (scan == null ? 0 : scan.assembler().corrupt());
     return new ClientCounters(
         appender.appends(),
         appender.repeats(),
@@ -380,16 +394,19 @@
         fold.counters());
   }
 
-  /** The state as octets, for a peer that can't read the log; {@link #foldedTo()} goes with it. */
+  /**
+   * Returns the exported state, for a peer that can't read the log. It includes all records up to
+   * {@link #foldedTo()}.
+   */
   public byte[] exportState() {
     return fold.export();
   }
 
   /**
-   * Takes a peer's state, which counts as having caught up.
+   * Replaces the state by that of a peer; the client then counts as caught up.
    *
-   * @throws IllegalArgumentException if it isn't the state of this stream, or it is of a lower
-   *     offset than this client's own; nothing has changed then
+   * @throws IllegalArgumentException if {@code exported} can't be read, belongs to another stream,
+   *     or ends at a lower offset than this client's state, which then stays as it was
    */
   public void restore(byte[] exported) {
     replaceState(exported);
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/client/PendingBatch.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/client/PendingBatch.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.teaseldeal.ledger.entry.Entry;
 
-/** Entries gathered for one record that has not been appended yet. */
+/** Entries gathered for one record that has not been sent yet. */
 final class PendingBatch {
   final long sequence;
   final Instant openedAt;
@@ -18,14 +18,17 @@
     this.openedAt = openedAt;
   }
 
-  /** Whether {@code more} octets go into the same record. */
-  boolean fits(int more, int maxBytes) {
-    return entries.isEmpty() || bytes + more <= maxBytes;
+  /**
+   * Returns whether an entry of {@code entryBytes} bytes fits into this record. The first entry
+   * always fits.
+   */
+  boolean fits(int entryBytes, int maxBytes) {
+    return entries.isEmpty() || bytes + entryBytes <= maxBytes;
   }
 
-  Ticket add(Entry entry, int size, boolean entryUrgent) {
+  Ticket add(Entry entry, int entryBytes, boolean entryUrgent) {
     entries.add(entry);
-    bytes += size;
+    bytes += entryBytes;
     urgent |= entryUrgent;
     return new Ticket(sequence, entries.size() - 1);
   }
@@ -34,7 +37,7 @@
     return urgent;
   }
 
-  boolean full(int maxBytes) {
+  boolean isFull(int maxBytes) {
     return bytes >= maxBytes;
   }
 
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/client/ReadConfig.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/client/ReadConfig.java
@@ -4,16 +4,16 @@
 import org.teaseldeal.api.Preconditions;
 
 /**
- * How the log is followed.
+ * Configures how the log is read.
  *
- * @param timeout how long to wait for an answer before reading again; longer than the log itself
- *     waits for a record
+ * @param timeout how long to wait for an answer before reading again; it must be longer than the
+ *     log itself waits for a new record
  * @param backoff the wait after a failed read
- * @param unreachableAfter how long without an answer, or with an append that doesn't come back,
- *     until the log counts as unreachable
+ * @param unreachableAfter how long the log may leave reads unanswered, or an appended record may
+ *     take to be read back, before the log counts as unreachable
  */
 public record ReadConfig(Duration timeout, Backoff backoff, Duration unreachableAfter) {
-  /** For a log that waits up to a second for a record. */
+  /** The default, for a log that waits up to a second for a new record. */
   public static final ReadConfig DEFAULT =
       new ReadConfig(
           Duration.ofSeconds(3),
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/client/Reader.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/client/Reader.java
@@ -5,7 +5,7 @@
 import org.teaseldeal.ledger.LogCommand;
 import org.teaseldeal.ledger.StreamId;
 
-/** Keeps one read going, from wherever the client says. */
+/** Keeps one read in flight, from the position that the client passes to {@link #poll}. */
 final class Reader {
   private static final long NONE = -1;
 
@@ -43,22 +43,22 @@
 
   void answered(long from) {
     failuresInRow = 0;
-    finish(from);
+    clearOutstanding(from);
   }
 
   void failed(long from, Instant now) {
     failures++;
-    postpone(now);
-    finish(from);
+    backOff(now);
+    clearOutstanding(from);
   }
 
-  /** Waits before the next read. */
-  void postpone(Instant now) {
+  /** Delays the next read by the back-off. */
+  void backOff(Instant now) {
     failuresInRow++;
     nextReadAt = now.plus(config.backoff().delay(failuresInRow, seed));
   }
 
-  private void finish(long from) {
+  private void clearOutstanding(long from) {
     if (outstandingFrom == from) {
       outstandingFrom = NONE;
     }
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/client/SnapshotScan.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/client/SnapshotScan.java
@@ -6,70 +6,75 @@
 import org.teaseldeal.ledger.snapshot.SnapshotAssembler;
 
 /**
- * Looks through what the log still keeps for the latest whole snapshot, without folding it.
+ * Searches the records that the log still keeps for the latest complete snapshot, without folding
+ * them.
  *
- * <p>It begins a stretch before the end, where a snapshot is as long as those whose turn it is
- * write them, and goes further back only if there is none: a log may keep millions of records.
+ * <p>The scan begins a certain number of records before the end of the log, where a snapshot is
+ * found as long as instances write snapshots on schedule. It begins further back only if there is
+ * none, because a log may keep millions of records.
  */
 final class SnapshotScan {
-  private static final int WIDENING = 4;
+  private static final int WIDENING_FACTOR = 4;
 
   private final SnapshotAssembler assembler = new SnapshotAssembler();
   private long earliest;
-  private long stretch;
+  private long scanLength;
   private long begin;
   private long next;
 
-  SnapshotScan(long earliest, long end, long stretch) {
+  SnapshotScan(long earliest, long end, long scanLength) {
     this.earliest = earliest;
-    this.stretch = stretch;
-    begin = Math.max(earliest, end - stretch);
+    this.scanLength = scanLength;
+    begin = Math.max(earliest, end - scanLength);
     next = begin;
   }
 
-  /** The offset to read next. */
+  /** Returns the offset to read next. */
   long next() {
     return next;
   }
 
-  /** Leaves out what has expired meanwhile; what has been found so far still counts. */
-  void skipTo(long earliestKept) {
-    earliest = Math.max(earliest, earliestKept);
+  /** Skips records that have expired since the scan began. Chunks found so far still count. */
+  void skipTo(long earliestOffset) {
+    earliest = Math.max(earliest, earliestOffset);
     next = Math.max(next, earliest);
   }
 
-  /** Begins again further back; false if it has begun at the earliest record already. */
+  /** Restarts the scan further back. Returns false if it already began at the earliest record. */
   boolean widen(long end) {
     if (begin <= earliest) {
       return false;
     }
-    stretch *= WIDENING;
-    begin = Math.max(earliest, end - stretch);
+    scanLength *= WIDENING_FACTOR;
+    begin = Math.max(earliest, end - scanLength);
     next = begin;
     return true;
   }
 
-  /** Looks at the next record; false if it is not the next. */
-  boolean take(LogRecord record) {
+  /**
+   * Processes a record. Returns false if it does not directly follow the last one, so that a record
+   * is missing.
+   */
+  boolean accept(LogRecord record) {
     if (record.offset() > next) {
       return false;
     }
     if (record.offset() == next) {
       next++;
       if (BatchCodec.decode(record.payload()) instanceof BatchCodec.Decoded.Valid valid) {
-        valid.batch().entries().forEach(this::look);
+        valid.batch().entries().forEach(this::addChunk);
       }
     }
     return true;
   }
 
-  private void look(Entry entry) {
+  private void addChunk(Entry entry) {
     if (entry instanceof Entry.SnapshotChunk chunk) {
       assembler.add(chunk);
     }
   }
 
-  SnapshotAssembler found() {
+  SnapshotAssembler assembler() {
     return assembler;
   }
 }
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/client/SnapshotWriter.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/client/SnapshotWriter.java
@@ -7,49 +7,55 @@
 import org.teaseldeal.ledger.fold.LedgerFold;
 import org.teaseldeal.ledger.snapshot.SnapshotChunks;
 import org.teaseldeal.ledger.snapshot.SnapshotConfig;
-import org.teaseldeal.ledger.snapshot.SnapshotDuty;
+import org.teaseldeal.ledger.snapshot.SnapshotSchedule;
 import org.teaseldeal.ledger.state.LedgerState;
 
-/** Writes a snapshot when it is this instance's turn, one chunk to a record. */
+/**
+ * Writes a snapshot when {@link SnapshotSchedule} assigns it to this instance, one chunk per
+ * record.
+ */
 final class SnapshotWriter {
   private final SnapshotConfig config;
-  private final SnapshotDuty duty;
+  private final SnapshotSchedule schedule;
   private List<Entry.SnapshotChunk> chunks = List.of();
   private long coveredOffset;
-  private int given;
+  private int nextChunkIndex;
 
   SnapshotWriter(IncarnationId self, SnapshotConfig config) {
     this.config = config;
-    duty = new SnapshotDuty(self, config);
+    schedule = new SnapshotSchedule(self, config);
   }
 
-  /** Submits the next chunk if one is to be written and doesn't hold up what else is to be said. */
+  /**
+   * Submits the next chunk of a snapshot in progress, or starts a snapshot if one is due. A chunk
+   * is submitted only if it does not delay other entries.
+   */
   void tick(LedgerFold fold, Appender appender, Instant now) {
     LedgerState state = fold.state();
-    if (writing() && state.snapshot().coveredOffset() >= coveredOffset) {
+    if (isWriting() && state.snapshot().coveredOffset() >= coveredOffset) {
       abandon();
     }
-    if (!writing() && duty.due(state, now)) {
+    if (!isWriting() && schedule.isDue(state, now)) {
       start(fold);
     }
-    if (given < chunks.size() && appender.takesChunk()) {
-      appender.submit(chunks.get(given++), false, now);
+    if (nextChunkIndex < chunks.size() && appender.acceptsChunk()) {
+      appender.submit(chunks.get(nextChunkIndex++), false, now);
     }
   }
 
-  private boolean writing() {
+  private boolean isWriting() {
     return !chunks.isEmpty();
   }
 
   private void start(LedgerFold fold) {
     coveredOffset = fold.state().foldedTo();
     chunks = SnapshotChunks.of(coveredOffset, fold.export(), config.chunkBytes());
-    given = 0;
+    nextChunkIndex = 0;
   }
 
-  /** Gives up a snapshot that is being written. */
+  /** Abandons the snapshot in progress, if any. */
   void abandon() {
     chunks = List.of();
-    given = 0;
+    nextChunkIndex = 0;
   }
 }
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/client/Ticket.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/client/Ticket.java
@@ -1,4 +1,7 @@
 package org.teaseldeal.ledger.client;
 
-/** Names a submitted entry by its batch and its place in it, until its outcome is read back. */
+/**
+ * Identifies a submitted entry by the sequence number of its batch and its index in that batch,
+ * until its outcome is known.
+ */
 public record Ticket(long sequence, int index) {}
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/client/package-info.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/client/package-info.java
@@ -1,5 +1,6 @@
 /**
- * One instance's view of a stream: appends in groups, reads, folds, and keeps a snapshot at hand.
+ * Follows one stream of the ledger for an instance: appends entries in groups, reads and folds
+ * records, and writes snapshots.
  */
 @NullMarked
 package org.teaseldeal.ledger.client;
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/codec/Batch.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/codec/Batch.java
@@ -6,10 +6,11 @@
 import org.teaseldeal.ledger.entry.Entry;
 
 /**
- * One record of a writer: everything it had to say since its last one.
+ * The content of one log record: the entries that its writer gathered since its previous record.
  *
- * @param sequence counted up from 1 by the writer; a repeated append repeats it
- * @param foldedTo the last offset that the writer had folded, -1 for none
+ * @param sequence the writer's sequence number, counted up from 1; a repeated append has the same
+ *     number
+ * @param foldedTo the last offset that the writer had folded, -1 if there is none
  */
 public record Batch(IncarnationId writer, long sequence, long foldedTo, List<Entry> entries) {
   public Batch {
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/codec/BatchCodec.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/codec/BatchCodec.java
@@ -9,25 +9,25 @@
 import org.teaseldeal.api.IncarnationId;
 import org.teaseldeal.ledger.entry.Entry;
 
-/** Turns batches into the octets of a log record and back. */
+/** Encodes batches as the payload of log records and decodes them. */
 public final class BatchCodec {
   private static final int VERSION = 1;
 
-  /** What the octets of a log record are. */
+  /** The result of decoding the payload of a log record. */
   public sealed interface Decoded {
     /**
-     * A batch; {@code skipped} of its entries are of a kind or shape that this reader does not
-     * know, and are not among the batch's entries.
+     * A valid batch. {@code skipped} entries were left out because their kind is unknown or a field
+     * is missing or out of range.
      */
     record Valid(Batch batch, int skipped) implements Decoded {}
 
-    /** Octets that are no batch. */
+    /** A payload that is not a batch. */
     record Malformed(String reason) implements Decoded {}
   }
 
   private BatchCodec() {}
 
-  /** The octets of {@code batch}. */
+  /** Encodes {@code batch}. */
   public static byte[] encode(Batch batch) {
     List<org.teaseldeal.wire.gen.ledger.Entry> entries =
         batch.entries().stream().map(EntryCodec::toWire).toList();
@@ -37,22 +37,22 @@
     return CompactBytes.of(wire);
   }
 
-  /** Reads {@code payload}; never throws. */
+  /** Decodes {@code payload}. It never throws. */
   public static Decoded decode(byte[] payload) {
     try {
       var wire = new org.teaseldeal.wire.gen.ledger.Batch();
       wire.read(new TCompactProtocol(new TMemoryInputTransport(payload)));
       return fromWire(wire);
     } catch (TException | RuntimeException e) {
-      // Octets of strangers reach the decoder as they are. If one of them made the fold throw, all
-      // instances would stop at the same offset; every reader skips the same record instead.
+      // Any process can append arbitrary bytes to the log. If the decoder threw on them, all
+      // instances would stop at the same offset. Instead every reader skips the same record.
       return new Decoded.Malformed(String.valueOf(e.getMessage()));
     }
   }
 
   private static Decoded fromWire(org.teaseldeal.wire.gen.ledger.Batch wire) {
     if (wire.getWriter() == null || wire.getEntries() == null) {
-      return new Decoded.Malformed("batch without a writer or entries");
+      return new Decoded.Malformed("batch had no writer or no entries");
     }
     List<Entry> entries = new ArrayList<>(wire.getEntries().size());
     for (org.teaseldeal.wire.gen.ledger.Entry entry : wire.getEntries()) {
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/codec/CompactBytes.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/codec/CompactBytes.java
@@ -6,7 +6,7 @@
 import org.apache.thrift.protocol.TCompactProtocol;
 import org.apache.thrift.transport.TMemoryBuffer;
 
-/** Structs as octets of Thrift's compact protocol. */
+/** Encodes Thrift structs in the compact protocol. */
 final class CompactBytes {
   private static final int INITIAL_BYTES = 512;
 
@@ -18,7 +18,7 @@
       struct.write(new TCompactProtocol(buffer));
       return Arrays.copyOf(buffer.getArray(), buffer.length());
     } catch (TException e) {
-      throw new IllegalStateException("Could not encode a struct into memory", e);
+      throw new IllegalStateException("Could not encode a struct into a memory buffer", e);
     }
   }
 }
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/codec/EntryCodec.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/codec/EntryCodec.java
@@ -31,11 +31,11 @@
 import org.teaseldeal.wire.gen.ledger.TopUp;
 import org.teaseldeal.wire.gen.ledger.WriteOff;
 
-/** Turns entries into Thrift structs and back. */
+/** Converts entries to Thrift structs and back. */
 public final class EntryCodec {
   private EntryCodec() {}
 
-  /** The struct of {@code entry}. */
+  /** Returns the Thrift struct of {@code entry}. */
   public static org.teaseldeal.wire.gen.ledger.Entry toWire(Entry entry) {
     return switch (entry) {
       case Entry.Join e ->
@@ -89,7 +89,7 @@
   }
 
   /**
-   * The entry of {@code wire}; empty if it is of a kind that this reader does not know.
+   * Returns the entry of {@code wire}; empty if its kind is unknown to this version.
    *
    * @throws IllegalArgumentException if a field is missing or out of range
    */
@@ -98,7 +98,7 @@
     return field == null ? Optional.empty() : Optional.of(read(wire, field));
   }
 
-  /** The octets that {@code entry} takes in a record. */
+  /** Returns the number of bytes that {@code entry} takes in a record. */
   public static int size(Entry entry) {
     return CompactBytes.of(toWire(entry)).length;
   }
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/codec/package-info.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/codec/package-info.java
@@ -1,4 +1,4 @@
-/** Entries and batches as bytes: Thrift structs in the compact protocol. */
+/** Encodes and decodes entries and batches as Thrift structs in the compact protocol. */
 @NullMarked
 package org.teaseldeal.ledger.codec;
 
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/entry/package-info.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/entry/package-info.java
@@ -1,4 +1,4 @@
-/** What writers say on the log, as typed entries. */
+/** Typed entries that writers put on the log. */
 @NullMarked
 package org.teaseldeal.ledger.entry;
 
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/AccountTable.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/AccountTable.java
@@ -7,10 +7,10 @@
 import org.teaseldeal.ledger.state.AccountView;
 
 /**
- * Budgets as columns: four counts and the team's row for each.
+ * Stores budgets in columns: four token counts and the row of the team for each budget.
  *
- * <p>A row can stand for a team or service without a budget of its own, so that leases of a service
- * that only its team bounds have a place.
+ * <p>A row can also stand for a team or service without a budget of its own. A service that only
+ * its team's budget limits needs such a row for its leases.
  */
 final class AccountTable {
   static final int NONE = NameTable.NONE;
@@ -36,9 +36,9 @@
   }
 
   int add(AccountId account) {
-    int known = find(account);
-    if (known != NONE) {
-      return known;
+    int existing = find(account);
+    if (existing != NONE) {
+      return existing;
     }
     int team = account.service().isPresent() ? add(AccountId.of(account.team())) : names.size();
     return append(account.toString(), team);
@@ -46,11 +46,11 @@
 
   private int append(String name, int team) {
     int row = names.add(name);
-    granted = Columns.ensure(granted, row);
-    charged = Columns.ensure(charged, row);
-    writtenOff = Columns.ensure(writtenOff, row);
-    leased = Columns.ensure(leased, row);
-    teamRow = Columns.ensure(teamRow, row);
+    granted = Columns.ensureIndex(granted, row);
+    charged = Columns.ensureIndex(charged, row);
+    writtenOff = Columns.ensureIndex(writtenOff, row);
+    leased = Columns.ensureIndex(leased, row);
+    teamRow = Columns.ensureIndex(teamRow, row);
     granted[row] = NOT_CREATED;
     teamRow[row] = team;
     return row;
@@ -72,7 +72,7 @@
     return teamRow[row] == row;
   }
 
-  boolean created(int row) {
+  boolean isCreated(int row) {
     return granted[row] != NOT_CREATED;
   }
 
@@ -88,38 +88,41 @@
     return leased[row];
   }
 
-  /** What can be leased: a team without a budget has none, a service without one is not bounded. */
+  /**
+   * Returns the tokens that can be leased: none for a team without a budget, and no limit for a
+   * service without one.
+   */
   long available(int row) {
-    if (created(row)) {
+    if (isCreated(row)) {
       return granted[row] - charged[row] - writtenOff[row] - leased[row];
     }
     return isTeam(row) ? 0 : Long.MAX_VALUE;
   }
 
-  void create(int row, long tokens, long writtenOffBefore) {
+  void create(int row, long tokens, long alreadyWrittenOff) {
     granted[row] = tokens;
     charged[row] = 0;
-    writtenOff[row] = writtenOffBefore;
+    writtenOff[row] = alreadyWrittenOff;
   }
 
   void topUp(int row, long tokens) {
     granted[row] += tokens;
   }
 
-  /** Moves counts at both levels of the service in {@code row}. */
-  void move(int row, long toCharged, long toWrittenOff, long toLeased) {
-    add(row, toCharged, toWrittenOff, toLeased);
-    add(teamRow[row], toCharged, toWrittenOff, toLeased);
+  /** Adds to the counts of the service in {@code row} and to those of its team. */
+  void addAtBothLevels(int row, long chargedChange, long writtenOffChange, long leasedChange) {
+    add(row, chargedChange, writtenOffChange, leasedChange);
+    add(teamRow[row], chargedChange, writtenOffChange, leasedChange);
   }
 
-  private void add(int row, long toCharged, long toWrittenOff, long toLeased) {
-    charged[row] += toCharged;
-    writtenOff[row] += toWrittenOff;
-    leased[row] += toLeased;
+  private void add(int row, long chargedChange, long writtenOffChange, long leasedChange) {
+    charged[row] += chargedChange;
+    writtenOff[row] += writtenOffChange;
+    leased[row] += leasedChange;
   }
 
   Optional<AccountView> view(int row) {
-    if (row == NONE || !created(row)) {
+    if (row == NONE || !isCreated(row)) {
       return Optional.empty();
     }
     return Optional.of(
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/Budgets.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/Budgets.java
@@ -13,20 +13,22 @@
 import org.teaseldeal.ledger.outcome.Outcome;
 
 /**
- * The rules of budgets: what is granted, leased, spent and written off, at both levels.
+ * Applies the rules of budgets: grants, leases, charges and write-offs, for a team and its
+ * services.
  *
- * <p>A token is in exactly one place: remaining, under one source's lease, charged, or written off.
- * What a source held when it ended counts as written off but stays under its name, so that those
- * who still hold its tokens can account for them.
+ * <p>A token is in exactly one place: remaining in the budget, under the lease of one source,
+ * charged, or written off. When a source ends, the tokens under its leases count as written off but
+ * stay recorded under its name, so that instances which still hold such tokens can charge or return
+ * them.
  */
 final class Budgets {
-  /** Sums of a few grants can't overflow. */
+  /** Limits the tokens of one budget, so that sums of a few budgets can't overflow. */
   private static final long MAX_GRANTED = Long.MAX_VALUE / 8;
 
   private final WriterTable writers;
   private AccountTable accounts = new AccountTable();
   private LeaseTable leases = new LeaseTable();
-  private OperationMemory operations = new OperationMemory();
+  private RecentOperations operations = new RecentOperations();
 
   Budgets(WriterTable writers) {
     this.writers = writers;
@@ -43,14 +45,14 @@
   Outcome create(Entry.CreateBudget entry, long now) {
     AccountId account = entry.account();
     String operation = entry.operation();
-    if (operations.counted(account, operation)) {
-      return unchanged(account, operation, Outcome.BudgetUnchanged.COUNTED_BEFORE);
+    if (operations.contains(account, operation)) {
+      return unchanged(account, operation, Outcome.BudgetUnchanged.ALREADY_APPLIED);
     }
     if (entry.tokens() < 0 || entry.tokens() > MAX_GRANTED) {
       return new Outcome.Rejected(entry, "tokens were %d".formatted(entry.tokens()));
     }
-    int known = accounts.find(account);
-    if (known != AccountTable.NONE && accounts.created(known)) {
+    int existing = accounts.find(account);
+    if (existing != AccountTable.NONE && accounts.isCreated(existing)) {
       return unchanged(account, operation, "the budget exists");
     }
     int row = accounts.add(account);
@@ -67,11 +69,15 @@
     return new Outcome.BudgetGranted(account, entry.tokens(), operation);
   }
 
-  /** What is under ended sources of a service and could still be charged or returned. */
+  /**
+   * Returns the tokens that are recorded under ended sources of a service and can still be charged
+   * or returned.
+   */
   private long reclaimable(int row) {
     long[] sum = {0};
     if (!accounts.isTeam(row) && accounts.writtenOff(row) > 0) {
-      leases.forEach(row, (service, source, tokens) -> sum[0] += sourceEnded(source) ? tokens : 0);
+      leases.forEach(
+          row, (service, source, tokens) -> sum[0] += isSourceEnded(source) ? tokens : 0);
     }
     return sum[0];
   }
@@ -79,11 +85,11 @@
   Outcome topUp(Entry.TopUp entry, long now) {
     AccountId account = entry.account();
     String operation = entry.operation();
-    if (operations.counted(account, operation)) {
-      return unchanged(account, operation, Outcome.BudgetUnchanged.COUNTED_BEFORE);
+    if (operations.contains(account, operation)) {
+      return unchanged(account, operation, Outcome.BudgetUnchanged.ALREADY_APPLIED);
     }
     int row = accounts.find(account);
-    if (row == AccountTable.NONE || !accounts.created(row)) {
+    if (row == AccountTable.NONE || !accounts.isCreated(row)) {
       return unchanged(account, operation, "there is no such budget");
     }
     if (entry.tokens() <= 0 || entry.tokens() > MAX_GRANTED - accounts.granted(row)) {
@@ -107,24 +113,24 @@
     }
     long granted = Math.min(entry.wanted(), spendable(entry.service()));
     if (granted < entry.minimum()) {
-      return refused(entry, writer);
+      return refuseLease(entry, writer);
     }
     int row = accounts.add(AccountId.of(entry.service()));
-    accounts.move(row, 0, 0, granted);
-    leases.add(row, writer.id, granted);
+    accounts.addAtBothLevels(row, 0, 0, granted);
+    leases.add(row, writer.number, granted);
     return new Outcome.LeaseGranted(entry.service(), granted);
   }
 
-  private Outcome refused(Entry.RequestLease entry, Writer writer) {
+  private Outcome refuseLease(Entry.RequestLease entry, Writer writer) {
     int service = accounts.find(entry.service());
     int team = accounts.find(AccountId.of(entry.service().team()));
     if (team == AccountTable.NONE) {
       return new Outcome.LeaseRefused(entry.service(), AccountId.of(entry.service().team()), 0, 0);
     }
-    boolean serviceBinds =
+    boolean serviceIsBinding =
         service != AccountTable.NONE && accounts.available(service) < accounts.available(team);
-    int binding = serviceBinds ? service : team;
-    long own = service == AccountTable.NONE ? 0 : leases.tokens(service, writer.id);
+    int binding = serviceIsBinding ? service : team;
+    long own = service == AccountTable.NONE ? 0 : leases.tokens(service, writer.number);
     return new Outcome.LeaseRefused(
         entry.service(),
         accounts.account(binding),
@@ -135,49 +141,51 @@
   long spendable(ServiceId service) {
     int team = accounts.find(AccountId.of(service.team()));
     int row = accounts.find(service);
-    long ofTeam = team == AccountTable.NONE ? 0 : accounts.available(team);
-    return row == AccountTable.NONE ? ofTeam : Math.min(ofTeam, accounts.available(row));
+    long teamAvailable = team == AccountTable.NONE ? 0 : accounts.available(team);
+    return row == AccountTable.NONE
+        ? teamAvailable
+        : Math.min(teamAvailable, accounts.available(row));
   }
 
-  Outcome giveBack(Entry.ReturnLease entry) {
+  Outcome returnTokens(Entry.ReturnLease entry) {
     if (entry.tokens() <= 0) {
       return new Outcome.Rejected(entry, "tokens were %d".formatted(entry.tokens()));
     }
     List<Draw> draws = List.of(new Draw(entry.source(), entry.tokens()));
-    if (!covered(entry.service(), draws)) {
+    if (!isCovered(entry.service(), draws)) {
       return new Outcome.Rejected(entry, "the source holds less than was returned");
     }
     take(entry.service(), draws, 0, 0);
     return new Outcome.LeaseReturned(entry.service(), entry.source(), entry.tokens());
   }
 
-  /** Whether every source holds what is drawn from it. */
-  boolean covered(ServiceId service, List<Draw> draws) {
+  /** Returns whether the lease of every source covers the tokens that are drawn on it. */
+  boolean isCovered(ServiceId service, List<Draw> draws) {
     int row = accounts.find(service);
     Map<IncarnationId, Long> drawn = new LinkedHashMap<>();
     for (Draw draw : draws) {
-      long before = drawn.getOrDefault(draw.source(), 0L);
-      if (draw.tokens() > held(row, draw.source()) - before) {
+      long alreadyDrawn = drawn.getOrDefault(draw.source(), 0L);
+      if (draw.tokens() > leasedTo(row, draw.source()) - alreadyDrawn) {
         return false;
       }
-      drawn.put(draw.source(), before + draw.tokens());
+      drawn.put(draw.source(), alreadyDrawn + draw.tokens());
     }
     return true;
   }
 
-  private long held(int row, IncarnationId source) {
+  private long leasedTo(int row, IncarnationId source) {
     if (row == AccountTable.NONE) {
       return 0;
     }
-    return writers.find(source).map(writer -> leases.tokens(row, writer.id)).orElse(0L);
+    return writers.find(source).map(writer -> leases.tokens(row, writer.number)).orElse(0L);
   }
 
-  /** Charges draws that are covered. */
+  /** Charges draws that the caller has checked with {@link #isCovered}. */
   void charge(ServiceId service, List<Draw> draws) {
     take(service, draws, 1, 0);
   }
 
-  /** Writes draws off that are covered. */
+  /** Writes off draws that the caller has checked with {@link #isCovered}. */
   void writeOff(ServiceId service, List<Draw> draws) {
     take(service, draws, 0, 1);
   }
@@ -187,30 +195,30 @@
     for (Draw draw : draws) {
       Writer source = writers.find(draw.source()).orElseThrow();
       long tokens = draw.tokens();
-      leases.take(row, source.id, tokens);
+      leases.take(row, source.number, tokens);
       long leased = source.ended ? 0 : -tokens;
       long writtenOff = source.ended ? -tokens : 0;
-      accounts.move(row, toCharged * tokens, toWrittenOff * tokens + writtenOff, leased);
+      accounts.addAtBothLevels(row, toCharged * tokens, toWrittenOff * tokens + writtenOff, leased);
     }
   }
 
-  /** Ends a source: what is left under its leases counts as written off. */
+  /** Ends a source and returns the tokens left under its leases, which now count as written off. */
   long end(Writer writer) {
     if (writer.ended) {
       return 0;
     }
     writer.ended = true;
     long[] total = {0};
-    leases.forEachOf(
-        writer.id,
+    leases.forEachOfSource(
+        writer.number,
         (service, source, tokens) -> {
-          accounts.move(service, 0, tokens, -tokens);
+          accounts.addAtBothLevels(service, 0, tokens, -tokens);
           total[0] += tokens;
         });
     return total[0];
   }
 
-  boolean sourceEnded(int source) {
+  boolean isSourceEnded(int source) {
     Writer writer = writers.byNumber(source);
     return writer != null && writer.ended;
   }
@@ -219,18 +227,21 @@
     operations.dropUntil(limit);
   }
 
-  /** Recounts all rows from the leases; names the first that does not add up. */
-  Optional<String> imbalance() {
+  /**
+   * Recomputes the totals of all rows from the leases and describes the first row that does not
+   * match.
+   */
+  Optional<String> findImbalance() {
     long[] leased = new long[accounts.size()];
     long[] reclaimable = new long[accounts.size()];
     leases.forEach(
         (service, source, tokens) -> {
-          long[] sums = sourceEnded(source) ? reclaimable : leased;
+          long[] sums = isSourceEnded(source) ? reclaimable : leased;
           sums[service] += tokens;
           sums[accounts.teamRow(service)] += tokens;
         });
     for (int row = 0; row < accounts.size(); row++) {
-      if (!balanced(row, leased[row], reclaimable[row])) {
+      if (!isBalanced(row, leased[row], reclaimable[row])) {
         return Optional.of(
             "%s: %s, but its leases sum up to %d and those of ended instances to %d"
                 .formatted(
@@ -240,7 +251,7 @@
     return Optional.empty();
   }
 
-  private boolean balanced(int row, long leased, long reclaimable) {
+  private boolean isBalanced(int row, long leased, long reclaimable) {
     return accounts.leased(row) == leased
         && accounts.writtenOff(row) >= reclaimable
         && accounts.available(row) >= 0;
@@ -256,8 +267,9 @@
     Budgets budgets = new Budgets(writers);
     budgets.accounts = AccountTable.read(in);
     budgets.leases = LeaseTable.read(in);
-    budgets.operations = OperationMemory.read(in);
-    Preconditions.require(budgets.imbalance().isEmpty(), "state had budgets that don't add up");
+    budgets.operations = RecentOperations.read(in);
+    Preconditions.require(
+        budgets.findImbalance().isEmpty(), "state had budgets that do not add up");
     return budgets;
   }
 }
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/ClaimTable.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/ClaimTable.java
@@ -14,10 +14,12 @@
 import org.teaseldeal.ledger.state.ClaimView;
 
 /**
- * Claims of non-idempotent requests: whole within the claim window, as fingerprints after it.
+ * Holds the claims of non-idempotent requests: in full during the claim window, and as key
+ * fingerprints after it.
  *
- * <p>The window of a claim starts anew with its answer, so that a long request's answer is kept as
- * long as any other's. Claims stand in the order in which their windows end.
+ * <p>The window of a claim starts anew when its answer is stored, so that the answer of a long
+ * request is kept as long as that of a short one. The claims are ordered by the end of their
+ * windows.
  */
 final class ClaimTable {
   private static final int NO_ORIGIN = 0;
@@ -29,10 +31,10 @@
     if (expired(entry.key())) {
       return new Outcome.ClaimExpired(entry.key());
     }
-    ClaimView first = claims.get(entry.key());
-    if (first != null) {
-      boolean sameBody = first.bodyDigest().equals(entry.bodyDigest());
-      return new Outcome.ClaimLost(entry.key(), first.holder(), sameBody, first.answer());
+    ClaimView existing = claims.get(entry.key());
+    if (existing != null) {
+      boolean sameBody = existing.bodyDigest().equals(entry.bodyDigest());
+      return new Outcome.ClaimLost(entry.key(), existing.holder(), sameBody, existing.answer());
     }
     put(
         new ClaimView(
@@ -52,7 +54,7 @@
       return new Outcome.Rejected(entry, "the writer does not hold the claim");
     }
     if (claim.answer().isPresent()) {
-      return new Outcome.Rejected(entry, "the claim has an answer");
+      return new Outcome.Rejected(entry, "the claim already has an answer");
     }
     claims.remove(entry.key());
     put(
@@ -63,11 +65,11 @@
             claim.customer(),
             claim.bodyDigest(),
             Instant.ofEpochMilli(now),
-            Optional.of(kept(entry))));
+            Optional.of(toStoredAnswer(entry))));
     return new Outcome.ClaimAnswered(entry.key());
   }
 
-  private static Entry.ClaimOutcome kept(Entry.ClaimOutcome entry) {
+  private static Entry.ClaimOutcome toStoredAnswer(Entry.ClaimOutcome entry) {
     return entry.bodyKept()
         ? entry
         : new Entry.ClaimOutcome(
@@ -94,8 +96,11 @@
     return expired.find(fingerprint(key)) != RecentKeys.NONE;
   }
 
-  /** Turns claims whose window has ended into fingerprints, and forgets the oldest of those. */
-  void expire(long windowLimit, long memoryLimit) {
+  /**
+   * Replaces claims whose window has ended by fingerprints, and drops the fingerprints that are too
+   * old.
+   */
+  void expire(long windowLimit, long retentionLimit) {
     Iterator<ClaimView> oldest = claims.values().iterator();
     while (oldest.hasNext()) {
       ClaimView claim = oldest.next();
@@ -103,12 +108,12 @@
         break;
       }
       oldest.remove();
-      remember(claim);
+      addFingerprint(claim);
     }
-    expired.dropUntil(memoryLimit);
+    expired.dropUntil(retentionLimit);
   }
 
-  private void remember(ClaimView claim) {
+  private void addFingerprint(ClaimView claim) {
     long fingerprint = fingerprint(claim.key());
     if (expired.find(fingerprint) == RecentKeys.NONE) {
       expired.add(fingerprint, claim.since().toEpochMilli(), NO_ORIGIN, 0);
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/FoldCounters.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/FoldCounters.java
@@ -1,14 +1,20 @@
 package org.teaseldeal.ledger.fold;
 
 /**
- * What the fold has met since it was created; not part of the state.
+ * Counts of what a fold has processed since it was created. They are not part of the state.
  *
  * @param records records folded
- * @param repeats batches dropped because their sequence number had been taken
- * @param holes batches ignored because an earlier one of their writer was missing
- * @param ended batches ignored because their writer had left or been retired
- * @param malformed records that were no batch
- * @param skipped entries of an unknown kind or shape
+ * @param repeats batches ignored because their sequence number had been applied before
+ * @param sequenceGaps batches ignored because an earlier batch of their writer was missing
+ * @param fromEndedWriters batches ignored because their writer had left or been retired
+ * @param malformed records whose payload could not be decoded as a batch
+ * @param skipped entries ignored because their kind is unknown or a field is missing or out of
+ *     range
  */
 public record FoldCounters(
-    long records, long repeats, long holes, long ended, long malformed, long skipped) {}
+    long records,
+    long repeats,
+    long sequenceGaps,
+    long fromEndedWriters,
+    long malformed,
+    long skipped) {}
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/KeyRules.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/KeyRules.java
@@ -4,23 +4,24 @@
 import org.teaseldeal.api.Preconditions;
 
 /**
- * How long keys count, in log time, until the fleet's settings say so themselves.
+ * Configures how long keys are kept, in log time, until the fleet's settings define these
+ * durations.
  *
- * <p>All readers of a stream need the same values.
+ * <p>All readers of a stream must use the same values, or their states would differ.
  *
  * @param claimWindow how long a claim and its answer are kept
- * @param keyMemory how long keys of claims and charges, operation ids and ended writers are
- *     remembered at all
+ * @param keyMemory how long the keys of claims and charges, the ids of budget operations, and ended
+ *     writers are remembered
  */
 public record KeyRules(Duration claimWindow, Duration keyMemory) {
-  /** An hour of answers, and a week of keys. */
+  /** Keeps answers for an hour and keys for a week. */
   public static final KeyRules DEFAULT = new KeyRules(Duration.ofHours(1), Duration.ofDays(7));
 
   public KeyRules {
     Preconditions.requirePositive(claimWindow.toMillis(), "claim window");
     Preconditions.require(
         keyMemory.compareTo(claimWindow) >= 0,
-        "key memory was %s, expected at least the claim window, %s"
+        "key retention was %s, expected at least the claim window, %s"
             .formatted(keyMemory, claimWindow));
   }
 }
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/KeyedCharges.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/KeyedCharges.java
@@ -5,7 +5,10 @@
 import org.teaseldeal.api.RequestId;
 import org.teaseldeal.ledger.ChargeId;
 
-/** Which charge a request with a caller's key was charged under, by a fingerprint of its id. */
+/**
+ * Maps requests with a caller's idempotency key to the charge that they were billed under, by a
+ * fingerprint of the request id.
+ */
 final class KeyedCharges {
   private final WriterTable writers;
   private final RecentKeys charges;
@@ -31,7 +34,7 @@
   }
 
   void add(RequestId request, Writer origin, long number, long now) {
-    charges.add(fingerprint(request), now, origin.id, number);
+    charges.add(fingerprint(request), now, origin.number, number);
   }
 
   void dropUntil(long limit) {
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/LeaseTable.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/LeaseTable.java
@@ -3,18 +3,20 @@
 import java.util.Arrays;
 
 /**
- * What is left under each lease, by the service's row and the source's writer number.
+ * Stores the tokens left under each lease, by the row of the service and the writer number of the
+ * source.
  *
- * <p>The cells of a service are linked from its row; a cell that runs empty is used again. A
- * service has no more cells than there are writers with leases, so a walk is short.
+ * <p>The cells of a service form a linked list that starts at its row; cells with no tokens left
+ * are reused. A service has at most one cell for each writer with a lease, so these lists are
+ * short.
  */
 final class LeaseTable {
   private static final int END = -1;
 
-  private int[] heads = new int[0];
+  private int[] headCells = new int[0];
   private int[] sources = new int[16];
   private long[] tokens = new long[16];
-  private int[] nexts = new int[16];
+  private int[] nextCells = new int[16];
   private int[] services = new int[16];
   private int used;
   private int free = END;
@@ -33,11 +35,11 @@
     }
   }
 
-  /** Takes tokens that the caller knows to be there. */
+  /** Subtracts tokens from a lease. The caller has checked that the lease holds that many. */
   void take(int service, int source, long amount) {
     int cell = find(service, source);
     if (cell == END || tokens[cell] < amount) {
-      throw new IllegalStateException("A lease held less than had been checked");
+      throw new IllegalStateException("A lease holds fewer tokens than the caller checked");
     }
     tokens[cell] -= amount;
     if (tokens[cell] == 0) {
@@ -55,18 +57,18 @@
 
   /** Visits all cells, by service and then source. */
   void forEach(Visitor visitor) {
-    for (int service = 0; service < heads.length; service++) {
+    for (int service = 0; service < headCells.length; service++) {
       forEach(service, visitor);
     }
   }
 
   /** Visits the cells of one source, by service. */
-  void forEachOf(int source, Visitor visitor) {
+  void forEachOfSource(int source, Visitor visitor) {
     int[] found = new int[4];
     int count = 0;
     for (int cell = 0; cell < used; cell++) {
       if (tokens[cell] > 0 && sources[cell] == source) {
-        found = Columns.ensure(found, count);
+        found = Columns.ensureIndex(found, count);
         found[count++] = services[cell];
       }
     }
@@ -79,8 +81,8 @@
   private int[] cellsOf(int service) {
     int count = 0;
     int[] cells = new int[4];
-    for (int cell = head(service); cell != END; cell = nexts[cell]) {
-      cells = Columns.ensure(cells, count);
+    for (int cell = head(service); cell != END; cell = nextCells[cell]) {
+      cells = Columns.ensureIndex(cells, count);
       cells[count++] = cell;
     }
     return sortedBySource(Arrays.copyOf(cells, count));
@@ -99,60 +101,60 @@
   }
 
   private int head(int service) {
-    return service < heads.length ? heads[service] : END;
+    return service < headCells.length ? headCells[service] : END;
   }
 
   private int find(int service, int source) {
     int cell = head(service);
     while (cell != END && sources[cell] != source) {
-      cell = nexts[cell];
+      cell = nextCells[cell];
     }
     return cell;
   }
 
   private void insert(int service, int source, long amount) {
     int cell = freeCell();
-    growHeads(service);
+    ensureHead(service);
     services[cell] = service;
     sources[cell] = source;
     tokens[cell] = amount;
-    nexts[cell] = heads[service];
-    heads[service] = cell;
+    nextCells[cell] = headCells[service];
+    headCells[service] = cell;
   }
 
   private int freeCell() {
     if (free != END) {
       int cell = free;
-      free = nexts[cell];
+      free = nextCells[cell];
       return cell;
     }
-    sources = Columns.ensure(sources, used);
-    tokens = Columns.ensure(tokens, used);
-    nexts = Columns.ensure(nexts, used);
-    services = Columns.ensure(services, used);
+    sources = Columns.ensureIndex(sources, used);
+    tokens = Columns.ensureIndex(tokens, used);
+    nextCells = Columns.ensureIndex(nextCells, used);
+    services = Columns.ensureIndex(services, used);
     return used++;
   }
 
-  private void growHeads(int service) {
-    if (service < heads.length) {
+  private void ensureHead(int service) {
+    if (service < headCells.length) {
       return;
     }
-    int before = heads.length;
-    heads = Columns.ensure(heads, service);
-    Arrays.fill(heads, before, heads.length, END);
+    int oldLength = headCells.length;
+    headCells = Columns.ensureIndex(headCells, service);
+    Arrays.fill(headCells, oldLength, headCells.length, END);
   }
 
   private void remove(int service, int cell) {
-    if (heads[service] == cell) {
-      heads[service] = nexts[cell];
+    if (headCells[service] == cell) {
+      headCells[service] = nextCells[cell];
     } else {
-      int before = heads[service];
-      while (nexts[before] != cell) {
-        before = nexts[before];
+      int previous = headCells[service];
+      while (nextCells[previous] != cell) {
+        previous = nextCells[previous];
       }
-      nexts[before] = nexts[cell];
+      nextCells[previous] = nextCells[cell];
     }
-    nexts[cell] = free;
+    nextCells[cell] = free;
     free = cell;
   }
 
@@ -172,7 +174,7 @@
     return table;
   }
 
-  /** Told of one cell. */
+  /** Receives one cell: a lease with its service row, source number and tokens. */
   interface Visitor {
     void visit(int service, int source, long tokens);
   }
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/LedgerFold.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/LedgerFold.java
@@ -15,12 +15,13 @@
 import org.teaseldeal.ledger.state.LedgerState;
 
 /**
- * Folds the records of one stream, in offset order, into the state of the ledger.
+ * Folds the records of one stream, in offset order, into the ledger's state.
  *
- * <p>The result depends on the records alone: whoever folds the same prefix has the same state and
- * the same {@linkplain #export() octets} of it, also after a {@linkplain #restore restore} at any
- * offset of the prefix. Revisions of settings and terms of orders are one more than the offset of
- * their record, so that zero always means none. Not thread-safe.
+ * <p>The result depends on the records alone. All instances that have folded the same records have
+ * the same state and the same {@linkplain #export() exported bytes}, even if one of them
+ * {@linkplain #restore restored} an export on the way. A settings revision and an order term are
+ * each the offset of their record plus one, so zero always means that there is none. Not
+ * thread-safe.
  */
 public final class LedgerFold {
   private final StreamId stream;
@@ -29,12 +30,12 @@
   private LedgerTables tables;
   private long records;
   private long repeats;
-  private long holes;
-  private long ended;
+  private long sequenceGaps;
+  private long fromEndedWriters;
   private long malformed;
   private long skipped;
 
-  /** Creates the fold of {@code stream} before its first record. */
+  /** Creates the fold of {@code stream}, with no record folded yet. */
   public LedgerFold(StreamId stream, KeyRules defaults, SettingsValidator validator) {
     this.stream = stream;
     this.defaults = defaults;
@@ -42,17 +43,20 @@
     tables = new LedgerTables(defaults, validator);
   }
 
-  /** The state after the last record folded; replaced by {@link #restore}. */
+  /**
+   * Returns the state after the last folded record. {@link #restore} replaces the object, so
+   * callers must not keep it.
+   */
   public LedgerState state() {
     return tables;
   }
 
-  /** What has been met since this fold was created. */
+  /** Returns the counters of the records folded since this object was created. */
   public FoldCounters counters() {
-    return new FoldCounters(records, repeats, holes, ended, malformed, skipped);
+    return new FoldCounters(records, repeats, sequenceGaps, fromEndedWriters, malformed, skipped);
   }
 
-  /** The state as octets. */
+  /** Returns the state in its export format. */
   public byte[] export() {
     return tables.export(stream);
   }
@@ -60,8 +64,8 @@
   /**
    * Replaces the state by an exported one.
    *
-   * @throws IllegalArgumentException if {@code exported} is not the state of this stream, or of a
-   *     lower offset than the present one
+   * @throws IllegalArgumentException if {@code exported} can't be read, belongs to another stream,
+   *     or ends at a lower offset than the current state
    */
   public void restore(byte[] exported) {
     LedgerTables restored = LedgerTables.read(exported, stream, defaults, validator);
@@ -73,10 +77,13 @@
   }
 
   /**
-   * Folds the next record; the outcome of each entry that counted or was refused.
+   * Folds the next record and returns the outcome of each entry that was applied or rejected.
+   *
+   * <p>A snapshot chunk that does not complete its snapshot has no outcome. No payload makes this
+   * method throw.
    *
-   * <p>A chunk that does not complete a snapshot has no outcome. Nothing on the log makes this
-   * throw, only a record that is not the next one.
+   * @throws IllegalArgumentException if the offset of {@code record} does not directly follow the
+   *     last folded one
    */
   public List<Settled> fold(LogRecord record) {
     Preconditions.require(
@@ -89,14 +96,14 @@
         malformed++;
         yield List.of();
       }
-      case BatchCodec.Decoded.Valid valid -> takeBatch(valid.batch(), valid.skipped());
+      case BatchCodec.Decoded.Valid valid -> acceptBatch(valid.batch(), valid.skipped());
     };
   }
 
-  private List<Settled> takeBatch(Batch batch, int skippedEntries) {
+  private List<Settled> acceptBatch(Batch batch, int skippedEntries) {
     Optional<Writer> known = tables.writers.find(batch.writer());
     if (known.isPresent() && known.get().ended) {
-      ended++;
+      fromEndedWriters++;
       return List.of();
     }
     long expected = known.map(writer -> writer.lastSequence).orElse(0L) + 1;
@@ -105,7 +112,7 @@
       return List.of();
     }
     if (batch.sequence() > expected) {
-      holes++;
+      sequenceGaps++;
       return List.of();
     }
     skipped += skippedEntries;
@@ -116,17 +123,17 @@
     writer.lastSequence = batch.sequence();
     writer.foldedTo = batch.foldedTo();
     writer.lastSeenMillis = tables.logMillis();
-    List<Settled> settled = new ArrayList<>(batch.entries().size());
+    List<Settled> outcomes = new ArrayList<>(batch.entries().size());
     for (int index = 0; index < batch.entries().size(); index++) {
-      int place = index;
+      int position = index;
       apply(batch.entries().get(index), writer)
-          .map(outcome -> settled(batch, place, outcome))
-          .ifPresent(settled::add);
+          .map(outcome -> entryOutcome(batch, position, outcome))
+          .ifPresent(outcomes::add);
     }
-    return settled;
+    return outcomes;
   }
 
-  private Settled settled(Batch batch, int index, Outcome outcome) {
+  private Settled entryOutcome(Batch batch, int index, Outcome outcome) {
     return new Settled(batch.writer(), batch.sequence(), index, tables.foldedTo(), outcome);
   }
 
@@ -135,7 +142,7 @@
       return Optional.of(new Outcome.Rejected(entry, "the writer has ended"));
     }
     if (entry instanceof Entry.SnapshotChunk chunk) {
-      return chunk(chunk, writer);
+      return applyChunk(chunk, writer);
     }
     return Optional.of(outcome(entry, writer));
   }
@@ -151,14 +158,15 @@
       case Entry.CreateBudget e -> tables.budgets.create(e, now);
       case Entry.TopUp e -> tables.budgets.topUp(e, now);
       case Entry.RequestLease e -> tables.budgets.lease(e, writer);
-      case Entry.ReturnLease e -> tables.budgets.giveBack(e);
+      case Entry.ReturnLease e -> tables.budgets.returnTokens(e);
       case Entry.Charge e -> charge(e);
       case Entry.WriteOff e -> writeOff(e);
       case Entry.Claim e -> tables.claims.claim(e, writer.incarnation, now);
       case Entry.ClaimOutcome e -> tables.claims.answer(e, writer.incarnation, now);
       case Entry.ReleaseClaim e -> tables.claims.release(e, writer.incarnation);
       case Entry.TakeOrders e -> tables.orders.take(e, writer.incarnation, position);
-      case Entry.SnapshotChunk e -> throw new IllegalStateException("Chunks are taken before");
+      case Entry.SnapshotChunk e ->
+          throw new IllegalStateException("Snapshot chunks are handled before this switch");
     };
   }
 
@@ -178,23 +186,23 @@
   }
 
   private Outcome charge(Entry.Charge entry) {
-    IncarnationId origin = entry.id().origin();
+    IncarnationId originId = entry.id().origin();
     if (tables.charged(entry.id())) {
       return new Outcome.ChargeRepeated(entry.id(), entry.request(), entry.id());
     }
     Optional<ChargeId> first =
         entry.keyed() ? tables.keyedCharges.find(entry.request()) : Optional.empty();
     if (first.isPresent()) {
-      markCharged(origin, entry.id().number());
+      markCharged(originId, entry.id().number());
       return new Outcome.ChargeRepeated(entry.id(), entry.request(), first.get());
     }
-    if (!tables.budgets.covered(entry.service(), entry.draws())) {
+    if (!tables.budgets.isCovered(entry.service(), entry.draws())) {
       return new Outcome.Rejected(entry, "a source holds less than was drawn on it");
     }
     tables.budgets.charge(entry.service(), entry.draws());
-    Writer charger = markCharged(origin, entry.id().number());
+    Writer origin = markCharged(originId, entry.id().number());
     if (entry.keyed()) {
-      tables.keyedCharges.add(entry.request(), charger, entry.id().number(), tables.logMillis());
+      tables.keyedCharges.add(entry.request(), origin, entry.id().number(), tables.logMillis());
     }
     return new Outcome.Charged(entry.id(), entry.request(), entry.service(), entry.tokens());
   }
@@ -203,7 +211,7 @@
     if (tables.charged(entry.id())) {
       return new Outcome.Rejected(entry, "the id was counted before");
     }
-    if (!tables.budgets.covered(entry.service(), entry.draws())) {
+    if (!tables.budgets.isCovered(entry.service(), entry.draws())) {
       return new Outcome.Rejected(entry, "a source holds less than was drawn on it");
     }
     tables.budgets.writeOff(entry.service(), entry.draws());
@@ -219,18 +227,18 @@
     return writer;
   }
 
-  private Optional<Outcome> chunk(Entry.SnapshotChunk chunk, Writer writer) {
+  private Optional<Outcome> applyChunk(Entry.SnapshotChunk chunk, Writer writer) {
     if (chunk.coveredOffset() < 0 || chunk.coveredOffset() >= tables.foldedTo()) {
       return Optional.of(new Outcome.Rejected(chunk, "the snapshot covers offsets yet to come"));
     }
-    Optional<Boolean> whole = writer.takeChunk(chunk);
-    if (whole.isEmpty()) {
+    Optional<Boolean> complete = writer.acceptChunk(chunk);
+    if (complete.isEmpty()) {
       return Optional.of(new Outcome.Rejected(chunk, "the chunk does not follow the one before"));
     }
-    if (!whole.get()) {
+    if (!complete.get()) {
       return Optional.empty();
     }
-    tables.snapshotWhole(chunk.coveredOffset());
+    tables.completeSnapshot(chunk.coveredOffset());
     return Optional.of(new Outcome.SnapshotComplete(chunk.coveredOffset()));
   }
 }
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/LedgerTables.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/LedgerTables.java
@@ -29,12 +29,17 @@
 import org.teaseldeal.settings.SubtreeId;
 import org.teaseldeal.settings.TeamSettings;
 
-/** All tables of one stream's state, their export, and the questions asked of them. */
+/**
+ * Holds all tables of one stream's state, exports and reads them, and answers queries about them.
+ */
 final class LedgerTables implements LedgerState {
-  private static final long VERSION = 1;
+  private static final long FORMAT_VERSION = 1;
 
-  /** Ended writers are looked for this often in a key memory, not at each record. */
-  private static final int SWEEPS_PER_MEMORY = 16;
+  /**
+   * Removable writers are searched for this many times per key retention rather than at each
+   * record, because the search visits every lease.
+   */
+  private static final int SWEEPS_PER_KEY_RETENTION = 16;
 
   final WriterTable writers;
   final Budgets budgets;
@@ -46,7 +51,7 @@
   private long foldedTo = -1;
   private long logMillis;
   private long nextSweepMillis;
-  private long epoch;
+  private long snapshotEpoch;
   private long coveredOffset = -1;
   private long snapshotMillis;
 
@@ -65,7 +70,7 @@
     foldedTo = in.number();
     logMillis = in.number();
     nextSweepMillis = in.number();
-    epoch = in.number();
+    snapshotEpoch = in.number();
     coveredOffset = in.number();
     snapshotMillis = in.number();
     writers = WriterTable.read(in);
@@ -74,14 +79,14 @@
     claims = ClaimTable.read(in);
     settings = SettingsTable.read(in, validator);
     orders = OrderTable.read(in);
-    in.end();
+    in.requireFullyRead();
   }
 
   byte[] export(StreamId stream) {
     StateWriter out = new StateWriter();
-    out.number(VERSION).number(stream.index());
+    out.number(FORMAT_VERSION).number(stream.index());
     out.number(foldedTo).number(logMillis).number(nextSweepMillis);
-    out.number(epoch).number(coveredOffset).number(snapshotMillis);
+    out.number(snapshotEpoch).number(coveredOffset).number(snapshotMillis);
     writers.write(out);
     budgets.write(out);
     keyedCharges.write(out);
@@ -96,7 +101,8 @@
     StateReader in = new StateReader(exported);
     long version = in.number();
     Preconditions.require(
-        version == VERSION, "state had version %d, expected %d".formatted(version, VERSION));
+        version == FORMAT_VERSION,
+        "state had version %d, expected %d".formatted(version, FORMAT_VERSION));
     long index = in.number();
     Preconditions.require(
         index == stream.index(),
@@ -104,7 +110,10 @@
     return new LedgerTables(in, defaults, validator);
   }
 
-  /** Moves on to a record: offset, log time, and what has become too old by it. */
+  /**
+   * Advances to a record: sets the offset and the log time, and drops everything that is too old by
+   * that time.
+   */
   void advance(long offset, Instant appendedAt) {
     logMillis = Math.max(logMillis, appendedAt.toEpochMilli());
     if (foldedTo < 0) {
@@ -116,34 +125,36 @@
 
   private void expire() {
     Optional<FleetSettings> fleet = settings.fleet();
-    Duration window = fleet.map(FleetSettings::claimWindow).orElse(defaults.claimWindow());
-    Duration memory = fleet.map(FleetSettings::keyMemory).orElse(defaults.keyMemory());
-    long memoryLimit = logMillis - memory.toMillis();
-    claims.expire(logMillis - window.toMillis(), memoryLimit);
-    budgets.dropOperationsUntil(memoryLimit);
-    keyedCharges.dropUntil(memoryLimit);
+    Duration claimWindow = fleet.map(FleetSettings::claimWindow).orElse(defaults.claimWindow());
+    Duration keyRetention = fleet.map(FleetSettings::keyMemory).orElse(defaults.keyMemory());
+    long retentionLimit = logMillis - keyRetention.toMillis();
+    claims.expire(logMillis - claimWindow.toMillis(), retentionLimit);
+    budgets.dropOperationsUntil(retentionLimit);
+    keyedCharges.dropUntil(retentionLimit);
     if (logMillis >= nextSweepMillis) {
-      nextSweepMillis = logMillis + memory.toMillis() / SWEEPS_PER_MEMORY + 1;
-      forgetWriters(memoryLimit);
+      nextSweepMillis = logMillis + keyRetention.toMillis() / SWEEPS_PER_KEY_RETENTION + 1;
+      removeExpiredWriters(retentionLimit);
     }
   }
 
   /**
-   * Forgets writers that ended or never joined, once nothing is held under their name.
+   * Removes writers that have ended or never joined, once they have been silent for the key
+   * retention and no tokens are left under their leases.
    *
-   * <p>A record of theirs that turns up later can't count again: its sequence is beyond the first,
-   * which is the only one taken from an unknown writer.
+   * <p>A record of a removed writer that appears later is not applied again: its sequence number is
+   * above 1, and the fold accepts only number 1 from an unknown writer.
    */
-  private void forgetWriters(long limit) {
+  private void removeExpiredWriters(long limit) {
     Set<Integer> sources = new HashSet<>();
     budgets.leases().forEach((service, source, tokens) -> sources.add(source));
     writers.removeIf(
-        writer -> !writer.live() && writer.lastSeenMillis <= limit && !sources.contains(writer.id));
+        writer ->
+            !writer.isLive() && writer.lastSeenMillis <= limit && !sources.contains(writer.number));
   }
 
-  void snapshotWhole(long covered) {
+  void completeSnapshot(long covered) {
     if (covered > coveredOffset) {
-      epoch++;
+      snapshotEpoch++;
       coveredOffset = covered;
       snapshotMillis = logMillis;
     }
@@ -198,14 +209,15 @@
             writer ->
                 budgets
                     .leases()
-                    .forEachOf(writer.id, (row, of, tokens) -> views.add(lease(row, of, tokens))));
+                    .forEachOfSource(
+                        writer.number, (row, id, tokens) -> views.add(lease(row, id, tokens))));
     return views;
   }
 
   private LeaseView lease(int row, int source, long tokens) {
     Writer writer = writers.byNumber(source);
     if (writer == null) {
-      throw new IllegalStateException("A lease's source was forgotten");
+      throw new IllegalStateException("The source of a lease is no longer in the writer table");
     }
     return new LeaseView(budgets.accounts().service(row), writer.incarnation, tokens, writer.ended);
   }
@@ -215,7 +227,7 @@
     int row = budgets.accounts().find(service);
     return row == AccountTable.NONE
         ? 0
-        : writers.find(source).map(w -> budgets.leases().tokens(row, w.id)).orElse(0L);
+        : writers.find(source).map(w -> budgets.leases().tokens(row, w.number)).orElse(0L);
   }
 
   @Override
@@ -285,11 +297,11 @@
 
   @Override
   public SnapshotView snapshot() {
-    return new SnapshotView(epoch, coveredOffset, Instant.ofEpochMilli(snapshotMillis));
+    return new SnapshotView(snapshotEpoch, coveredOffset, Instant.ofEpochMilli(snapshotMillis));
   }
 
   @Override
   public Optional<String> imbalance() {
-    return budgets.imbalance();
+    return budgets.findImbalance();
   }
 }
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/NameTable.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/NameTable.java
@@ -5,15 +5,15 @@
 import java.util.Arrays;
 
 /**
- * Names with dense indexes in the order of their addition.
+ * Maps names to dense indexes, in the order in which the names were added.
  *
- * <p>Octets of all names lie in one array and the hash slots hold indexes only, since names as
- * objects would weigh more than the budgets they name.
+ * <p>The UTF-8 bytes of all names are in one array and the hash slots hold indexes only, because
+ * names as objects would take more memory than the budgets that they name.
  */
 final class NameTable {
   static final int NONE = -1;
 
-  private byte[] octets = new byte[256];
+  private byte[] bytes = new byte[256];
   private int[] ends = new int[16];
   private int[] slots = new int[32];
   private int size;
@@ -22,20 +22,20 @@
     return size;
   }
 
-  /** The index of {@code name}, or {@link #NONE}. */
+  /** Returns the index of {@code name}, or {@link #NONE} if it is not in the table. */
   int find(String name) {
-    byte[] wanted = name.getBytes(StandardCharsets.UTF_8);
-    return slots[slotOf(wanted)] - 1;
+    byte[] key = name.getBytes(StandardCharsets.UTF_8);
+    return slots[slotOf(key)] - 1;
   }
 
-  /** The index of {@code name}, which is added if it is new. */
+  /** Returns the index of {@code name}, adding the name if it is new. */
   int add(String name) {
-    byte[] wanted = name.getBytes(StandardCharsets.UTF_8);
-    int slot = slotOf(wanted);
+    byte[] key = name.getBytes(StandardCharsets.UTF_8);
+    int slot = slotOf(key);
     if (slots[slot] != 0) {
       return slots[slot] - 1;
     }
-    append(wanted);
+    append(key);
     slots[slot] = size;
     if (size * 4 > slots.length * 3) {
       rehash();
@@ -44,12 +44,12 @@
   }
 
   String name(int index) {
-    return new String(octets, start(index), ends[index] - start(index), StandardCharsets.UTF_8);
+    return new String(bytes, start(index), ends[index] - start(index), StandardCharsets.UTF_8);
   }
 
-  private int slotOf(byte[] wanted) {
-    int slot = firstSlot(wanted, 0, wanted.length);
-    while (slots[slot] != 0 && !matches(slots[slot] - 1, wanted)) {
+  private int slotOf(byte[] key) {
+    int slot = firstSlot(key, 0, key.length);
+    while (slots[slot] != 0 && !matches(slots[slot] - 1, key)) {
       slot = (slot + 1) & (slots.length - 1);
     }
     return slot;
@@ -60,8 +60,8 @@
     return (int) hash & (slots.length - 1);
   }
 
-  private boolean matches(int index, byte[] wanted) {
-    return Arrays.equals(octets, start(index), ends[index], wanted, 0, wanted.length);
+  private boolean matches(int index, byte[] key) {
+    return Arrays.equals(bytes, start(index), ends[index], key, 0, key.length);
   }
 
   private int start(int index) {
@@ -70,11 +70,11 @@
 
   private void append(byte[] name) {
     int from = start(size);
-    if (from + name.length > octets.length) {
-      octets = Arrays.copyOf(octets, Columns.grown(octets.length, from + name.length));
+    if (from + name.length > bytes.length) {
+      bytes = Arrays.copyOf(bytes, Columns.grownLength(bytes.length, from + name.length));
     }
-    ends = Columns.ensure(ends, size);
-    System.arraycopy(name, 0, octets, from, name.length);
+    ends = Columns.ensureIndex(ends, size);
+    System.arraycopy(name, 0, bytes, from, name.length);
     ends[size] = from + name.length;
     size++;
   }
@@ -82,7 +82,7 @@
   private void rehash() {
     slots = new int[slots.length * 2];
     for (int index = 0; index < size; index++) {
-      int slot = firstSlot(octets, start(index), ends[index] - start(index));
+      int slot = firstSlot(bytes, start(index), ends[index] - start(index));
       while (slots[slot] != 0) {
         slot = (slot + 1) & (slots.length - 1);
       }
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/OrderTable.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/OrderTable.java
@@ -8,14 +8,17 @@
 import org.teaseldeal.ledger.outcome.Outcome;
 import org.teaseldeal.ledger.state.OrderTerm;
 
-/** Who may order the engines of each pool. */
+/**
+ * Holds the current order term of each pool: the incarnation that may order the pool's engines, and
+ * its fencing token.
+ */
 final class OrderTable {
   private final TreeMap<String, OrderTerm> terms = new TreeMap<>();
 
   Outcome take(Entry.TakeOrders entry, IncarnationId writer, long term) {
     OrderTerm current = terms.get(entry.pool());
     if (current == null && entry.previousTerm() != 0) {
-      return new Outcome.Rejected(entry, "nobody has had the orders of this pool");
+      return new Outcome.Rejected(entry, "the pool has no order term yet");
     }
     if (current != null && current.term() != entry.previousTerm()) {
       return new Outcome.OrdersRefused(entry.pool(), current.term(), current.holder());
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/RecentKeys.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/RecentKeys.java
@@ -3,10 +3,11 @@
 import java.util.Arrays;
 
 /**
- * Fingerprints of keys with a time and a charge id each, dropped in the order of their addition.
+ * Stores fingerprints of keys, each with a time and a charge id, and drops them in the order in
+ * which they were added.
  *
- * <p>A ring of columns with hash slots that hold positions in it: keys are remembered for days, at
- * tens of octets each.
+ * <p>The columns form a ring, and hash slots hold positions in it. Keys are kept for days, and each
+ * takes some tens of bytes in this form.
  */
 final class RecentKeys {
   static final int NONE = -1;
@@ -24,7 +25,10 @@
     return size;
   }
 
-  /** The position of {@code key}, or {@link #NONE}; valid until the next change. */
+  /**
+   * Returns the position of {@code key}, or {@link #NONE}. The position is valid until the next
+   * change.
+   */
   int find(long key) {
     return slots[slotOf(key)] - 1;
   }
@@ -37,7 +41,10 @@
     return numbers[position];
   }
 
-  /** Adds a key that is not there, with a time no earlier than the last one's. */
+  /**
+   * Adds a key that is not in the table yet. {@code time} must not be earlier than that of the key
+   * added last.
+   */
   void add(long key, long time, int origin, long number) {
     if (size == keys.length) {
       grow();
@@ -61,27 +68,30 @@
   }
 
   private int slotOf(long key) {
-    int slot = home(key);
+    int slot = homeSlot(key);
     while (slots[slot] != 0 && keys[slots[slot] - 1] != key) {
       slot = (slot + 1) & (slots.length - 1);
     }
     return slot;
   }
 
-  private int home(long key) {
+  private int homeSlot(long key) {
     long mixed = key * 0x9E3779B97F4A7C15L;
     return (int) (mixed >>> 32) & (slots.length - 1);
   }
 
-  /** Empties a slot and moves later ones of its run back, so that no run is cut. */
+  /**
+   * Empties a slot and moves later entries of the same probe sequence back, so that no entry
+   * becomes unreachable behind the empty slot.
+   */
   private void removeSlot(int emptied) {
     int hole = emptied;
     int slot = (hole + 1) & (slots.length - 1);
     while (slots[slot] != 0) {
-      int home = home(keys[slots[slot] - 1]);
-      int fromHome = (slot - home) & (slots.length - 1);
-      int fromHole = (slot - hole) & (slots.length - 1);
-      if (fromHome >= fromHole) {
+      int home = homeSlot(keys[slots[slot] - 1]);
+      int distanceFromHome = (slot - home) & (slots.length - 1);
+      int distanceFromHole = (slot - hole) & (slots.length - 1);
+      if (distanceFromHome >= distanceFromHole) {
         slots[hole] = slots[slot];
         hole = slot;
       }
@@ -92,14 +102,14 @@
 
   private void grow() {
     int length = keys.length * 2;
-    keys = unrolled(keys, length);
-    times = unrolled(times, length);
-    numbers = unrolled(numbers, length);
-    int[] moved = new int[length];
+    keys = unroll(keys, length);
+    times = unroll(times, length);
+    numbers = unroll(numbers, length);
+    int[] newOrigins = new int[length];
     for (int i = 0; i < size; i++) {
-      moved[i] = origins[(first + i) & (origins.length - 1)];
+      newOrigins[i] = origins[(first + i) & (origins.length - 1)];
     }
-    origins = moved;
+    origins = newOrigins;
     first = 0;
     slots = new int[length * 2];
     for (int position = 0; position < size; position++) {
@@ -107,10 +117,10 @@
     }
   }
 
-  private long[] unrolled(long[] column, int length) {
-    long[] moved = Arrays.copyOfRange(column, first, first + length);
-    System.arraycopy(column, 0, moved, column.length - first, first);
-    return moved;
+  private long[] unroll(long[] column, int length) {
+    long[] unrolled = Arrays.copyOfRange(column, first, first + length);
+    System.arraycopy(column, 0, unrolled, column.length - first, first);
+    return unrolled;
   }
 
   void write(StateWriter out) {
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/OperationMemory.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/RecentOperations.java
@@ -5,11 +5,14 @@
 import java.util.Map;
 import org.teaseldeal.ledger.AccountId;
 
-/** Operations on budgets that were counted, in order, until they are old. */
-final class OperationMemory {
+/**
+ * Remembers the ids of operations applied to budgets, in order, until they are too old, so that a
+ * repeated operation counts once.
+ */
+final class RecentOperations {
   private final LinkedHashMap<String, Long> timeByOperation = new LinkedHashMap<>();
 
-  boolean counted(AccountId account, String operation) {
+  boolean contains(AccountId account, String operation) {
     return timeByOperation.containsKey(key(account, operation));
   }
 
@@ -35,8 +38,8 @@
     }
   }
 
-  static OperationMemory read(StateReader in) {
-    OperationMemory memory = new OperationMemory();
+  static RecentOperations read(StateReader in) {
+    RecentOperations memory = new RecentOperations();
     int count = in.count();
     for (int i = 0; i < count; i++) {
       memory.timeByOperation.put(in.text(), in.number());
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/SettingsTable.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/SettingsTable.java
@@ -13,26 +13,29 @@
 import org.teaseldeal.settings.SubtreeId;
 import org.teaseldeal.settings.TeamSettings;
 
-/** The subtrees in force, with what they say parsed once. */
+/** Holds the settings subtrees in force and caches their parsed form. */
 final class SettingsTable {
-  private static final String NOBODY = "nobody";
+  private static final String NO_AUTHOR = "nobody";
 
   private final SettingsValidator validator;
   private final TreeMap<SubtreeId, SubtreeView> subtrees = new TreeMap<>();
-  private final TreeMap<SubtreeId, Optional<TeamSettings>> teams = new TreeMap<>();
+  private final TreeMap<SubtreeId, Optional<TeamSettings>> parsedTeams = new TreeMap<>();
   private @Nullable Optional<FleetSettings> fleet;
 
   SettingsTable(SettingsValidator validator) {
     this.validator = validator;
   }
 
-  /** Puts a subtree in force at {@code revision} if it was based on the one in force. */
+  /**
+   * Puts a subtree in force at {@code revision} if the publication is based on the revision
+   * currently in force.
+   */
   Outcome publish(Entry.PublishSettings entry, long revision) {
     SubtreeId subtree = entry.subtree();
     SubtreeView current = subtrees.get(subtree);
     long currentRevision = current == null ? 0 : current.revision();
     if (entry.baseRevision() != currentRevision) {
-      String winner = current == null ? NOBODY : current.author();
+      String winner = current == null ? NO_AUTHOR : current.author();
       return new Outcome.SettingsOutdated(subtree, currentRevision, winner);
     }
     List<SettingsProblem> problems = problems(entry);
@@ -47,8 +50,8 @@
     try {
       return validator.problems(entry.subtree(), entry.toml());
     } catch (RuntimeException e) {
-      // A text that trips the parser would stop every instance at this offset; instead it is
-      // refused, and by everybody, as the parser depends on the text alone.
+      // If the exception left the fold, every instance would stop at this offset. Instead every
+      // instance refuses the text, because the parser's result depends on the text alone.
       return List.of(new SettingsProblem("", 1, "could not be checked: " + e));
     }
   }
@@ -58,7 +61,7 @@
     if (view.subtree().isFleet()) {
       fleet = null;
     } else {
-      teams.remove(view.subtree());
+      parsedTeams.remove(view.subtree());
     }
   }
 
@@ -84,7 +87,8 @@
     if (view == null) {
       return Optional.empty();
     }
-    return teams.computeIfAbsent(view.subtree(), subtree -> validator.team(subtree, view.toml()));
+    return parsedTeams.computeIfAbsent(
+        view.subtree(), subtree -> validator.team(subtree, view.toml()));
   }
 
   void write(StateWriter out) {
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/SettingsValidator.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/SettingsValidator.java
@@ -10,25 +10,25 @@
 import org.teaseldeal.settings.TeamSettings;
 
 /**
- * Says what is wrong with a subtree.
+ * Checks the text of a settings subtree.
  *
- * <p>The verdict may depend on the arguments alone: readers that differ would put different
- * settings in force.
+ * <p>The result must depend on the arguments alone: if it differed between instances, they would
+ * put different settings in force.
  */
 @FunctionalInterface
 public interface SettingsValidator {
-  /** The validator that all instances use. */
+  /** The validator that all instances use, based on the settings parser. */
   SettingsValidator STANDARD = SettingsValidator::parserProblems;
 
-  /** What is wrong with {@code toml}; empty if it may be put in force. */
+  /** Returns the problems of {@code toml}; empty if it may be put in force. */
   List<SettingsProblem> problems(SubtreeId subtree, String toml);
 
-  /** The fleet's settings that {@code toml} describes; empty if it can't be parsed. */
+  /** Returns the fleet's settings that {@code toml} describes; empty if it can't be parsed. */
   default Optional<FleetSettings> fleet(String toml) {
     return valid(SettingsParser.parseFleet(toml));
   }
 
-  /** The team's settings that {@code toml} describes; empty if it can't be parsed. */
+  /** Returns the team's settings that {@code toml} describes; empty if it can't be parsed. */
   default Optional<TeamSettings> team(SubtreeId subtree, String toml) {
     return valid(SettingsParser.parseTeam(subtree, toml));
   }
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/Settled.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/Settled.java
@@ -4,10 +4,11 @@
 import org.teaseldeal.ledger.outcome.Outcome;
 
 /**
- * The outcome of one entry.
+ * The outcome of one entry, with the place of the entry on the log.
  *
- * @param sequence the writer's number of the batch
- * @param index the entry's place in the batch, among those that this reader knows
+ * @param sequence the writer's sequence number of the batch
+ * @param index the index of the entry in its batch, counting only entries that this reader can
+ *     decode
  * @param offset the offset of the record
  */
 public record Settled(
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/StateReader.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/StateReader.java
@@ -7,7 +7,10 @@
 import org.apache.thrift.protocol.TCompactProtocol;
 import org.apache.thrift.transport.TMemoryInputTransport;
 
-/** Reads what {@link StateWriter} wrote; anything else is an {@link IllegalArgumentException}. */
+/**
+ * Reads the values that {@link StateWriter} wrote. Every method throws an {@link
+ * IllegalArgumentException} if the input has another form.
+ */
 final class StateReader {
   private final TMemoryInputTransport transport;
   private final TCompactProtocol protocol;
@@ -19,7 +22,7 @@
     try {
       transport = new TMemoryInputTransport(limits, bytes);
     } catch (TException e) {
-      throw new IllegalArgumentException("State could not be opened", e);
+      throw new IllegalArgumentException("Exported state could not be opened", e);
     }
     protocol = new TCompactProtocol(transport);
   }
@@ -28,7 +31,10 @@
     return read(protocol::readI64);
   }
 
-  /** A count or index that must fit into the rest of the octets. */
+  /**
+   * Reads a count. Each counted element takes at least one byte, so a count above the number of
+   * bytes left is refused before memory is allocated for it.
+   */
   int count() {
     long value = number();
     if (value < 0 || value > transport.getBytesRemainingInBuffer()) {
@@ -58,11 +64,11 @@
     return bytes;
   }
 
-  /** Fails unless everything has been read. */
-  void end() {
+  /** Throws an {@link IllegalArgumentException} unless all bytes have been read. */
+  void requireFullyRead() {
     if (transport.getBytesRemainingInBuffer() > 0) {
       throw new IllegalArgumentException(
-          "state had %d octets too many".formatted(transport.getBytesRemainingInBuffer()));
+          "state had %d bytes after its end".formatted(transport.getBytesRemainingInBuffer()));
     }
   }
 
@@ -70,7 +76,7 @@
     try {
       return read.run();
     } catch (TException e) {
-      throw new IllegalArgumentException("State could not be read", e);
+      throw new IllegalArgumentException("Exported state could not be read", e);
     }
   }
 
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/StateWriter.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/StateWriter.java
@@ -7,7 +7,10 @@
 import org.apache.thrift.protocol.TCompactProtocol;
 import org.apache.thrift.transport.TMemoryBuffer;
 
-/** Writes state as a sequence of values in Thrift's compact protocol, without field headers. */
+/**
+ * Writes an exported state as a sequence of values in Thrift's compact protocol, without field
+ * headers.
+ */
 final class StateWriter {
   private static final int INITIAL_BYTES = 4096;
 
@@ -18,7 +21,7 @@
     try {
       buffer = new TMemoryBuffer(INITIAL_BYTES);
     } catch (TException e) {
-      throw new IllegalStateException("Could not open a buffer in memory", e);
+      throw new IllegalStateException("Could not allocate a memory buffer", e);
     }
     protocol = new TCompactProtocol(buffer);
   }
@@ -54,7 +57,7 @@
       write.run();
       return this;
     } catch (TException e) {
-      throw new IllegalStateException("Could not write state into memory", e);
+      throw new IllegalStateException("Could not write state into a memory buffer", e);
     }
   }
 
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/Writer.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/Writer.java
@@ -10,55 +10,63 @@
 import org.teaseldeal.ledger.entry.Entry;
 import org.teaseldeal.ledger.state.InstanceView;
 
-/** What the fold remembers of one incarnation. */
+/**
+ * Holds the fold's state of one incarnation that has written to the log or is named by an entry.
+ */
 final class Writer {
-  final int id;
+  final int number;
   final IncarnationId incarnation;
   long lastSequence;
   long foldedTo = -1;
   long lastSeenMillis;
   boolean ended;
   private Entry.@Nullable Join join;
-  private long chargesBelow = 1;
-  private final TreeSet<Long> chargesBeyond = new TreeSet<>();
+  private long chargeWatermark = 1;
+  private final TreeSet<Long> chargesAboveWatermark = new TreeSet<>();
   private @Nullable SnapshotProgress snapshot;
 
   Writer(int id, IncarnationId incarnation) {
-    this.id = id;
+    this.number = id;
     this.incarnation = incarnation;
   }
 
-  /** Whether it joined and has not ended. */
-  boolean live() {
+  /** Returns whether the incarnation has joined and has not ended. */
+  boolean isLive() {
     return join != null && !ended;
   }
 
-  void join(Entry.Join joined) {
-    join = joined;
+  void join(Entry.Join entry) {
+    join = entry;
   }
 
-  /** Whether the charge {@code number} of this origin was counted. */
+  /** Returns whether the charge {@code number} of this origin has been counted. */
   boolean charged(long number) {
-    return number < chargesBelow || chargesBeyond.contains(number);
+    return number < chargeWatermark || chargesAboveWatermark.contains(number);
   }
 
-  /** Counts the charge {@code number}: a watermark, and the few numbers beyond it. */
+  /**
+   * Records the charge {@code number} as counted. All numbers below a watermark are counted; the
+   * few counted numbers above it are kept one by one.
+   */
   void markCharged(long number) {
-    chargesBeyond.add(number);
-    while (chargesBeyond.remove(chargesBelow)) {
-      chargesBelow++;
+    chargesAboveWatermark.add(number);
+    while (chargesAboveWatermark.remove(chargeWatermark)) {
+      chargeWatermark++;
     }
   }
 
-  /** Takes a chunk; whether the snapshot is whole with it, or empty if the chunk doesn't fit. */
-  Optional<Boolean> takeChunk(Entry.SnapshotChunk chunk) {
+  /**
+   * Accepts a snapshot chunk and returns whether it completes the snapshot; empty if the chunk does
+   * not follow the previous one.
+   */
+  Optional<Boolean> acceptChunk(Entry.SnapshotChunk chunk) {
     Optional<SnapshotProgress> next = SnapshotProgress.after(snapshot, chunk);
     if (next.isEmpty()) {
       return Optional.empty();
     }
-    boolean whole = next.get().whole();
-    snapshot = whole ? null : next.get();
-    return Optional.of(whole);
+    boolean complete = next.get().isComplete();
+    snapshot = complete ? null : next.get();
+    return Optional.of(complete);
   }
 
   Optional<InstanceView> view() {
@@ -76,13 +84,13 @@
   }
 
   void write(StateWriter out) {
-    out.number(id).text(incarnation.value()).number(lastSequence).number(foldedTo);
+    out.number(number).text(incarnation.value()).number(lastSequence).number(foldedTo);
     out.number(lastSeenMillis).flag(ended).flag(join != null);
     if (join != null) {
       out.text(join.instance().name()).text(join.dataCentre().name()).text(join.peerAddress());
     }
-    out.number(chargesBelow).number(chargesBeyond.size());
-    chargesBeyond.forEach(out::number);
+    out.number(chargeWatermark).number(chargesAboveWatermark.size());
+    chargesAboveWatermark.forEach(out::number);
     out.flag(snapshot != null);
     if (snapshot != null) {
       snapshot.write(out);
@@ -98,10 +106,10 @@
     if (in.flag()) {
       writer.join = new Entry.Join(new InstanceId(in.text()), new DataCentre(in.text()), in.text());
     }
-    writer.chargesBelow = in.number();
-    int beyond = in.count();
-    for (int i = 0; i < beyond; i++) {
-      writer.chargesBeyond.add(in.number());
+    writer.chargeWatermark = in.number();
+    int aboveWatermark = in.count();
+    for (int i = 0; i < aboveWatermark; i++) {
+      writer.chargesAboveWatermark.add(in.number());
     }
     writer.snapshot = in.flag() ? SnapshotProgress.read(in) : null;
     return writer;
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/WriterTable.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/WriterTable.java
@@ -9,7 +9,7 @@
 import org.jspecify.annotations.Nullable;
 import org.teaseldeal.api.IncarnationId;
 
-/** All incarnations that are remembered, by id and by a number that other tables refer to. */
+/** Holds all known incarnations, by id and by a number under which other tables refer to them. */
 final class WriterTable {
   private final Map<IncarnationId, Writer> byIncarnation = new HashMap<>();
   private final TreeMap<Integer, Writer> byNumber = new TreeMap<>();
@@ -24,28 +24,28 @@
   }
 
   Writer add(IncarnationId incarnation) {
-    Writer known = byIncarnation.get(incarnation);
-    if (known != null) {
-      return known;
+    Writer existing = byIncarnation.get(incarnation);
+    if (existing != null) {
+      return existing;
     }
     Writer writer = new Writer(nextNumber++, incarnation);
     put(writer);
     return writer;
   }
 
-  /** All, in the order of their first mention. */
+  /** Returns all writers, in the order in which they first appeared on the log. */
   Collection<Writer> all() {
     return byNumber.values();
   }
 
-  void removeIf(Predicate<Writer> forgotten) {
-    byNumber.values().removeIf(forgotten);
-    byIncarnation.values().removeIf(writer -> !byNumber.containsKey(writer.id));
+  void removeIf(Predicate<Writer> condition) {
+    byNumber.values().removeIf(condition);
+    byIncarnation.values().removeIf(writer -> !byNumber.containsKey(writer.number));
   }
 
   private void put(Writer writer) {
     byIncarnation.put(writer.incarnation, writer);
-    byNumber.put(writer.id, writer);
+    byNumber.put(writer.number, writer);
   }
 
   void write(StateWriter out) {
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/lease/LocalLeases.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/lease/LocalLeases.java
@@ -10,25 +10,26 @@
 import org.teaseldeal.ledger.Draw;
 
 /**
- * What an instance holds of each budget: free parcels by source, and reservations out of them.
+ * Holds the tokens that an instance has of each service: free tokens by source, and reservations
+ * taken from them.
  *
- * <p>Nothing here is ever negative, and what goes out is never more than was credited. Not
+ * <p>No count is ever negative, and no more tokens are taken out than were credited. Not
  * thread-safe.
  */
 public final class LocalLeases {
-  private final TreeMap<ServiceId, Parcels> freeByService = new TreeMap<>();
+  private final TreeMap<ServiceId, TokensBySource> freeByService = new TreeMap<>();
   private final Map<Long, Reservation> reservations = new HashMap<>();
   private final Map<ServiceId, Long> reservedByService = new HashMap<>();
   private long nextNumber = 1;
 
-  /** Adds tokens that were granted to this instance or handed to it. */
-  public void credit(ServiceId service, List<Draw> parcels) {
-    if (!parcels.isEmpty()) {
-      freeByService.computeIfAbsent(service, id -> new Parcels()).addAll(parcels);
+  /** Adds tokens that were leased to this instance or transferred to it by a peer. */
+  public void credit(ServiceId service, List<Draw> draws) {
+    if (!draws.isEmpty()) {
+      freeByService.computeIfAbsent(service, id -> new TokensBySource()).addAll(draws);
     }
   }
 
-  /** Sets {@code tokens} aside; empty if fewer are free. */
+  /** Reserves {@code tokens}; empty if fewer are free. */
   public Optional<Reservation> reserve(ServiceId service, long tokens) {
     Preconditions.requireNotNegative(tokens, "tokens");
     if (free(service) < tokens) {
@@ -41,79 +42,83 @@
   }
 
   /**
-   * Ends a reservation with {@code used} tokens spent, and frees the rest.
+   * Ends a reservation of which {@code used} tokens were spent, and frees the rest.
    *
-   * @return the draws that pay for {@code used}; if more was used than reserved, what is free
-   *     covers the excess as far as it goes
-   * @throws IllegalStateException if the reservation has ended before
+   * @return the draws that pay for {@code used}. If more was used than reserved, free tokens cover
+   *     the excess as far as they suffice
+   * @throws IllegalStateException if the reservation has already ended
    */
   public List<Draw> settle(Reservation reservation, long used) {
     Preconditions.requireNotNegative(used, "used tokens");
     if (!reservation.equals(reservations.remove(reservation.number()))) {
-      throw new IllegalStateException("Reservation %d has ended".formatted(reservation.number()));
+      throw new IllegalStateException(
+          "Reservation %d has already ended".formatted(reservation.number()));
     }
     ServiceId service = reservation.service();
     unreserve(service, reservation.tokens());
-    Parcels parcels = new Parcels();
-    parcels.addAll(reservation.parcels());
-    Parcels spent = new Parcels();
-    spent.addAll(parcels.take(used));
-    credit(service, parcels.take(Long.MAX_VALUE));
+    TokensBySource remaining = new TokensBySource();
+    remaining.addAll(reservation.draws());
+    TokensBySource spent = new TokensBySource();
+    spent.addAll(remaining.take(used));
+    credit(service, remaining.take(Long.MAX_VALUE));
     spent.addAll(take(service, Math.max(0, used - reservation.tokens())));
     return spent.take(Long.MAX_VALUE);
   }
 
   private void unreserve(ServiceId service, long tokens) {
-    long left = reserved(service) - tokens;
-    if (left == 0) {
+    long remaining = reserved(service) - tokens;
+    if (remaining == 0) {
       reservedByService.remove(service);
     } else {
-      reservedByService.put(service, left);
+      reservedByService.put(service, remaining);
     }
   }
 
-  /** Ends a reservation with nothing spent. */
+  /** Ends a reservation without spending any of its tokens. */
   public void release(Reservation reservation) {
     settle(reservation, 0);
   }
 
-  /** Takes up to {@code max} free tokens out, to hand on or to give back. */
+  /**
+   * Removes and returns up to {@code max} free tokens, to transfer to a peer or to return to the
+   * budget.
+   */
   public List<Draw> take(ServiceId service, long max) {
     Preconditions.requireNotNegative(max, "max");
-    Parcels parcels = freeByService.get(service);
-    if (parcels == null) {
+    TokensBySource free = freeByService.get(service);
+    if (free == null) {
       return List.of();
     }
-    List<Draw> taken = parcels.take(max);
-    if (parcels.total() == 0) {
+    List<Draw> taken = free.take(max);
+    if (free.total() == 0) {
       freeByService.remove(service);
     }
     return taken;
   }
 
-  /** The tokens that can be reserved or taken. */
+  /** Returns the number of tokens that can be reserved or taken. */
   public long free(ServiceId service) {
-    Parcels parcels = freeByService.get(service);
-    return parcels == null ? 0 : parcels.total();
+    TokensBySource free = freeByService.get(service);
+    return free == null ? 0 : free.total();
   }
 
-  /** The tokens under reservations. */
+  /** Returns the number of reserved tokens. */
   public long reserved(ServiceId service) {
     return reservedByService.getOrDefault(service, 0L);
   }
 
-  /** Free and reserved tokens together. */
+  /** Returns the number of free and reserved tokens together. */
   public long held(ServiceId service) {
     return free(service) + reserved(service);
   }
 
-  /** The free parcels, by source. */
-  public List<Draw> parcels(ServiceId service) {
-    Parcels parcels = freeByService.get(service);
-    return parcels == null ? List.of() : parcels.view();
+  /** Returns the free tokens, by source. */
+  public List<Draw> freeDraws(ServiceId service) {
+    TokensBySource free = freeByService.get(service);
+    return free == null ? List.of() : free.toDraws();
   }
 
-  /** The services with free tokens, in their order. */
+  /** Returns the services that have free tokens, in ascending order. */
   public List<ServiceId> services() {
     return List.copyOf(freeByService.keySet());
   }
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/lease/Reservation.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/lease/Reservation.java
@@ -4,14 +4,17 @@
 import org.teaseldeal.api.ServiceId;
 import org.teaseldeal.ledger.Draw;
 
-/** Tokens set aside for one attempt until it is settled or released. */
-public record Reservation(long number, ServiceId service, List<Draw> parcels) {
+/**
+ * Tokens that are reserved for one attempt until the attempt is settled or the reservation is
+ * released.
+ */
+public record Reservation(long number, ServiceId service, List<Draw> draws) {
   public Reservation {
-    parcels = List.copyOf(parcels);
+    draws = List.copyOf(draws);
   }
 
-  /** The tokens set aside. */
+  /** Returns the number of reserved tokens. */
   public long tokens() {
-    return parcels.stream().mapToLong(Draw::tokens).sum();
+    return draws.stream().mapToLong(Draw::tokens).sum();
   }
 }
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/lease/Parcels.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/lease/TokensBySource.java
@@ -7,8 +7,8 @@
 import org.teaseldeal.api.IncarnationId;
 import org.teaseldeal.ledger.Draw;
 
-/** Tokens by source, taken in the order of the sources. */
-final class Parcels {
+/** A set of tokens grouped by source. Tokens are taken in the order of the sources. */
+final class TokensBySource {
   private final TreeMap<IncarnationId, Long> tokensBySource = new TreeMap<>();
   private long total;
 
@@ -23,16 +23,16 @@
     }
   }
 
-  /** Takes {@code max} tokens, or all if there are fewer. */
+  /** Removes and returns {@code max} tokens, or all tokens if there are fewer. */
   List<Draw> take(long max) {
     List<Draw> taken = new ArrayList<>();
-    long left = max;
-    while (left > 0 && !tokensBySource.isEmpty()) {
+    long missing = max;
+    while (missing > 0 && !tokensBySource.isEmpty()) {
       Map.Entry<IncarnationId, Long> first = tokensBySource.firstEntry();
-      long tokens = Math.min(left, first.getValue());
+      long tokens = Math.min(missing, first.getValue());
       taken.add(new Draw(first.getKey(), tokens));
       subtract(first.getKey(), first.getValue(), tokens);
-      left -= tokens;
+      missing -= tokens;
     }
     return taken;
   }
@@ -46,7 +46,7 @@
     total -= tokens;
   }
 
-  List<Draw> view() {
+  List<Draw> toDraws() {
     return tokensBySource.entrySet().stream()
         .map(entry -> new Draw(entry.getKey(), entry.getValue()))
         .toList();
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/lease/package-info.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/lease/package-info.java
@@ -1,4 +1,4 @@
-/** The tokens that one instance holds, each under the source it was leased to. */
+/** The tokens that one instance holds, recorded by the source to which they were leased. */
 @NullMarked
 package org.teaseldeal.ledger.lease;
 
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/outcome/package-info.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/outcome/package-info.java
@@ -1,4 +1,4 @@
-/** What the fold made of each entry, as typed outcomes. */
+/** Typed outcomes that the fold produces for entries. */
 @NullMarked
 package org.teaseldeal.ledger.outcome;
 
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/package-info.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/package-info.java
@@ -1,4 +1,6 @@
-/** The ledger: a deterministic fold over the platform's log, and what reads and writes it. */
+/**
+ * The ledger: a deterministic fold over the platform's log, and the types that read and write it.
+ */
 @NullMarked
 package org.teaseldeal.ledger;
 
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/snapshot/Snapshot.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/snapshot/Snapshot.java
@@ -1,4 +1,4 @@
 package org.teaseldeal.ledger.snapshot;
 
-/** A whole snapshot: exported state that holds everything up to {@code coveredOffset}. */
+/** A complete snapshot: the exported state after {@code coveredOffset}. */
 public record Snapshot(long coveredOffset, byte[] state) {}
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/snapshot/SnapshotAssembler.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/snapshot/SnapshotAssembler.java
@@ -9,67 +9,73 @@
 import org.teaseldeal.ledger.entry.Entry;
 
 /**
- * Puts chunks together and keeps the latest snapshot that is whole.
+ * Assembles snapshots from chunks and keeps the latest complete one.
  *
- * <p>Chunks may come repeatedly and in any order. Only octets with the digest that the chunks name
- * count as whole; anything else is dropped and counted.
+ * <p>Chunks may be repeated and may arrive in any order. A snapshot is accepted only if its bytes
+ * have the digest that the chunks name; otherwise it is dropped and counted as corrupt.
  */
 public final class SnapshotAssembler {
-  /** More chunks than any state has; guards against a count that would take all memory. */
+  /**
+   * Upper limit of the chunk count, above that of any real state. It keeps a corrupt count from
+   * exhausting memory.
+   */
   private static final int MAX_CHUNKS = 1 << 16;
 
-  private final Map<Name, TreeMap<Integer, byte[]>> partial = new HashMap<>();
+  private final Map<SnapshotId, TreeMap<Integer, byte[]>> partial = new HashMap<>();
   private @Nullable Snapshot latest;
   private long corrupt;
 
-  /** Takes a chunk as it was read from the log. */
+  /** Adds a chunk that was read from the log. */
   public void add(Entry.SnapshotChunk chunk) {
-    if (!usable(chunk)) {
+    if (!isUsable(chunk)) {
       return;
     }
-    Name name = new Name(chunk.coveredOffset(), chunk.digest(), chunk.count());
-    TreeMap<Integer, byte[]> pieces = partial.computeIfAbsent(name, key -> new TreeMap<>());
-    pieces.put(chunk.index(), chunk.bytes());
-    if (pieces.size() == chunk.count()) {
-      partial.remove(name);
-      complete(name, pieces);
+    SnapshotId id = new SnapshotId(chunk.coveredOffset(), chunk.digest(), chunk.count());
+    TreeMap<Integer, byte[]> chunkBytes = partial.computeIfAbsent(id, key -> new TreeMap<>());
+    chunkBytes.put(chunk.index(), chunk.bytes());
+    if (chunkBytes.size() == chunk.count()) {
+      partial.remove(id);
+      complete(id, chunkBytes);
     }
   }
 
-  private boolean usable(Entry.SnapshotChunk chunk) {
+  private boolean isUsable(Entry.SnapshotChunk chunk) {
     return chunk.index() >= 0
         && chunk.index() < chunk.count()
         && chunk.count() <= MAX_CHUNKS
         && (latest == null || chunk.coveredOffset() > latest.coveredOffset());
   }
 
-  private void complete(Name name, TreeMap<Integer, byte[]> pieces) {
+  private void complete(SnapshotId id, TreeMap<Integer, byte[]> chunkBytes) {
     ByteArrayOutputStream state = new ByteArrayOutputStream();
-    pieces.values().forEach(state::writeBytes);
-    byte[] octets = state.toByteArray();
-    if (!SnapshotChunks.digest(octets).equals(name.digest())) {
+    chunkBytes.values().forEach(state::writeBytes);
+    byte[] bytes = state.toByteArray();
+    if (!SnapshotChunks.digest(bytes).equals(id.digest())) {
       corrupt++;
       return;
     }
-    latest = new Snapshot(name.coveredOffset(), octets);
-    partial.keySet().removeIf(other -> other.coveredOffset() <= name.coveredOffset());
+    latest = new Snapshot(id.coveredOffset(), bytes);
+    partial.keySet().removeIf(other -> other.coveredOffset() <= id.coveredOffset());
   }
 
-  /** The latest whole snapshot, if there is one. */
+  /** Returns the latest complete snapshot if there is one. */
   public Optional<Snapshot> latest() {
     return Optional.ofNullable(latest);
   }
 
-  /** Drops the latest snapshot, as it turned out to be unusable. */
+  /** Drops the latest snapshot because its state can't be restored. */
   public void dropLatest() {
     corrupt++;
     latest = null;
   }
 
-  /** How many snapshots had other octets than their digest says, or were dropped as unusable. */
+  /**
+   * Returns the number of snapshots that did not match their digest or were dropped by {@link
+   * #dropLatest}.
+   */
   public long corrupt() {
     return corrupt;
   }
 
-  private record Name(long coveredOffset, String digest, int count) {}
+  private record SnapshotId(long coveredOffset, String digest, int count) {}
 }
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/snapshot/SnapshotChunks.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/snapshot/SnapshotChunks.java
@@ -12,10 +12,10 @@
 import org.teaseldeal.ledger.entry.Entry;
 
 /**
- * An exported state as chunks, each with the digest of the whole.
+ * Splits an exported state into chunks, each of which names the digest of the whole state.
  *
- * <p>A chunk is cut when it is asked for, as a second copy of a large state would weigh as much as
- * the state itself.
+ * <p>A chunk is copied only when it is requested, because a second copy of a large state would take
+ * as much memory as the state itself.
  */
 public final class SnapshotChunks extends AbstractList<Entry.SnapshotChunk>
     implements RandomAccess {
@@ -31,9 +31,11 @@
     digest = digest(state);
   }
 
-  /** The chunks of {@code state}, which holds everything up to {@code coveredOffset}. */
+  /**
+   * Returns the chunks of {@code state}, which includes all records up to {@code coveredOffset}.
+   */
   public static List<Entry.SnapshotChunk> of(long coveredOffset, byte[] state, int chunkBytes) {
-    Preconditions.requirePositive(state.length, "octets of state");
+    Preconditions.requirePositive(state.length, "state bytes");
     Preconditions.requirePositive(chunkBytes, "chunk bytes");
     return new SnapshotChunks(coveredOffset, state, chunkBytes);
   }
@@ -51,10 +53,10 @@
     return Math.ceilDiv(state.length, chunkBytes);
   }
 
-  /** The SHA-256 of {@code octets}, in hexadecimal digits. */
-  public static String digest(byte[] octets) {
+  /** Returns the SHA-256 digest of {@code bytes}, in hexadecimal digits. */
+  public static String digest(byte[] bytes) {
     try {
-      return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(octets));
+      return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(bytes));
     } catch (NoSuchAlgorithmException e) {
       throw new IllegalStateException("Every Java platform has SHA-256", e);
     }
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/snapshot/SnapshotConfig.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/snapshot/SnapshotConfig.java
@@ -4,23 +4,25 @@
 import org.teaseldeal.api.Preconditions;
 
 /**
- * How state is carried forward on a log that keeps its records for a limited time.
+ * Configures the snapshots that preserve the state on a log which keeps its records for a limited
+ * time.
  *
- * @param chunkBytes octets of state in one entry
+ * @param chunkBytes bytes of state in one snapshot chunk
  * @param retention how long the log keeps a record
- * @param recordsPerSnapshot records after which the state is written anew; several times as many as
- *     a snapshot has chunks
- * @param grace how long the instance whose turn it is has, before the next in rank takes over
+ * @param recordsPerSnapshot records after which a new snapshot is due; it should be several times
+ *     the number of chunks in a snapshot, since the chunks are records too
+ * @param takeoverDelay how long each instance has to write a due snapshot before the next in rank
+ *     takes over
  */
 public record SnapshotConfig(
-    int chunkBytes, Duration retention, long recordsPerSnapshot, Duration grace) {
-  /** For a log that keeps its records for a day. */
+    int chunkBytes, Duration retention, long recordsPerSnapshot, Duration takeoverDelay) {
+  /** The default, for a log that keeps its records for a day. */
   public static final SnapshotConfig DEFAULT =
       new SnapshotConfig(48 * 1024, Duration.ofDays(1), 20_000, Duration.ofSeconds(20));
 
   /**
-   * Snapshots this many times in a retention: one that is missed, and a log outage of half the
-   * retention after it, still leave a whole one on the log.
+   * Number of snapshots within the retention. With four, a complete snapshot is still on the log if
+   * one snapshot was missed and the log was then down for half the retention.
    */
   private static final int SNAPSHOTS_PER_RETENTION = 4;
 
@@ -29,10 +31,10 @@
     Preconditions.requirePositive(
         retention.toMillis() / SNAPSHOTS_PER_RETENTION, "a quarter of the retention");
     Preconditions.requirePositive(recordsPerSnapshot, "records per snapshot");
-    Preconditions.requireNotNegative(grace.toMillis(), "grace");
+    Preconditions.requireNotNegative(takeoverDelay.toMillis(), "takeover delay");
   }
 
-  /** The age of the last snapshot from which on a new one is due. */
+  /** Returns the age of the latest snapshot at which a new one is due. */
   public Duration maxAge() {
     return retention.dividedBy(SNAPSHOTS_PER_RETENTION);
   }
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/snapshot/package-info.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/snapshot/package-info.java
@@ -1,4 +1,6 @@
-/** Snapshots on the log: whose turn it is to write one, and how chunks become a whole again. */
+/**
+ * Snapshots on the log: scheduling which instance writes one, and assembling snapshots from chunks.
+ */
 @NullMarked
 package org.teaseldeal.ledger.snapshot;
 
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/state/ClaimView.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/state/ClaimView.java
@@ -8,7 +8,7 @@
 import org.teaseldeal.ledger.ClaimKey;
 import org.teaseldeal.ledger.entry.Entry;
 
-/** A claim within its window: who holds it and, once known, the answer. */
+/** A claim within its window: its holder and, once stored, the answer of its request. */
 public record ClaimView(
     ClaimKey key,
     IncarnationId holder,
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/state/InstanceView.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/state/InstanceView.java
@@ -6,10 +6,10 @@
 import org.teaseldeal.api.InstanceId;
 
 /**
- * An instance that has joined and not ended.
+ * An instance that has joined and has neither left nor been retired.
  *
- * @param foldedTo the last offset it had folded when it wrote its last record
- * @param lastRecordAt the log time of its last record
+ * @param foldedTo the last offset that the instance had folded when it wrote its last record
+ * @param lastRecordAt the log time of the instance's last record
  */
 public record InstanceView(
     IncarnationId incarnation,
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/state/LedgerState.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/state/LedgerState.java
@@ -15,81 +15,90 @@
 import org.teaseldeal.settings.TeamSettings;
 
 /**
- * The state of the ledger after {@link #foldedTo()}; the same for whoever reads the same prefix.
+ * The state of the ledger after {@link #foldedTo()}. It is the same for all readers of the same
+ * records.
  *
- * <p>It changes as records are folded, and a restore replaces it: ask for it anew rather than keep
- * it. Not thread-safe.
+ * <p>The state changes as records are folded, and a restore replaces the object. Callers must
+ * therefore not keep it, but get it anew. Not thread-safe.
  */
 public interface LedgerState {
-  /** The last offset folded, -1 for none. */
+  /** Returns the last folded offset, -1 if there is none. */
   long foldedTo();
 
-  /** The largest time of append folded so far; the epoch if there is none. */
+  /** Returns the latest append time of all folded records, or the epoch if there are none. */
   Instant logTime();
 
-  /** The budget {@code account}, if it was created. */
+  /** Returns the budget {@code account} if it has been created. */
   Optional<AccountView> account(AccountId account);
 
-  /** All budgets, in the order of their creation. */
+  /** Returns all budgets, in the order of their creation. */
   Stream<AccountView> accounts();
 
-  /** The tokens that a lease for {@code service} could be granted out of now. */
+  /** Returns the number of tokens that can currently be leased for {@code service}. */
   long spendable(ServiceId service);
 
-  /** What is left under the leases of {@code service}, by source. */
+  /** Returns the tokens left under the leases of {@code service}, by source. */
   List<LeaseView> leases(ServiceId service);
 
-  /** What is left under the leases granted to {@code source}, by service; looks at every lease. */
+  /**
+   * Returns the tokens left under the leases granted to {@code source}, by service. It scans all
+   * leases.
+   */
   List<LeaseView> leases(IncarnationId source);
 
-  /** The tokens left under the lease of {@code service} granted to {@code source}. */
+  /** Returns the tokens left under the lease of {@code service} granted to {@code source}. */
   long leased(ServiceId service, IncarnationId source);
 
-  /** Whether a charge or write-off with this id has been counted. */
+  /** Returns whether a charge or write-off with this id has been counted. */
   boolean charged(ChargeId id);
 
-  /** The claim of {@code key}, as long as its window lasts. */
+  /** Returns the claim of {@code key} if its window has not ended. */
   Optional<ClaimView> claim(ClaimKey key);
 
-  /** Whether {@code key} was claimed longer ago than its window, but is still remembered. */
+  /**
+   * Returns whether the claim window of {@code key} has ended while the key is still remembered.
+   */
   boolean claimExpired(ClaimKey key);
 
-  /** The subtree {@code subtree}, if there is one. */
+  /** Returns the settings subtree {@code subtree} if it exists. */
   Optional<SubtreeView> subtree(SubtreeId subtree);
 
-  /** All subtrees, ordered by name. */
+  /** Returns all settings subtrees, ordered by name. */
   List<SubtreeView> subtrees();
 
-  /** The largest revision of any subtree, zero for none. */
+  /** Returns the highest revision of any subtree, zero if there is no subtree. */
   long settingsRevision();
 
-  /** The fleet's settings, parsed once per revision. */
+  /** Returns the fleet's settings, which are parsed once per revision. */
   Optional<FleetSettings> fleet();
 
-  /** The settings of {@code team}, parsed once per revision. */
+  /** Returns the settings of {@code team}, which are parsed once per revision. */
   Optional<TeamSettings> team(TeamId team);
 
-  /** Instances that have joined and not ended, in the order of their first record. */
+  /** Returns the instances that have joined and not ended, in the order of their first record. */
   List<InstanceView> instances();
 
-  /** Whether {@code incarnation} left or was retired. */
+  /** Returns whether {@code incarnation} left or was retired. */
   boolean ended(IncarnationId incarnation);
 
-  /** The last sequence number taken from {@code writer}, zero for none. */
+  /** Returns the last sequence number applied from {@code writer}, zero if there is none. */
   long lastSequence(IncarnationId writer);
 
-  /** Who may order the engines of {@code pool}. */
+  /**
+   * Returns the current order term of {@code pool}, which names the incarnation that may order its
+   * engines.
+   */
   Optional<OrderTerm> orders(String pool);
 
-  /** All order terms, ordered by pool. */
+  /** Returns the current order terms of all pools, ordered by pool. */
   List<OrderTerm> orders();
 
-  /** How far snapshots reach. */
+  /** Returns which offsets snapshots on the log cover. */
   SnapshotView snapshot();
 
   /**
-   * Recounts every budget from its leases and names the first that does not add up; for tests,
-   * dumps and operators, as it looks at everything.
+   * Recomputes every budget from its leases and describes the first that does not match. It scans
+   * the whole state and is meant for tests, dumps and operators.
    */
   Optional<String> imbalance();
 }
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/state/OrderTerm.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/state/OrderTerm.java
@@ -2,5 +2,5 @@
 
 import org.teaseldeal.api.IncarnationId;
 
-/** Who may order a pool's engines, and the fencing number that goes with it. */
+/** The right of one incarnation to order a pool's engines. {@code term} is its fencing token. */
 public record OrderTerm(String pool, long term, IncarnationId holder) {}
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/state/SnapshotView.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/state/SnapshotView.java
@@ -3,10 +3,12 @@
 import java.time.Instant;
 
 /**
- * How far snapshots on the log reach.
+ * Describes the latest complete snapshot on the log.
  *
- * @param epoch counts the snapshots that moved {@code coveredOffset} on
- * @param coveredOffset the offset that the latest whole snapshot covers, -1 for none
- * @param since the log time at which it became whole; that of the first record if there is none
+ * @param epoch the number of snapshots that advanced {@code coveredOffset}
+ * @param coveredOffset the offset up to which the latest complete snapshot covers the log, -1 if
+ *     there is none
+ * @param since the log time at which that snapshot became complete, or the log time of the first
+ *     record if there is no snapshot
  */
 public record SnapshotView(long epoch, long coveredOffset, Instant since) {}
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/state/package-info.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/state/package-info.java
@@ -1,4 +1,4 @@
-/** What a reader may ask of the folded state; nothing here changes it. */
+/** Read-only views of the folded state. */
 @NullMarked
 package org.teaseldeal.ledger.state;
 
--- a/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/EmbeddingExampleTests.java
+++ b/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/EmbeddingExampleTests.java
@@ -26,7 +26,10 @@
 import org.teaseldeal.ledger.outcome.Outcome;
 import org.teaseldeal.ledger.state.AccountView;
 
-/** The program of docs/EMBEDDING.md, which shows the lines between the markers. */
+/**
+ * Runs the example program of docs/EMBEDDING.md and checks that the page shows it unchanged. The
+ * page contains the lines between the two markers.
+ */
 class EmbeddingExampleTests {
   private static final Path PAGE = Path.of("..", "docs", "EMBEDDING.md");
   private static final Path SOURCE =
--- a/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/LedgerNames.java
+++ b/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/LedgerFixtures.java
@@ -11,8 +11,8 @@
 import org.teaseldeal.api.TeamId;
 import org.teaseldeal.ledger.entry.Entry;
 
-/** Names and entries that tests use over and over. */
-public final class LedgerNames {
+/** Identifiers and factory methods for entries that many tests use. */
+public final class LedgerFixtures {
   public static final TeamId TEAM = new TeamId("wool");
   public static final ServiceId DRAFTS = new ServiceId(TEAM, "drafts");
   public static final ServiceId BIDS = new ServiceId(TEAM, "bids");
@@ -23,7 +23,7 @@
   public static final IncarnationId B = new IncarnationId("b-1");
   public static final IncarnationId OPERATOR = new IncarnationId("operator-1");
 
-  private LedgerNames() {}
+  private LedgerFixtures() {}
 
   public static Entry.Join join(IncarnationId incarnation) {
     return new Entry.Join(
--- a/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/client/FakeLog.java
+++ b/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/client/FakeLog.java
@@ -8,12 +8,12 @@
 import org.teaseldeal.ledger.LogEvent;
 import org.teaseldeal.ledger.LogRecord;
 
-/** A log in memory that can be down, lose answers, and expire records. */
+/** A log in memory that can be unreachable, lose acknowledgements, and expire records. */
 final class FakeLog {
   final List<LogRecord> records = new ArrayList<>();
   private final InstantSource clock;
-  boolean down;
-  boolean losesAnswers;
+  boolean unreachable;
+  boolean losesAcknowledgements;
   long recordsServed;
   private long earliest;
 
@@ -21,7 +21,7 @@
     this.clock = clock;
   }
 
-  long next() {
+  long nextOffset() {
     return records.size();
   }
 
@@ -30,12 +30,12 @@
   }
 
   long append(byte[] payload) {
-    records.add(new LogRecord(next(), clock.instant(), payload));
-    return next() - 1;
+    records.add(new LogRecord(nextOffset(), clock.instant(), payload));
+    return nextOffset() - 1;
   }
 
-  /** Carries a command out; empty if its answer is lost. */
-  Optional<LogEvent> run(LogCommand command) {
+  /** Carries out a command; empty if its result is lost. */
+  Optional<LogEvent> execute(LogCommand command) {
     return switch (command) {
       case LogCommand.Append append -> answer(append);
       case LogCommand.Read read -> Optional.of(answer(read));
@@ -43,26 +43,27 @@
   }
 
   private Optional<LogEvent> answer(LogCommand.Append append) {
-    if (down) {
+    if (unreachable) {
       return Optional.of(new LogEvent.AppendFailed(append.stream(), append.token(), "down"));
     }
     long offset = append(append.payload());
-    return losesAnswers
+    return losesAcknowledgements
         ? Optional.empty()
         : Optional.of(new LogEvent.AppendAnswered(append.stream(), append.token(), offset));
   }
 
   private LogEvent answer(LogCommand.Read read) {
     long from = read.fromOffset();
-    if (down) {
+    if (unreachable) {
       return new LogEvent.ReadFailed(read.stream(), from, "down");
     }
     if (from < earliest) {
-      return new LogEvent.OffsetExpired(read.stream(), from, earliest, next());
+      return new LogEvent.OffsetExpired(read.stream(), from, earliest, nextOffset());
     }
-    List<LogRecord> some =
-        records.subList((int) Math.min(from, next()), (int) Math.min(from + 100, next()));
-    recordsServed += some.size();
-    return new LogEvent.RecordsRead(read.stream(), from, some, earliest, next());
+    List<LogRecord> served =
+        records.subList(
+            (int) Math.min(from, nextOffset()), (int) Math.min(from + 100, nextOffset()));
+    recordsServed += served.size();
+    return new LogEvent.RecordsRead(read.stream(), from, served, earliest, nextOffset());
   }
 }
--- a/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/client/LedgerClientModelTests.java
+++ b/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/client/LedgerClientModelTests.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.teaseldeal.ledger.LedgerNames.DRAFTS;
-import static org.teaseldeal.ledger.LedgerNames.TEAM_BUDGET;
+import static org.teaseldeal.ledger.LedgerFixtures.DRAFTS;
+import static org.teaseldeal.ledger.LedgerFixtures.TEAM_BUDGET;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -15,18 +15,18 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 import org.teaseldeal.api.IncarnationId;
-import org.teaseldeal.ledger.LedgerNames;
+import org.teaseldeal.ledger.LedgerFixtures;
 import org.teaseldeal.ledger.entry.Entry;
 import org.teaseldeal.ledger.fold.Settled;
 import org.teaseldeal.ledger.outcome.Outcome;
 import org.teaseldeal.ledger.snapshot.SnapshotConfig;
 
 /**
- * Three clients on one log under random faults, with restarts under new incarnations.
+ * Runs three clients on one log under random faults, and replaces some by new incarnations.
  *
- * <p>The log goes down, loses answers after the write, repeats old records and expires others;
- * clients stand still. Afterwards all have the same octets of state, and what each was told adds up
- * to what the state says.
+ * <p>The log becomes unreachable, loses acknowledgements, repeats old records and expires others,
+ * and clients pause. Afterwards the clients must have the same exported state, and the outcomes
+ * that each client received must add up to that state.
  */
 class LedgerClientModelTests {
   private static final int SEEDS = 60;
@@ -36,12 +36,12 @@
           new SnapshotConfig(300, Duration.ofMinutes(2), 60, Duration.ofSeconds(1)));
 
   @Test
-  void allAgreeAndEveryTicketIsAnsweredOnceOrLost() {
-    int bridged = 0;
+  void allClientsAgreeAndEveryTicketHasOneOutcomeOrIsLost() {
+    int bridgedGaps = 0;
     for (int seed = 0; seed < SEEDS; seed++) {
-      bridged += new Run(seed).check();
+      bridgedGaps += new Run(seed).check();
     }
-    assertTrue(bridged > SEEDS / 2, "stretches bridged by a snapshot were only " + bridged);
+    assertTrue(bridgedGaps > SEEDS / 2, "gaps bridged by a snapshot were only " + bridgedGaps);
   }
 
   private static final class Run {
@@ -58,28 +58,31 @@
       for (int i = 0; i < 3; i++) {
         members.add(start());
       }
-      members.getFirst().submit(LedgerNames.budget(TEAM_BUDGET, 5_000));
+      members.getFirst().submit(LedgerFixtures.budget(TEAM_BUDGET, 5_000));
     }
 
     private Member start() {
       IncarnationId id = new IncarnationId("i-" + ++started);
-      Member member = new Member(id, new Participant(id, CONFIG, log, clock));
-      member.submit(LedgerNames.join(id));
+      Member member = new Member(id, new TestClient(id, CONFIG, log, clock));
+      member.submit(LedgerFixtures.join(id));
       return member;
     }
 
-    /** The number of stretches of expired records that had to be bridged. */
+    /**
+     * Runs the simulation, checks the result, and returns how often clients had to bridge expired
+     * records.
+     */
     int check() {
       for (int tick = 0; tick < TICKS; tick++) {
-        clock.pass(Duration.ofMillis(random.nextInt(100)));
-        fault();
+        clock.advance(Duration.ofMillis(random.nextInt(100)));
+        injectFault();
         Member member = members.get(random.nextInt(members.size()));
         if (random.nextInt(3) > 0) {
-          member.submit(member.entry(random));
+          member.submit(member.randomEntry(random));
         }
         member.participant.tick();
       }
-      heal();
+      recover();
       byte[] state = members.getFirst().participant.client.exportState();
       for (Member member : members) {
         assertArrayEquals(state, member.participant.client.exportState(), name);
@@ -88,10 +91,10 @@
       return members.stream().mapToInt(m -> (int) m.participant.client.counters().gaps()).sum();
     }
 
-    private void fault() {
+    private void injectFault() {
       switch (random.nextInt(60)) {
-        case 0 -> log.down = !log.down;
-        case 1 -> log.losesAnswers = !log.losesAnswers;
+        case 0 -> log.unreachable = !log.unreachable;
+        case 1 -> log.losesAcknowledgements = !log.losesAcknowledgements;
         case 2 -> repeatOldRecord();
         case 3 -> log.expireBefore(1 + latestCovered());
         case 4 -> members.set(random.nextInt(members.size()), start());
@@ -100,8 +103,8 @@
     }
 
     private void repeatOldRecord() {
-      if (log.next() > 0) {
-        log.append(log.records.get(random.nextInt((int) log.next())).payload());
+      if (log.nextOffset() > 0) {
+        log.append(log.records.get(random.nextInt((int) log.nextOffset())).payload());
       }
     }
 
@@ -112,30 +115,30 @@
           .orElse(-1);
     }
 
-    private void heal() {
-      log.down = false;
-      log.losesAnswers = false;
-      for (int tick = 0; tick < 2_000 && !quiet(); tick++) {
-        clock.pass(Duration.ofMillis(20));
+    private void recover() {
+      log.unreachable = false;
+      log.losesAcknowledgements = false;
+      for (int tick = 0; tick < 2_000 && !allIdleAndCaughtUp(); tick++) {
+        clock.advance(Duration.ofMillis(20));
         members.forEach(member -> member.participant.tick());
       }
-      assertTrue(quiet(), name);
+      assertTrue(allIdleAndCaughtUp(), name);
     }
 
-    private boolean quiet() {
+    private boolean allIdleAndCaughtUp() {
       return members.stream()
           .map(member -> member.participant.client)
-          .allMatch(client -> client.idle() && client.foldedTo() + 1 == log.next());
+          .allMatch(client -> client.idle() && client.foldedTo() + 1 == log.nextOffset());
     }
   }
 
   private static final class Member {
     private final IncarnationId id;
-    private final Participant participant;
+    private final TestClient participant;
     private final Set<Ticket> tickets = new HashSet<>();
     private long number;
 
-    Member(IncarnationId id, Participant participant) {
+    Member(IncarnationId id, TestClient participant) {
       this.id = id;
       this.participant = participant;
     }
@@ -144,35 +147,37 @@
       tickets.add(participant.client.submit(entry));
     }
 
-    Entry entry(SplittableRandom random) {
+    Entry randomEntry(SplittableRandom random) {
       long tokens = 1 + random.nextInt(20);
       return switch (random.nextInt(5)) {
-        case 0 -> LedgerNames.charge(id, ++number, DRAFTS, id, tokens);
+        case 0 -> LedgerFixtures.charge(id, ++number, DRAFTS, id, tokens);
         case 1 -> new Entry.ReturnLease(DRAFTS, id, tokens);
-        default -> LedgerNames.lease(DRAFTS, tokens, 1);
+        default -> LedgerFixtures.lease(DRAFTS, tokens, 1);
       };
     }
 
     void check(String name) {
       Set<Ticket> lost = new HashSet<>(participant.client.takeLostTickets());
       Set<Ticket> answered = new HashSet<>();
-      for (Settled settled : participant.own) {
+      for (Settled settled : participant.ownOutcomes) {
         assertTrue(answered.add(participant.client.ticket(settled).orElseThrow()), name);
       }
       Set<Ticket> known = new HashSet<>(answered);
       known.addAll(lost);
-      assertTrue(known.containsAll(tickets), name + ": a ticket of " + id + " is unanswered");
+      assertTrue(known.containsAll(tickets), name + ": a ticket of " + id + " has no outcome");
       assertEquals(Optional.empty(), participant.client.state().imbalance(), name);
       if (lost.isEmpty()) {
-        assertEquals(toldSum(), participant.client.state().leased(DRAFTS, id), name);
+        assertEquals(leaseChangeSum(), participant.client.state().leased(DRAFTS, id), name);
       }
     }
 
-    private long toldSum() {
-      return participant.own.stream().mapToLong(settled -> change(settled.outcome())).sum();
+    private long leaseChangeSum() {
+      return participant.ownOutcomes.stream()
+          .mapToLong(settled -> leaseChange(settled.outcome()))
+          .sum();
     }
 
-    private static long change(Outcome outcome) {
+    private static long leaseChange(Outcome outcome) {
       return switch (outcome) {
         case Outcome.LeaseGranted granted -> granted.tokens();
         case Outcome.LeaseReturned returned -> -returned.tokens();
--- a/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/client/LedgerClientTests.java
+++ b/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/client/LedgerClientTests.java
@@ -6,16 +6,16 @@
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.teaseldeal.ledger.LedgerNames.A;
-import static org.teaseldeal.ledger.LedgerNames.B;
-import static org.teaseldeal.ledger.LedgerNames.DRAFTS;
-import static org.teaseldeal.ledger.LedgerNames.OPERATOR;
-import static org.teaseldeal.ledger.LedgerNames.TEAM_BUDGET;
-import static org.teaseldeal.ledger.LedgerNames.budget;
-import static org.teaseldeal.ledger.LedgerNames.charge;
-import static org.teaseldeal.ledger.LedgerNames.claim;
-import static org.teaseldeal.ledger.LedgerNames.join;
-import static org.teaseldeal.ledger.LedgerNames.lease;
+import static org.teaseldeal.ledger.LedgerFixtures.A;
+import static org.teaseldeal.ledger.LedgerFixtures.B;
+import static org.teaseldeal.ledger.LedgerFixtures.DRAFTS;
+import static org.teaseldeal.ledger.LedgerFixtures.OPERATOR;
+import static org.teaseldeal.ledger.LedgerFixtures.TEAM_BUDGET;
+import static org.teaseldeal.ledger.LedgerFixtures.budget;
+import static org.teaseldeal.ledger.LedgerFixtures.charge;
+import static org.teaseldeal.ledger.LedgerFixtures.claim;
+import static org.teaseldeal.ledger.LedgerFixtures.join;
+import static org.teaseldeal.ledger.LedgerFixtures.lease;
 
 import java.time.Duration;
 import java.util.List;
@@ -34,15 +34,19 @@
 import org.teaseldeal.ledger.snapshot.SnapshotChunks;
 import org.teaseldeal.ledger.snapshot.SnapshotConfig;
 
+/**
+ * Guards against entries that the client loses or submits twice, and against state that skips
+ * records, when the log is faulty.
+ */
 class LedgerClientTests {
   private static final LedgerConfig CONFIG = LedgerConfig.DEFAULT;
 
   private final ManualClock clock = new ManualClock();
   private final FakeLog log = new FakeLog(clock);
-  private final Participant a = participant(A, CONFIG);
+  private final TestClient a = participant(A, CONFIG);
 
-  private Participant participant(IncarnationId incarnation, LedgerConfig config) {
-    return new Participant(incarnation, config, log, clock);
+  private TestClient participant(IncarnationId incarnation, LedgerConfig config) {
+    return new TestClient(incarnation, config, log, clock);
   }
 
   @BeforeEach
@@ -54,9 +58,9 @@
     log.append(BatchCodec.encode(new Batch(writer, sequence, -1, List.of(entries))));
   }
 
-  /** Carries out the appends of one tick and lets its reads go unanswered. */
+  /** Carries out the appends of one tick and leaves its reads unanswered. */
   private void appendOnly() {
-    a.client.poll().stream().filter(LogCommand.Append.class::isInstance).forEach(log::run);
+    a.client.poll().stream().filter(LogCommand.Append.class::isInstance).forEach(log::execute);
   }
 
   @Nested
@@ -77,7 +81,7 @@
     }
 
     @Test
-    void sendsUrgentEntriesAtOnceAndWhatWaitedWithThem() {
+    void sendsUrgentEntriesAtOnceTogetherWithQueuedOnes() {
       a.client.submit(join(A));
       Ticket lease = a.client.submit(lease(DRAFTS, 10, 10));
       a.tick();
@@ -89,7 +93,7 @@
 
     @Test
     void keepsOneRecordInFlightAndBoundsItsSize() {
-      log.losesAnswers = true;
+      log.losesAcknowledgements = true;
       a.client.submit(lease(DRAFTS, 1, 1));
       long appends = a.client.poll().stream().filter(LogCommand.Append.class::isInstance).count();
       String large = "x".repeat(CONFIG.appends().maxBatchBytes());
@@ -103,14 +107,14 @@
   }
 
   @Nested
-  class LostAnswers {
+  class LostAcknowledgements {
     /**
-     * The append takes effect and its answer never comes. Reading the record back is enough: the
-     * outcome is there, and nothing is appended a second time.
+     * An append takes effect, but its acknowledgement is lost. Once the record is read back, its
+     * outcome must be known and nothing may be appended again.
      */
     @Test
-    void anOutcomeIsReadBackWithoutAnAnswer() {
-      log.losesAnswers = true;
+    void anOutcomeIsReadBackWithoutAnAcknowledgement() {
+      log.losesAcknowledgements = true;
 
       assertEquals(new Outcome.LeaseGranted(DRAFTS, 10), a.settle(lease(DRAFTS, 10, 10)));
       a.runFor(Duration.ofSeconds(10));
@@ -118,20 +122,20 @@
     }
 
     /**
-     * The log is down, so nobody knows whether the append took effect. The same octets are appended
-     * until they are read back, at growing intervals, and count once.
+     * The log is unreachable, so it is unknown whether an append took effect. The same bytes must
+     * be appended at growing intervals until they are read back, and be applied once.
      */
     @Test
     void aFailedAppendIsRepeatedUnchangedUntilItIsReadBack() {
-      log.down = true;
+      log.unreachable = true;
       Ticket lease = a.client.submit(lease(DRAFTS, 10, 10));
       a.runFor(Duration.ofSeconds(20));
-      long tries = a.client.counters().appends();
-      assertTrue(tries > 3 && tries < 25, "appends were " + tries);
+      long attempts = a.client.counters().appends();
+      assertTrue(attempts > 3 && attempts < 25, "appends were " + attempts);
       assertFalse(a.client.logReachable());
       assertTrue(a.client.appendOutstandingFor(Duration.ofSeconds(19)));
 
-      log.down = false;
+      log.unreachable = false;
       a.runFor(Duration.ofSeconds(10));
 
       assertEquals(Optional.of(new Outcome.LeaseGranted(DRAFTS, 10)), a.outcome(lease));
@@ -140,17 +144,17 @@
     }
 
     /**
-     * The append is written but reads fail for longer than the timeout, so it is appended again and
-     * stands on the log twice. Both copies are read back later; one of them counts.
+     * An append takes effect but reads fail for longer than the timeout, so the record is appended
+     * again and is on the log twice. Both copies are read back later, and only one may be applied.
      */
     @Test
-    void aRepeatOfARecordThatWasWrittenCountsOnce() {
+    void aRepeatedRecordIsAppliedOnce() {
       a.runFor(Duration.ofMillis(50));
       Ticket lease = a.client.submit(lease(DRAFTS, 10, 10));
       appendOnly();
-      clock.pass(CONFIG.appends().timeout());
+      clock.advance(CONFIG.appends().timeout());
       appendOnly();
-      assertEquals(3, log.next());
+      assertEquals(3, log.nextOffset());
       assertArrayEquals(log.records.get(1).payload(), log.records.get(2).payload());
 
       a.runFor(Duration.ofSeconds(5));
@@ -164,15 +168,17 @@
   @Nested
   class BrokenLogs {
     /**
-     * The log answers an append with an offset and loses the record; another's stands there. Once
-     * that offset has been folded the answer is known to be wrong, and the timeout applies again.
+     * The log acknowledges an append with an offset but loses the record, and another record gets
+     * that offset. Once that offset has been folded, the acknowledgement is known to be wrong, and
+     * the normal timeout must apply again.
      */
     @Test
-    void anAnsweredRecordThatIsNotThereIsAppendedAgain() {
+    void anAcknowledgedButMissingRecordIsAppendedAgain() {
       a.runFor(Duration.ofMillis(50));
       Ticket lease = a.client.submit(lease(DRAFTS, 10, 10));
-      LogCommand.Append lost = (LogCommand.Append) a.client.poll().getFirst();
-      a.client.handle(new LogEvent.AppendAnswered(Participant.STREAM, lost.token(), log.next()));
+      LogCommand.Append append = (LogCommand.Append) a.client.poll().getFirst();
+      a.client.handle(
+          new LogEvent.AppendAnswered(TestClient.STREAM, append.token(), log.nextOffset()));
       append(B, 1, join(B));
       a.runFor(Duration.ofSeconds(5));
 
@@ -180,8 +186,8 @@
     }
 
     /**
-     * The log comes back from an outage with fewer records than were read from it. The client stays
-     * at its state, since nothing accepted may revert, and says what it sees.
+     * After an outage the log has fewer records than were read from it. The client must keep its
+     * state, since nothing that was accepted may be undone, and must report the problem.
      */
     @Test
     void aLogThatLostRecordsIsReported() {
@@ -194,13 +200,13 @@
     }
 
     /**
-     * A read's answer comes after a later read was answered. The end that it names lies behind what
-     * was folded since, and must not be taken for a log that lost records.
+     * The answer to a read arrives after that of a later read. It names an end of the log that lies
+     * before the folded offset, which must not be reported as lost records.
      */
     @Test
-    void aLateAnswerIsNoLostRecord() {
+    void aStaleReadAnswerIsNotReportedAsLostRecords() {
       a.settle(lease(DRAFTS, 10, 10));
-      a.client.handle(new LogEvent.RecordsRead(Participant.STREAM, 0, log.records, 0, 1));
+      a.client.handle(new LogEvent.RecordsRead(TestClient.STREAM, 0, log.records, 0, 1));
 
       assertEquals(Optional.empty(), a.client.problem());
     }
@@ -209,16 +215,16 @@
   @Nested
   class ClockSteps {
     /**
-     * An append is lost and the instance's clock is set back by an hour before the timeout. The
-     * record must be appended again after the timeout, not an hour later.
+     * An append is lost, and the instance's clock is set back by an hour before the timeout ends.
+     * The record must be appended again after the timeout, not an hour later.
      */
     @Test
-    void backDoNotHoldUpARepeat() {
-      log.down = true;
+    void backwardsDoNotDelayARepeatedAppend() {
+      log.unreachable = true;
       Ticket lease = a.client.submit(lease(DRAFTS, 10, 10));
       a.client.poll();
-      clock.pass(Duration.ofHours(-1));
-      log.down = false;
+      clock.advance(Duration.ofHours(-1));
+      log.unreachable = false;
       a.runFor(Duration.ofSeconds(5));
 
       assertEquals(Optional.of(new Outcome.LeaseGranted(DRAFTS, 10)), a.outcome(lease));
@@ -227,30 +233,30 @@
   }
 
   @Nested
-  class Retired {
+  class RetiredIncarnation {
     /**
-     * An operator retires an instance that still runs. The instance must see it, take nothing more,
-     * and give up what it had not appended; its records wouldn't count anyway.
+     * An operator retires an instance that still runs. The instance must notice it, accept no more
+     * entries, and drop those not yet appended, because its records would be ignored.
      */
     @Test
-    void isVisibleAndRefusesFurtherEntries() {
+    void isReportedAndRefusesFurtherEntries() {
       a.settle(lease(DRAFTS, 10, 10));
-      Ticket waiting = a.client.submit(charge(A, 1, DRAFTS, A, 1));
+      Ticket queued = a.client.submit(charge(A, 1, DRAFTS, A, 1));
       append(OPERATOR, 2, new Entry.Retire(A, "ops"));
       a.tick();
 
       assertTrue(a.client.retired());
       assertThrows(IllegalStateException.class, () -> a.client.submit(lease(DRAFTS, 1, 1)));
-      assertEquals(List.of(waiting), a.client.takeLostTickets());
+      assertEquals(List.of(queued), a.client.takeLostTickets());
       assertEquals(List.of(), a.client.takeLostTickets());
     }
 
     /**
-     * Two processes run under one incarnation by mistake. Each would take the other's records for
-     * its own, so the one that reads a record it did not write stops.
+     * Two processes run under one incarnation id by mistake. Each would take the other's records
+     * for its own, so a client must stop when it reads a record under its id that it did not write.
      */
     @Test
-    void isAlsoWhoeverFindsRecordsOfItsOwnThatItDidNotWrite() {
+    void isAssumedAfterReadingOwnRecordsThatItDidNotWrite() {
       append(A, 1, join(A));
       a.tick();
 
@@ -260,16 +266,17 @@
   }
 
   @Nested
-  class Forgotten {
+  class ForgottenWriter {
     /**
-     * A process that never joined is silent for longer than keys are remembered, so the fold has
-     * forgotten its sequence. Its records could only follow a hole; it stops and says so.
+     * A process that never joined is silent for longer than the key retention, so the fold has
+     * removed its sequence number. The fold would ignore all its further records as following a
+     * gap, so the client must stop and report why.
      */
     @Test
-    void writersStopInsteadOfAppendingForever() {
+    void stopsInsteadOfAppendingForever() {
       a.settle(lease(DRAFTS, 10, 10));
       append(OPERATOR, 2, new Entry.ReturnLease(DRAFTS, A, 10));
-      clock.pass(Duration.ofDays(8));
+      clock.advance(Duration.ofDays(8));
       append(B, 1, join(B));
       a.runFor(Duration.ofMillis(50));
 
@@ -280,18 +287,18 @@
 
   @Nested
   class ExpiredOffsets {
-    private final LedgerConfig often =
+    private final LedgerConfig frequentSnapshots =
         CONFIG.withSnapshots(
             new SnapshotConfig(200, Duration.ofHours(1), 40, Duration.ofSeconds(1)));
 
     /**
-     * The log keeps records for a limited time, and an instance starts after the first ones have
-     * expired. It must find the latest whole snapshot, fold on from there, and reach the very state
-     * of those that read everything.
+     * An instance starts after the first records of the log have expired. It must restore the
+     * latest complete snapshot, fold the records after it, and reach the same state as instances
+     * that read all records.
      */
     @Test
-    void areBridgedByTheLatestWholeSnapshot() {
-      Participant writer = participant(B, often);
+    void areBridgedByTheLatestCompleteSnapshot() {
+      TestClient writer = participant(B, frequentSnapshots);
       writer.settle(join(B));
       for (int i = 1; i <= 60; i++) {
         writer.settle(lease(DRAFTS, 3, 3));
@@ -308,16 +315,17 @@
     }
 
     /**
-     * A log keeps many more records than lie between snapshots. A new instance looks for the latest
-     * one from the end, or it would not be ready for as long as it takes to read all of them.
+     * A log keeps many more records than lie between two snapshots. A new instance must search for
+     * the latest snapshot near the end; if it read all records first, it would become ready much
+     * too late.
      */
     @Test
-    void areBridgedWithoutReadingAllThatTheLogKeeps() {
+    void areBridgedWithoutReadingTheWholeLog() {
       byte[] state = stateAfter(3_000);
       append(B, 3_000, SnapshotChunks.of(2_999, state, 100_000).getFirst());
       log.expireBefore(10);
       long servedBefore = log.recordsServed;
-      Participant fresh = participant(new IncarnationId("c-1"), often);
+      TestClient fresh = participant(new IncarnationId("c-1"), frequentSnapshots);
       fresh.runFor(Duration.ofSeconds(1));
 
       assertTrue(fresh.client.caughtUp());
@@ -326,8 +334,8 @@
     }
 
     /**
-     * No snapshot has been written for long, so none is found near the end. The search goes further
-     * back, up to the earliest record kept, before it says that there is none.
+     * No snapshot has been written for a long time, so there is none near the end. The search must
+     * go further back, up to the earliest record kept, before it reports that there is none.
      */
     @Test
     void areBridgedByAnOldSnapshotIfThereIsNoLaterOne() {
@@ -337,7 +345,7 @@
         append(B, sequence, lease(DRAFTS, 1, 1));
       }
       log.expireBefore(3);
-      Participant fresh = participant(new IncarnationId("c-1"), often);
+      TestClient fresh = participant(new IncarnationId("c-1"), frequentSnapshots);
       fresh.runFor(Duration.ofSeconds(1));
 
       assertTrue(fresh.client.caughtUp());
@@ -345,8 +353,8 @@
     }
 
     /**
-     * Records have expired and no whole snapshot covers them. Folding on from what is there would
-     * show budgets that never were, so the client stays where it is and says why.
+     * Records have expired and no complete snapshot covers them. Folding the remaining records
+     * would produce wrong budgets, so the client must keep its offset and report why.
      */
     @Test
     void withoutASnapshotKeepTheClientFromCatchingUp() {
@@ -362,22 +370,22 @@
     }
 
     /**
-     * The only snapshot on the log has octets other than its digest says. It is passed over like an
-     * unfinished one; a later sound one ends the wait.
+     * The bytes of the only snapshot on the log do not match its digest. It must be ignored like an
+     * incomplete one, and a later intact snapshot must be used.
      */
     @Test
-    void areNotBridgedByASnapshotWithAnotherDigest() {
+    void areNotBridgedByASnapshotWithAWrongDigest() {
       byte[] state = stateAfter(3);
-      Entry.SnapshotChunk sound = SnapshotChunks.of(2, state, 100_000).getFirst();
+      Entry.SnapshotChunk intact = SnapshotChunks.of(2, state, 100_000).getFirst();
       byte[] flipped = state.clone();
       flipped[flipped.length / 2] ^= 1;
-      append(B, 3, new Entry.SnapshotChunk(2, 0, 1, sound.digest(), flipped));
+      append(B, 3, new Entry.SnapshotChunk(2, 0, 1, intact.digest(), flipped));
       log.expireBefore(3);
       a.runFor(Duration.ofSeconds(1));
       assertFalse(a.client.caughtUp());
       assertEquals(1, a.client.counters().corruptSnapshots());
 
-      append(B, 4, sound);
+      append(B, 4, intact);
       a.runFor(Duration.ofSeconds(1));
 
       assertTrue(a.client.caughtUp());
@@ -385,21 +393,22 @@
     }
 
     /**
-     * An instance is cut off for longer than the retention, with a record of its own in the gap.
-     * That record's outcome can't be known any more; the caller is told so instead of waiting.
+     * An instance is disconnected for longer than the log's retention, and one of its own records
+     * is among the expired ones. That record's outcome can't be known any more, so its ticket must
+     * be reported as lost instead of staying open.
      */
     @Test
-    void inAStretchWithAnOwnRecordLoseItsTicket() {
+    void thatIncludeAnOwnRecordLoseItsTicket() {
       byte[] state = stateAfter(3);
       a.runFor(Duration.ofMillis(50));
       Ticket lease = a.client.submit(lease(DRAFTS, 5, 5));
       appendOnly();
-      Participant other = participant(new IncarnationId("c-1"), CONFIG);
+      TestClient other = participant(new IncarnationId("c-1"), CONFIG);
       other.runFor(Duration.ofMillis(50));
       byte[] after = other.client.exportState();
       assertTrue(after.length > state.length);
       append(B, 3, SnapshotChunks.of(other.client.foldedTo(), after, 100_000).getFirst());
-      log.expireBefore(log.next() - 1);
+      log.expireBefore(log.nextOffset() - 1);
 
       a.runFor(Duration.ofSeconds(5));
 
@@ -409,8 +418,9 @@
     }
 
     /**
-     * The log still holds a whole snapshot, but a record between what it covers and the earliest
-     * one has expired. Starting from it would skip that record, so it is no better than none.
+     * The log still holds a complete snapshot, but a record between its covered offset and the
+     * earliest kept record has expired. Restoring it would skip that record, so it must not be
+     * used.
      */
     @Test
     void areNotBridgedByASnapshotThatIsFollowedByAGap() {
@@ -426,29 +436,30 @@
     }
 
     /**
-     * While the client looks for a snapshot, the answer to a read from before arrives late. It says
-     * nothing about what the log holds now, so it must not end the search.
+     * The client searches for a snapshot when the answer to an earlier read arrives late. That
+     * answer does not describe the current log, so it must not end the search.
      */
     @Test
-    void areStillSearchedAfterALateAnswer() {
+    void areStillSearchedAfterAStaleReadAnswer() {
       a.client.poll();
-      a.client.handle(new LogEvent.OffsetExpired(Participant.STREAM, 0, 5, 10));
-      a.client.handle(new LogEvent.RecordsRead(Participant.STREAM, 0, List.of(), 0, 1));
+      a.client.handle(new LogEvent.OffsetExpired(TestClient.STREAM, 0, 5, 10));
+      a.client.handle(new LogEvent.RecordsRead(TestClient.STREAM, 0, List.of(), 0, 1));
 
       assertEquals(Optional.of("records before offset 5 have expired"), a.client.problem());
     }
 
     /**
-     * A read's answer leaves a record out. What follows the hole is not folded, as every later
-     * state would differ from other readers'; the client reads again from the hole.
+     * The answer to a read lacks a record. The records after it must not be folded, because the
+     * state would differ from that of other readers; the client must read again from the missing
+     * one.
      */
     @Test
-    void andHolesInAnAnswerAreNeverSkipped() {
+    void andMissingRecordsInAnAnswerAreNeverSkipped() {
       append(B, 1, lease(DRAFTS, 1, 1));
       append(B, 2, lease(DRAFTS, 1, 1));
       a.client.poll();
-      List<LogRecord> holed = List.of(log.records.get(0), log.records.get(2));
-      a.client.handle(new LogEvent.RecordsRead(Participant.STREAM, 0, holed, 0, 3));
+      List<LogRecord> withGap = List.of(log.records.get(0), log.records.get(2));
+      a.client.handle(new LogEvent.RecordsRead(TestClient.STREAM, 0, withGap, 0, 3));
 
       assertEquals(0, a.client.foldedTo());
       assertEquals(1, a.client.counters().gaps());
@@ -458,27 +469,27 @@
     }
 
     private byte[] stateAfter(int records) {
-      for (int sequence = 1; log.next() < records; sequence++) {
+      for (int sequence = 1; log.nextOffset() < records; sequence++) {
         append(B, sequence, lease(DRAFTS, 1, 1));
       }
-      Participant reader = participant(new IncarnationId("reader"), CONFIG);
+      TestClient reader = participant(new IncarnationId("reader"), CONFIG);
       reader.runFor(Duration.ofSeconds(1));
-      assertEquals(log.next() - 1, reader.client.foldedTo());
+      assertEquals(log.nextOffset() - 1, reader.client.foldedTo());
       return reader.client.exportState();
     }
   }
 
   @Nested
-  class PeersState {
+  class RestoredPeerState {
     /**
-     * The log is down while an instance starts. It takes a peer's state instead and may serve; as
-     * the log comes back it folds on from there.
+     * The log is unreachable while an instance starts. The instance restores a peer's state, counts
+     * as caught up, and continues from there when the log is reachable again.
      */
     @Test
-    void standsInForTheLog() {
-      Participant peer = participant(B, CONFIG);
+    void replacesTheLogDuringAnOutage() {
+      TestClient peer = participant(B, CONFIG);
       peer.settle(lease(DRAFTS, 7, 7));
-      log.down = true;
+      log.unreachable = true;
       a.runFor(Duration.ofMillis(100));
       assertFalse(a.client.caughtUp());
 
@@ -486,19 +497,19 @@
       assertTrue(a.client.caughtUp());
       assertEquals(7, a.client.state().leased(DRAFTS, B));
 
-      log.down = false;
+      log.unreachable = false;
       peer.settle(lease(DRAFTS, 1, 1));
       a.runFor(Duration.ofSeconds(5));
       assertArrayEquals(peer.client.exportState(), a.client.exportState());
     }
 
     /**
-     * A peer that lags answers with an older state. Taking it would put settings and budgets in
-     * force that had been replaced already, so it is refused and nothing changes.
+     * A peer that lags behind sends an older state. Restoring it would bring back settings and
+     * budgets that have been replaced, so it must be refused without any change.
      */
     @Test
     void isRefusedIfItIsOlder() {
-      Participant peer = participant(B, CONFIG);
+      TestClient peer = participant(B, CONFIG);
       peer.runFor(Duration.ofMillis(50));
       byte[] old = peer.client.exportState();
       a.settle(lease(DRAFTS, 7, 7));
--- a/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/client/Participant.java
+++ b/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/client/TestClient.java
@@ -11,16 +11,16 @@
 import org.teaseldeal.ledger.fold.Settled;
 import org.teaseldeal.ledger.outcome.Outcome;
 
-/** A client on the fake log, with the outcomes of what it submitted. */
-final class Participant {
+/** A client connected to a {@link FakeLog} that keeps the outcomes of its own entries. */
+final class TestClient {
   static final StreamId STREAM = new StreamId(0);
 
   final LedgerClient client;
-  final List<Settled> own = new ArrayList<>();
+  final List<Settled> ownOutcomes = new ArrayList<>();
   private final FakeLog log;
   private final ManualClock clock;
 
-  Participant(IncarnationId self, LedgerConfig config, FakeLog log, ManualClock clock) {
+  TestClient(IncarnationId self, LedgerConfig config, FakeLog log, ManualClock clock) {
     this.log = log;
     this.clock = clock;
     client = new LedgerClient(self, STREAM, config, (subtree, toml) -> List.of(), clock);
@@ -28,24 +28,26 @@
 
   void tick() {
     for (LogCommand command : client.poll()) {
-      log.run(command).ifPresent(event -> keep(client.handle(event)));
+      log.execute(command).ifPresent(event -> keep(client.handle(event)));
     }
   }
 
   private void keep(List<Settled> settled) {
-    settled.stream().filter(one -> client.ticket(one).isPresent()).forEach(own::add);
+    settled.stream()
+        .filter(outcome -> client.ticket(outcome).isPresent())
+        .forEach(ownOutcomes::add);
   }
 
-  /** Ticks through {@code duration} in steps of 10 ms. */
+  /** Ticks every 10 ms for {@code duration} and advances the clock accordingly. */
   void runFor(Duration duration) {
     for (long millis = 0; millis < duration.toMillis(); millis += 10) {
       tick();
-      clock.pass(Duration.ofMillis(10));
+      clock.advance(Duration.ofMillis(10));
     }
     tick();
   }
 
-  /** Submits and runs until the outcome has been read back. */
+  /** Submits an entry and runs until its outcome has been read back. */
   Outcome settle(Entry entry) {
     Ticket ticket = client.submit(entry);
     runFor(Duration.ofMillis(300));
@@ -53,7 +55,7 @@
   }
 
   Optional<Outcome> outcome(Ticket ticket) {
-    return own.stream()
+    return ownOutcomes.stream()
         .filter(settled -> client.ticket(settled).equals(Optional.of(ticket)))
         .map(Settled::outcome)
         .findFirst();
--- a/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/codec/BatchCodecTests.java
+++ b/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/codec/BatchCodecTests.java
@@ -3,12 +3,12 @@
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
-import static org.teaseldeal.ledger.LedgerNames.A;
-import static org.teaseldeal.ledger.LedgerNames.B;
-import static org.teaseldeal.ledger.LedgerNames.BIDS;
-import static org.teaseldeal.ledger.LedgerNames.DRAFTS;
-import static org.teaseldeal.ledger.LedgerNames.DRAFTS_BUDGET;
-import static org.teaseldeal.ledger.LedgerNames.TEAM_BUDGET;
+import static org.teaseldeal.ledger.LedgerFixtures.A;
+import static org.teaseldeal.ledger.LedgerFixtures.B;
+import static org.teaseldeal.ledger.LedgerFixtures.BIDS;
+import static org.teaseldeal.ledger.LedgerFixtures.DRAFTS;
+import static org.teaseldeal.ledger.LedgerFixtures.DRAFTS_BUDGET;
+import static org.teaseldeal.ledger.LedgerFixtures.TEAM_BUDGET;
 
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
@@ -26,25 +26,29 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 import org.teaseldeal.ledger.ClaimKey;
-import org.teaseldeal.ledger.LedgerNames;
+import org.teaseldeal.ledger.LedgerFixtures;
 import org.teaseldeal.ledger.codec.BatchCodec.Decoded;
 import org.teaseldeal.ledger.entry.Entry;
 import org.teaseldeal.settings.SubtreeId;
 import org.teaseldeal.wire.gen.ledger.RequestLease;
 
+/**
+ * Guards against entries that change or get lost between writer and reader, and against payloads
+ * that stop the fold.
+ */
 class BatchCodecTests {
   static Stream<Entry> comparableEntries() {
     return Stream.of(
-        LedgerNames.join(A),
+        LedgerFixtures.join(A),
         new Entry.Leave(),
         new Entry.PublishSettings(SubtreeId.FLEET, 7, "ann", "a = 1\n"),
-        LedgerNames.budget(TEAM_BUDGET, 5),
-        LedgerNames.topUp(DRAFTS_BUDGET, 6, "t"),
-        LedgerNames.lease(BIDS, 9, 3),
+        LedgerFixtures.budget(TEAM_BUDGET, 5),
+        LedgerFixtures.topUp(DRAFTS_BUDGET, 6, "t"),
+        LedgerFixtures.lease(BIDS, 9, 3),
         new Entry.ReturnLease(DRAFTS, B, 4),
-        LedgerNames.charge(A, 3, DRAFTS, B, 12),
-        LedgerNames.writeOff(A, 4, DRAFTS, B, 2),
-        LedgerNames.claim("key", "body"),
+        LedgerFixtures.charge(A, 3, DRAFTS, B, 12),
+        LedgerFixtures.writeOff(A, 4, DRAFTS, B, 2),
+        LedgerFixtures.claim("key", "body"),
         new Entry.ReleaseClaim(new ClaimKey("key")),
         new Entry.Retire(B, "ann"),
         new Entry.TakeOrders("pool", 3));
@@ -52,15 +56,15 @@
 
   @ParameterizedTest
   @MethodSource("comparableEntries")
-  void anEntryComesBackAsItWas(Entry entry) {
+  void everyEntrySurvivesEncodingAndDecoding(Entry entry) {
     Batch batch = new Batch(A, 2, -1, List.of(entry));
 
     assertEquals(new Decoded.Valid(batch, 0), BatchCodec.decode(BatchCodec.encode(batch)));
   }
 
   @Test
-  void octetsInEntriesComeBackAsTheyWere() {
-    Entry answer = LedgerNames.answer("key", "body");
+  void bytesInEntriesSurviveEncodingAndDecoding() {
+    Entry answer = LedgerFixtures.answer("key", "body");
     Entry chunk = new Entry.SnapshotChunk(9, 1, 2, "digest", new byte[] {1, 0, -1});
     Decoded.Valid valid = valid(BatchCodec.encode(new Batch(A, 1, 5, List.of(answer, chunk))));
 
@@ -72,8 +76,8 @@
   }
 
   /**
-   * A newer instance writes an entry of a kind that this one doesn't know. The rest of the batch
-   * must count, or the writer's sequence would differ between old and new readers.
+   * A newer instance writes an entry of a kind that this version does not know. If the rest of the
+   * batch were ignored too, the writer's sequence number would differ between old and new readers.
    */
   @Test
   void anEntryOfAnUnknownKindIsSkippedAndTheRestIsRead() throws TException {
@@ -111,24 +115,24 @@
   }
 
   /**
-   * Octets reach the log garbled: cut off, with a flipped bit, or at random. Whatever they are, the
-   * decoder answers; an exception would stop the fold of every instance.
+   * The log contains corrupt payloads: truncated, with a flipped bit, or random. An exception of
+   * the decoder would stop the fold of every instance.
    */
   @Test
-  void garbledOctetsNeverThrow() {
+  void corruptPayloadsNeverThrow() {
     SplittableRandom random = new SplittableRandom(11);
-    byte[] sound = BatchCodec.encode(new Batch(A, 3, 2, comparableEntries().toList()));
+    byte[] intact = BatchCodec.encode(new Batch(A, 3, 2, comparableEntries().toList()));
     for (int i = 0; i < 20_000; i++) {
-      byte[] garbled = Arrays.copyOf(sound, random.nextInt(sound.length) + 1);
-      garbled[random.nextInt(garbled.length)] ^= (byte) (1 << random.nextInt(8));
-      BatchCodec.decode(garbled);
-      random.nextBytes(garbled);
-      BatchCodec.decode(garbled);
+      byte[] corrupt = Arrays.copyOf(intact, random.nextInt(intact.length) + 1);
+      corrupt[random.nextInt(corrupt.length)] ^= (byte) (1 << random.nextInt(8));
+      BatchCodec.decode(corrupt);
+      random.nextBytes(corrupt);
+      BatchCodec.decode(corrupt);
     }
     assertInstanceOf(Decoded.Malformed.class, BatchCodec.decode(new byte[0]));
   }
 
-  private static Decoded.Valid valid(byte[] octets) {
-    return assertInstanceOf(Decoded.Valid.class, BatchCodec.decode(octets));
+  private static Decoded.Valid valid(byte[] payload) {
+    return assertInstanceOf(Decoded.Valid.class, BatchCodec.decode(payload));
   }
 }
