--- a/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/fold/BudgetRulesTests.java
+++ b/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/fold/BudgetRulesTests.java
@@ -2,17 +2,17 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
-import static org.teaseldeal.ledger.LedgerNames.A;
-import static org.teaseldeal.ledger.LedgerNames.B;
-import static org.teaseldeal.ledger.LedgerNames.BIDS;
-import static org.teaseldeal.ledger.LedgerNames.DRAFTS;
-import static org.teaseldeal.ledger.LedgerNames.DRAFTS_BUDGET;
-import static org.teaseldeal.ledger.LedgerNames.OPERATOR;
-import static org.teaseldeal.ledger.LedgerNames.TEAM_BUDGET;
-import static org.teaseldeal.ledger.LedgerNames.budget;
-import static org.teaseldeal.ledger.LedgerNames.charge;
-import static org.teaseldeal.ledger.LedgerNames.lease;
-import static org.teaseldeal.ledger.LedgerNames.topUp;
+import static org.teaseldeal.ledger.LedgerFixtures.A;
+import static org.teaseldeal.ledger.LedgerFixtures.B;
+import static org.teaseldeal.ledger.LedgerFixtures.BIDS;
+import static org.teaseldeal.ledger.LedgerFixtures.DRAFTS;
+import static org.teaseldeal.ledger.LedgerFixtures.DRAFTS_BUDGET;
+import static org.teaseldeal.ledger.LedgerFixtures.OPERATOR;
+import static org.teaseldeal.ledger.LedgerFixtures.TEAM_BUDGET;
+import static org.teaseldeal.ledger.LedgerFixtures.budget;
+import static org.teaseldeal.ledger.LedgerFixtures.charge;
+import static org.teaseldeal.ledger.LedgerFixtures.lease;
+import static org.teaseldeal.ledger.LedgerFixtures.topUp;
 
 import java.time.Duration;
 import java.util.List;
@@ -24,13 +24,14 @@
 import org.teaseldeal.ledger.state.AccountView;
 import org.teaseldeal.ledger.state.LeaseView;
 
+/** Guards against leases beyond a budget, and against operations on budgets that count twice. */
 class BudgetRulesTests {
-  private final FoldedLog log = new FoldedLog();
+  private final FoldTestLog log = new FoldTestLog();
 
   @Nested
   class Leases {
     @Test
-    void areGrantedOutOfWhatBothLevelsHave() {
+    void areLimitedByTheTeamAndTheServiceBudget() {
       log.write(OPERATOR, budget(TEAM_BUDGET, 100), budget(DRAFTS_BUDGET, 30));
 
       assertEquals(new Outcome.LeaseGranted(DRAFTS, 30), log.writeOne(A, lease(DRAFTS, 50, 10)));
@@ -39,7 +40,7 @@
     }
 
     @Test
-    void areRefusedWithTheBindingAccountAndWhatOthersHold() {
+    void areRefusedWithTheBindingAccountAndTheTokensLeasedElsewhere() {
       log.write(OPERATOR, budget(TEAM_BUDGET, 100), budget(DRAFTS_BUDGET, 30));
       log.write(A, lease(DRAFTS, 25, 25));
 
@@ -64,7 +65,7 @@
     }
 
     @Test
-    void goBackToTheBudgetOnlyAsFarAsTheSourceHoldsThem() {
+    void areReturnedOnlyUpToTheTokensOfTheSource() {
       log.write(OPERATOR, budget(TEAM_BUDGET, 100));
       log.write(A, lease(DRAFTS, 40, 40));
 
@@ -78,7 +79,7 @@
     }
 
     @Test
-    void withSillyAmountsAreRejected() {
+    void withInvalidAmountsAreRejected() {
       log.write(OPERATOR, budget(TEAM_BUDGET, 100));
 
       assertInstanceOf(Outcome.Rejected.class, log.writeOne(A, lease(DRAFTS, 5, 0)));
@@ -94,14 +95,15 @@
   @Nested
   class TopUps {
     /**
-     * An operator's command is cut off and run again with the same operation id, from another
-     * process. The budget must grow once, also for a reader that has only a snapshot of the first.
+     * An operator's command is interrupted and run again with the same operation id in another
+     * process. The budget must grow only once, also for a reader that restored a snapshot taken
+     * between the two.
      */
     @Test
-    void countOnceUnderTheirOperationIdAlsoOverASnapshot() {
+    void countOncePerOperationIdAlsoAfterARestore() {
       log.write(OPERATOR, budget(TEAM_BUDGET, 100));
       log.write(A, topUp(TEAM_BUDGET, 50, "december"));
-      log.restart();
+      log.restoreFromExport();
 
       assertInstanceOf(
           Outcome.BudgetUnchanged.class, log.writeOne(B, topUp(TEAM_BUDGET, 50, "december")));
@@ -110,17 +112,17 @@
     }
 
     @Test
-    void areForgottenAfterTheKeyMemory() {
+    void areForgottenAfterTheKeyRetention() {
       log.write(OPERATOR, budget(TEAM_BUDGET, 100));
       log.write(A, topUp(TEAM_BUDGET, 50, "december"));
-      log.pass(Duration.ofDays(8));
+      log.advanceClock(Duration.ofDays(8));
 
       assertInstanceOf(
           Outcome.BudgetGranted.class, log.writeOne(B, topUp(TEAM_BUDGET, 50, "december")));
     }
 
     @Test
-    void ofABudgetThatIsMissingChangeNothing() {
+    void ofAMissingBudgetChangeNothing() {
       assertInstanceOf(Outcome.BudgetUnchanged.class, log.writeOne(A, topUp(TEAM_BUDGET, 50, "t")));
       assertEquals(Optional.empty(), log.state().account(TEAM_BUDGET));
     }
@@ -129,11 +131,12 @@
   @Nested
   class ServiceBudgets {
     /**
-     * A service draws on its team alone and gets a budget of its own later. Tokens that instances
-     * hold by then could all be spent, so a budget smaller than them would be overspent at once.
+     * A service first draws on its team's budget alone and gets a budget of its own later. The
+     * tokens that instances hold by then could all be spent, so a smaller budget would be overspent
+     * from the start.
      */
     @Test
-    void areNotCreatedBelowWhatIsLeasedAlready() {
+    void areNotCreatedBelowTheTokensAlreadyLeased() {
       log.write(OPERATOR, budget(TEAM_BUDGET, 100));
       log.write(A, lease(DRAFTS, 40, 40), charge(A, 1, DRAFTS, A, 10));
 
--- a/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/fold/ChargeRulesTests.java
+++ b/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/fold/ChargeRulesTests.java
@@ -4,15 +4,15 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.teaseldeal.ledger.LedgerNames.A;
-import static org.teaseldeal.ledger.LedgerNames.B;
-import static org.teaseldeal.ledger.LedgerNames.DRAFTS;
-import static org.teaseldeal.ledger.LedgerNames.OPERATOR;
-import static org.teaseldeal.ledger.LedgerNames.TEAM_BUDGET;
-import static org.teaseldeal.ledger.LedgerNames.budget;
-import static org.teaseldeal.ledger.LedgerNames.charge;
-import static org.teaseldeal.ledger.LedgerNames.lease;
-import static org.teaseldeal.ledger.LedgerNames.writeOff;
+import static org.teaseldeal.ledger.LedgerFixtures.A;
+import static org.teaseldeal.ledger.LedgerFixtures.B;
+import static org.teaseldeal.ledger.LedgerFixtures.DRAFTS;
+import static org.teaseldeal.ledger.LedgerFixtures.OPERATOR;
+import static org.teaseldeal.ledger.LedgerFixtures.TEAM_BUDGET;
+import static org.teaseldeal.ledger.LedgerFixtures.budget;
+import static org.teaseldeal.ledger.LedgerFixtures.charge;
+import static org.teaseldeal.ledger.LedgerFixtures.lease;
+import static org.teaseldeal.ledger.LedgerFixtures.writeOff;
 
 import java.time.Duration;
 import java.util.List;
@@ -26,24 +26,28 @@
 import org.teaseldeal.ledger.outcome.Outcome;
 import org.teaseldeal.ledger.state.AccountView;
 
+/**
+ * Guards against requests that are charged twice, or not at all, when several instances append
+ * their charges.
+ */
 class ChargeRulesTests {
   private static final RequestId KEYED = new RequestId("keyed-1");
 
-  private final FoldedLog log = new FoldedLog();
+  private final FoldTestLog log = new FoldTestLog();
 
   @BeforeEach
-  void lease100ToEach() {
+  void leaseTokensToBothInstances() {
     log.write(OPERATOR, budget(TEAM_BUDGET, 300));
     log.write(A, lease(DRAFTS, 100, 100));
     log.write(B, lease(DRAFTS, 100, 100));
   }
 
   /**
-   * A settles a request, hands the charge to B as a backup and falls silent; B appends it, and then
-   * A's own record turns up after all. The request must be billed once.
+   * A settles a request, sends the charge to B as a backup and stops. B appends it, and later A's
+   * own record appears on the log too. The request must be charged once.
    */
   @Test
-  void aChargeThatBothOriginAndBackupAppendCountsOnce() {
+  void aChargeAppendedByOriginAndBackupCountsOnce() {
     log.write(B, charge(A, 1, DRAFTS, A, 30));
 
     assertInstanceOf(Outcome.ChargeRepeated.class, log.writeOne(A, charge(A, 1, DRAFTS, A, 30)));
@@ -51,11 +55,11 @@
   }
 
   @Test
-  void numbersMayComeInAnyOrderAndAreRememberedOverARestart() {
+  void numbersInAnyOrderAreRememberedAfterARestore() {
     for (long number : new long[] {3, 1, 7, 2}) {
       assertInstanceOf(Outcome.Charged.class, log.writeOne(A, charge(A, number, DRAFTS, A, 1)));
     }
-    log.restart();
+    log.restoreFromExport();
 
     for (long number : new long[] {1, 2, 3, 7}) {
       assertTrue(log.state().charged(new ChargeId(A, number)));
@@ -67,9 +71,9 @@
   }
 
   /**
-   * A caller loses its answer and retries with its key at another instance, which resumes the run
-   * and settles it as well, under an id and tokens of its own. The caller must be billed once, and
-   * the second instance keeps the tokens.
+   * A caller loses its answer and retries with its key at another instance. That instance resumes
+   * the run and settles it as well, under its own charge id and with its own tokens. The caller
+   * must be charged once, and the second instance keeps its tokens.
    */
   @Test
   void aKeyedRequestSettledByTwoInstancesIsChargedOnce() {
@@ -84,9 +88,9 @@
   }
 
   @Test
-  void aKeyedRequestIsForgottenAfterTheKeyMemoryButItsChargeIdIsNot() {
+  void aKeyedRequestIsForgottenAfterTheKeyRetentionButItsChargeIdIsNot() {
     log.write(A, charge(A, 1, KEYED, true, DRAFTS, List.of(new Draw(A, 30))));
-    log.pass(Duration.ofDays(8));
+    log.advanceClock(Duration.ofDays(8));
 
     assertInstanceOf(
         Outcome.ChargeRepeated.class,
@@ -97,30 +101,31 @@
   }
 
   @Test
-  void drawsOnSeveralSourcesCountWholeOrNotAtAll() {
+  void drawsOnSeveralSourcesAreAppliedTogetherOrNotAtAll() {
     List<Draw> covered = List.of(new Draw(A, 60), new Draw(B, 10), new Draw(A, 40));
     List<Draw> tooMuch = List.of(new Draw(B, 10), new Draw(A, 60), new Draw(A, 41));
 
-    assertInstanceOf(Outcome.Rejected.class, log.writeOne(B, several(1, tooMuch)));
+    assertInstanceOf(Outcome.Rejected.class, log.writeOne(B, chargeByB(1, tooMuch)));
     assertEquals(new AccountView(TEAM_BUDGET, 300, 0, 0, 200), team());
-    assertInstanceOf(Outcome.Charged.class, log.writeOne(B, several(1, covered)));
+    assertInstanceOf(Outcome.Charged.class, log.writeOne(B, chargeByB(1, covered)));
     assertEquals(new AccountView(TEAM_BUDGET, 300, 110, 0, 90), team());
   }
 
   @Test
   void drawsOnASourceThatNeverHadALeaseAreRejected() {
-    IncarnationId stranger = new IncarnationId("stranger");
+    IncarnationId withoutLease = new IncarnationId("stranger");
 
-    assertInstanceOf(Outcome.Rejected.class, log.writeOne(B, charge(B, 1, DRAFTS, stranger, 1)));
+    assertInstanceOf(
+        Outcome.Rejected.class, log.writeOne(B, charge(B, 1, DRAFTS, withoutLease, 1)));
   }
 
   /**
-   * A is frozen; the platform reports it gone and an operator retires it, so what it held is
-   * written off. B, to which A had handed tokens before, still charges under A's name, and a backup
-   * of A's own charge is appended too. Both must count, out of the written-off amount.
+   * A stops responding and an operator retires it, so the tokens under its lease are written off. B
+   * still charges tokens that A transferred to it before, and a backup of A's own charge is
+   * appended too. Both charges must be counted and reduce the written-off amount.
    */
   @Test
-  void chargesOnARetiredSourceComeOutOfItsWrittenOffAmount() {
+  void chargesOnARetiredSourceReduceItsWrittenOffAmount() {
     assertEquals(new Outcome.Retired(A, 100), log.writeOne(OPERATOR, new Entry.Retire(A, "ops")));
     assertEquals(new AccountView(TEAM_BUDGET, 300, 0, 100, 100), team());
 
@@ -131,7 +136,7 @@
     assertInstanceOf(Outcome.Rejected.class, log.writeOne(B, charge(B, 3, DRAFTS, A, 1)));
   }
 
-  private static Entry several(long number, List<Draw> draws) {
+  private static Entry chargeByB(long number, List<Draw> draws) {
     return charge(B, number, new RequestId("r"), false, DRAFTS, draws);
   }
 
--- a/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/fold/ClaimRulesTests.java
+++ b/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/fold/ClaimRulesTests.java
@@ -5,10 +5,10 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.teaseldeal.ledger.LedgerNames.A;
-import static org.teaseldeal.ledger.LedgerNames.B;
-import static org.teaseldeal.ledger.LedgerNames.answer;
-import static org.teaseldeal.ledger.LedgerNames.claim;
+import static org.teaseldeal.ledger.LedgerFixtures.A;
+import static org.teaseldeal.ledger.LedgerFixtures.B;
+import static org.teaseldeal.ledger.LedgerFixtures.answer;
+import static org.teaseldeal.ledger.LedgerFixtures.claim;
 
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
@@ -18,14 +18,16 @@
 import org.teaseldeal.ledger.entry.Entry;
 import org.teaseldeal.ledger.outcome.Outcome;
 
+/** Guards against running a non-idempotent request twice after two claims of the same key. */
 class ClaimRulesTests {
   private static final ClaimKey KEY = new ClaimKey("key");
 
-  private final FoldedLog log = new FoldedLog();
+  private final FoldTestLog log = new FoldTestLog();
 
   /**
-   * A caller sends its bid through two instances at once. Both claim; the one whose record has the
-   * lower offset may run it, and the other learns who has it and whether the bodies agree.
+   * A caller sends the same request to two instances at once, and both claim its key. Only the
+   * instance whose record has the lower offset may run it. The other one must learn who holds the
+   * claim and whether the request bodies are equal.
    */
   @Test
   void theFirstClaimInOffsetOrderWins() {
@@ -40,9 +42,9 @@
   }
 
   @Test
-  void aLoserGetsTheStoredAnswerAlsoOverARestart() {
+  void aLostClaimNamesTheStoredAnswerAlsoAfterARestore() {
     log.write(A, claim("key", "body"), answer("key", "held"));
-    log.restart();
+    log.restoreFromExport();
 
     Outcome.ClaimLost lost =
         assertInstanceOf(Outcome.ClaimLost.class, log.writeOne(B, claim("key", "body")));
@@ -50,7 +52,7 @@
   }
 
   @Test
-  void onlyTheHolderAnswersAndReleases() {
+  void onlyTheHolderMayAnswerOrRelease() {
     log.write(A, claim("key", "body"));
 
     assertInstanceOf(Outcome.Rejected.class, log.writeOne(B, answer("key", "forged")));
@@ -68,36 +70,37 @@
   }
 
   /**
-   * A caller comes back with a key after the claim window, when the answer is no longer kept. The
-   * request may have run, so it must be refused as expired, and never be run a second time.
+   * A caller uses a key again after the claim window, when its answer is no longer kept. The
+   * request may have been run, so the claim must be refused as expired and the request not be run a
+   * second time.
    */
   @Test
-  void aKeyOlderThanTheWindowIsExpiredUntilItIsForgotten() {
+  void aKeyIsExpiredFromTheEndOfItsWindowToTheEndOfTheKeyRetention() {
     log.write(A, claim("key", "body"), answer("key", "held"));
-    log.pass(Duration.ofHours(2));
+    log.advanceClock(Duration.ofHours(2));
 
     assertEquals(new Outcome.ClaimExpired(KEY), log.writeOne(B, claim("key", "body")));
     assertTrue(log.state().claimExpired(KEY));
-    log.restart();
-    log.pass(Duration.ofDays(6));
+    log.restoreFromExport();
+    log.advanceClock(Duration.ofDays(6));
     assertEquals(new Outcome.ClaimExpired(KEY), log.writeOne(B, claim("key", "body")));
-    log.pass(Duration.ofDays(2));
+    log.advanceClock(Duration.ofDays(2));
     assertEquals(new Outcome.ClaimWon(KEY), log.writeOne(B, claim("key", "body")));
     assertFalse(log.state().claimExpired(KEY));
   }
 
   @Test
-  void theWindowOfALongRequestsAnswerStartsWithTheAnswer() {
+  void theClaimWindowStartsAnewWithTheAnswer() {
     log.write(A, claim("key", "body"));
-    log.pass(Duration.ofMinutes(50));
+    log.advanceClock(Duration.ofMinutes(50));
     log.write(A, answer("key", "held"));
-    log.pass(Duration.ofMinutes(50));
+    log.advanceClock(Duration.ofMinutes(50));
 
     assertInstanceOf(Outcome.ClaimLost.class, log.writeOne(B, claim("key", "body")));
   }
 
   @Test
-  void anAnswerWhoseBodyIsNotKeptStillHasItsStatus() {
+  void anAnswerWithoutItsBodyKeepsItsStatus() {
     Entry large = new Entry.ClaimOutcome(KEY, 201, "text/plain", new byte[5], false);
     log.write(A, claim("key", "body"), large);
 
--- a/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/fold/FoldedLog.java
+++ b/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/fold/FoldTestLog.java
@@ -19,9 +19,9 @@
 import org.teaseldeal.settings.SettingsProblem;
 import org.teaseldeal.settings.SubtreeId;
 
-/** A fold with the log before it, written to record by record. */
-final class FoldedLog {
-  static final SettingsValidator NO_BAD_TEXT =
+/** A log in memory with a fold that reads each record as it is appended. */
+final class FoldTestLog {
+  static final SettingsValidator REFUSES_BAD_TEXT =
       new SettingsValidator() {
         @Override
         public List<SettingsProblem> problems(SubtreeId subtree, String toml) {
@@ -33,7 +33,7 @@
           return Optional.empty();
         }
       };
-  static final KeyRules RULES = new KeyRules(Duration.ofHours(1), Duration.ofDays(7));
+  static final KeyRules KEY_RETENTION = new KeyRules(Duration.ofHours(1), Duration.ofDays(7));
 
   final List<LogRecord> records = new ArrayList<>();
   private final Map<IncarnationId, Long> sequences = new HashMap<>();
@@ -41,21 +41,21 @@
   private LedgerFold fold;
   private Instant now = Instant.parse("2026-12-02T08:00:00Z");
 
-  FoldedLog() {
-    this(NO_BAD_TEXT);
+  FoldTestLog() {
+    this(REFUSES_BAD_TEXT);
   }
 
-  FoldedLog(SettingsValidator validator) {
+  FoldTestLog(SettingsValidator validator) {
     this.validator = validator;
-    fold = fresh(validator);
+    fold = newFold(validator);
   }
 
-  static LedgerFold fresh() {
-    return fresh(NO_BAD_TEXT);
+  static LedgerFold newFold() {
+    return newFold(REFUSES_BAD_TEXT);
   }
 
-  private static LedgerFold fresh(SettingsValidator validator) {
-    return new LedgerFold(new StreamId(0), RULES, validator);
+  private static LedgerFold newFold(SettingsValidator validator) {
+    return new LedgerFold(new StreamId(0), KEY_RETENTION, validator);
   }
 
   LedgerFold fold() {
@@ -66,11 +66,11 @@
     return fold.state();
   }
 
-  void pass(Duration duration) {
+  void advanceClock(Duration duration) {
     now = now.plus(duration);
   }
 
-  /** Appends one record with the writer's next sequence, and folds it. */
+  /** Appends one record with the writer's next sequence number and folds it. */
   List<Outcome> write(IncarnationId writer, Entry... entries) {
     long sequence = sequences.merge(writer, 1L, Long::sum);
     return writeAs(writer, sequence, entries);
@@ -81,19 +81,19 @@
   }
 
   List<Outcome> writeAs(IncarnationId writer, long sequence, Entry... entries) {
-    return writeOctets(
+    return writePayload(
         BatchCodec.encode(new Batch(writer, sequence, state().foldedTo(), List.of(entries))));
   }
 
-  List<Outcome> writeOctets(byte[] payload) {
+  List<Outcome> writePayload(byte[] payload) {
     LogRecord record = new LogRecord(records.size(), now, payload);
     records.add(record);
     return fold.fold(record).stream().map(Settled::outcome).toList();
   }
 
-  /** Replaces the fold by one that was restored from its export. */
-  void restart() {
-    LedgerFold restored = fresh(validator);
+  /** Replaces the fold by a new one that restores its export, as after a restart. */
+  void restoreFromExport() {
+    LedgerFold restored = newFold(validator);
     restored.restore(fold.export());
     fold = restored;
   }
--- a/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/fold/PrimitiveTablesTests.java
+++ b/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/fold/PrimitiveTablesTests.java
@@ -8,9 +8,12 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Compares the tables of primitive columns with Java collections while they grow and drop entries.
+ */
 class PrimitiveTablesTests {
   @Test
-  void recentKeysAnswerLikeAMapThatForgets() {
+  void recentKeysMatchAMapWithExpiry() {
     SplittableRandom random = new SplittableRandom(7);
     RecentKeys recent = new RecentKeys();
     Map<Long, Long> model = new HashMap<>();
--- a/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/fold/SettingsRulesTests.java
+++ b/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/fold/SettingsRulesTests.java
@@ -2,10 +2,10 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
-import static org.teaseldeal.ledger.LedgerNames.A;
-import static org.teaseldeal.ledger.LedgerNames.B;
-import static org.teaseldeal.ledger.LedgerNames.TEAM;
-import static org.teaseldeal.ledger.LedgerNames.claim;
+import static org.teaseldeal.ledger.LedgerFixtures.A;
+import static org.teaseldeal.ledger.LedgerFixtures.B;
+import static org.teaseldeal.ledger.LedgerFixtures.TEAM;
+import static org.teaseldeal.ledger.LedgerFixtures.claim;
 
 import java.time.Duration;
 import org.junit.jupiter.api.Nested;
@@ -16,20 +16,21 @@
 import org.teaseldeal.ledger.outcome.Outcome;
 import org.teaseldeal.settings.SubtreeId;
 
+/** Guards against instances that put different settings or order terms in force. */
 class SettingsRulesTests {
   private static final SubtreeId SUBTREE = SubtreeId.of(TEAM);
 
-  private final FoldedLog log = new FoldedLog();
+  private final FoldTestLog log = new FoldTestLog();
 
   @Nested
   class Subtrees {
     /**
-     * Two operators change the same subtree at once, both based on what they see. The first in
-     * offset order is in force; the second must learn that it lost, and to whom, already at the
-     * log's very first record, whose offset is zero.
+     * Two operators change the same subtree at once, both based on the revision that they see. The
+     * first in offset order must be put in force, and the second must learn that it lost and to
+     * whom. This must also hold for the first record of the log, whose offset is zero.
      */
     @Test
-    void ofTwoPublicationsOnOneBaseTheFirstWins() {
+    void areReplacedByTheFirstOfTwoPublicationsOnOneRevision() {
       assertEquals(
           new Outcome.SettingsAccepted(SUBTREE, 1, "ann"), log.writeOne(A, publish(0, "ann")));
       assertEquals(
@@ -49,7 +50,7 @@
     }
 
     @Test
-    void ofOneTeamDoNotTouchAnothers() {
+    void ofDifferentTeamsAreIndependent() {
       SubtreeId other = new SubtreeId("team/spectrum");
       log.write(A, publish(0, "ann"));
 
@@ -59,15 +60,15 @@
     }
 
     /**
-     * A text makes the validator throw. It is refused like any invalid one: thrown on, it would
-     * stop every instance at this offset.
+     * The text of a subtree makes the validator throw. It must be refused like any invalid text; an
+     * exception from the fold would stop every instance at this offset.
      */
     @Test
-    void thatTripTheValidatorAreRefused() {
+    void thatMakeTheValidatorThrowAreRefused() {
       LedgerFold fold =
           new LedgerFold(
               new StreamId(0),
-              FoldedLog.RULES,
+              FoldTestLog.KEY_RETENTION,
               (subtree, toml) -> {
                 throw new IllegalStateException("tripped");
               });
@@ -81,23 +82,23 @@
   @Nested
   class FleetSettings {
     @Test
-    void sayHowLongClaimsAreKept() {
-      FoldedLog real = new FoldedLog(SettingsValidator.STANDARD);
+    void setTheClaimWindowAndTheKeyRetention() {
+      FoldTestLog real = new FoldTestLog(SettingsValidator.STANDARD);
       String toml = "[claims]\nwindow = \"2h\"\nkey_memory = \"3h\"\n";
       real.write(A, new Entry.PublishSettings(SubtreeId.FLEET, 0, "ann", toml));
       real.write(A, claim("key", "body"));
-      real.pass(Duration.ofMinutes(90));
+      real.advanceClock(Duration.ofMinutes(90));
       assertInstanceOf(Outcome.ClaimLost.class, real.writeOne(B, claim("key", "body")));
-      real.restart();
-      real.pass(Duration.ofMinutes(40));
+      real.restoreFromExport();
+      real.advanceClock(Duration.ofMinutes(40));
       assertInstanceOf(Outcome.ClaimExpired.class, real.writeOne(B, claim("key", "body")));
-      real.pass(Duration.ofHours(1));
+      real.advanceClock(Duration.ofHours(1));
       assertInstanceOf(Outcome.ClaimWon.class, real.writeOne(B, claim("key", "body")));
     }
 
     @Test
     void thatAreInvalidAreRefusedWithTheParsersProblems() {
-      FoldedLog real = new FoldedLog(SettingsValidator.STANDARD);
+      FoldTestLog real = new FoldTestLog(SettingsValidator.STANDARD);
       Entry invalid = new Entry.PublishSettings(SubtreeId.FLEET, 0, "ann", "[claims]\nno = 1\n");
 
       Outcome.SettingsInvalid refused =
@@ -107,13 +108,14 @@
   }
 
   @Nested
-  class Orders {
+  class OrderTerms {
     /**
-     * Two instances see that a pool's orders are free and take them at once. One gets the term; the
-     * other is refused and must not order engines that don't check terms.
+     * Two instances see that a pool has no order term and request it at once. Only one may get the
+     * term; the other must be refused, because two instances could otherwise order engines that do
+     * not check terms.
      */
     @Test
-    void areTakenByOneOfTwoThatNameTheSameTerm() {
+    void areTakenByOneOfTwoInstancesWithTheSamePreviousTerm() {
       assertEquals(
           new Outcome.OrdersTaken("pool", 1), log.writeOne(A, new Entry.TakeOrders("pool", 0)));
       assertEquals(
--- a/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/fold/WriterRulesTests.java
+++ b/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/fold/WriterRulesTests.java
@@ -4,15 +4,15 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.teaseldeal.ledger.LedgerNames.A;
-import static org.teaseldeal.ledger.LedgerNames.B;
-import static org.teaseldeal.ledger.LedgerNames.DRAFTS;
-import static org.teaseldeal.ledger.LedgerNames.OPERATOR;
-import static org.teaseldeal.ledger.LedgerNames.TEAM_BUDGET;
-import static org.teaseldeal.ledger.LedgerNames.budget;
-import static org.teaseldeal.ledger.LedgerNames.join;
-import static org.teaseldeal.ledger.LedgerNames.lease;
-import static org.teaseldeal.ledger.LedgerNames.topUp;
+import static org.teaseldeal.ledger.LedgerFixtures.A;
+import static org.teaseldeal.ledger.LedgerFixtures.B;
+import static org.teaseldeal.ledger.LedgerFixtures.DRAFTS;
+import static org.teaseldeal.ledger.LedgerFixtures.OPERATOR;
+import static org.teaseldeal.ledger.LedgerFixtures.TEAM_BUDGET;
+import static org.teaseldeal.ledger.LedgerFixtures.budget;
+import static org.teaseldeal.ledger.LedgerFixtures.join;
+import static org.teaseldeal.ledger.LedgerFixtures.lease;
+import static org.teaseldeal.ledger.LedgerFixtures.topUp;
 
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
@@ -24,8 +24,11 @@
 import org.teaseldeal.ledger.outcome.Outcome;
 import org.teaseldeal.ledger.state.InstanceView;
 
+/**
+ * Guards against records that are applied twice, out of sequence, or after their writer has ended.
+ */
 class WriterRulesTests {
-  private final FoldedLog log = new FoldedLog();
+  private final FoldTestLog log = new FoldTestLog();
 
   @BeforeEach
   void createBudget() {
@@ -35,36 +38,37 @@
   @Nested
   class Sequence {
     /**
-     * An append's answer is lost after the write took effect, and the instance appends the same
-     * octets again. The log then holds the record twice; the lease must be granted once.
+     * The acknowledgement of an append is lost and the instance appends the same bytes again. The
+     * log then holds the record twice, and the lease must be granted once.
      */
     @Test
-    void aRecordThatStandsTwiceCountsOnce() {
+    void aRepeatedRecordIsAppliedOnce() {
       log.write(A, lease(DRAFTS, 40, 40));
-      log.writeOctets(log.records.getLast().payload());
+      log.writePayload(log.records.getLast().payload());
 
       assertEquals(40, log.state().leased(DRAFTS, A));
       assertEquals(1, log.fold().counters().repeats());
     }
 
     /**
-     * A record is overtaken by the writer's next one. Taking the later one first would let the
-     * earlier count as a repeat, and be lost; so the later is ignored until it comes again.
+     * A record reaches the log after the writer's next one. If the later record were applied first,
+     * the earlier one would be ignored as a repeat and lost. The later record must therefore be
+     * ignored until it is appended again.
      */
     @Test
-    void whatFollowsAHoleIsIgnoredUntilTheWriterAppendsFromTheHole() {
+    void recordsAfterAMissingOneAreIgnoredUntilTheyAreRepeated() {
       Entry first = topUp(TEAM_BUDGET, 1, "first");
       Entry second = topUp(TEAM_BUDGET, 2, "second");
 
       assertEquals(List.of(), log.writeAs(A, 2, second));
       assertEquals(1, log.writeAs(A, 1, first).size());
       assertEquals(1, log.writeAs(A, 2, second).size());
-      assertEquals(1, log.fold().counters().holes());
+      assertEquals(1, log.fold().counters().sequenceGaps());
       assertEquals(103, log.state().account(TEAM_BUDGET).orElseThrow().granted());
     }
 
     @Test
-    void writersDoNotHoldUpEachOther() {
+    void aMissingRecordOfOneWriterDoesNotAffectOtherWriters() {
       log.writeAs(A, 2, topUp(TEAM_BUDGET, 1, "early"));
 
       assertEquals(1, log.writeAs(B, 1, topUp(TEAM_BUDGET, 1, "other")).size());
@@ -72,10 +76,10 @@
   }
 
   @Nested
-  class Ended {
+  class EndedWriters {
     /**
-     * A holder is frozen, retired, and wakes up: it asks for tokens and reports as if nothing had
-     * happened. None of its records may count any more, or its fencing would be worthless.
+     * An instance stops, is retired, and resumes: it requests leases and reports charges as before.
+     * If any of its records still counted, the retirement would not fence it off.
      */
     @Test
     void recordsOfARetiredWriterAreIgnored() {
@@ -85,7 +89,7 @@
       assertEquals(List.of(), log.write(A, lease(DRAFTS, 10, 10)));
       assertTrue(log.state().ended(A));
       assertEquals(List.of(), log.state().instances());
-      assertEquals(1, log.fold().counters().ended());
+      assertEquals(1, log.fold().counters().fromEndedWriters());
       assertEquals(40, log.state().account(TEAM_BUDGET).orElseThrow().writtenOff());
     }
 
@@ -97,7 +101,7 @@
     }
 
     @Test
-    void nothingCountsAfterLeavingInTheSameRecord() {
+    void entriesAfterLeaveInTheSameRecordAreRejected() {
       List<Outcome> outcomes =
           log.write(A, lease(DRAFTS, 10, 10), new Entry.Leave(), lease(DRAFTS, 10, 10));
 
@@ -106,10 +110,10 @@
     }
 
     @Test
-    void areForgottenOnceNothingIsLeftUnderTheirName() {
+    void areRemovedOnceTheirLeasesAreEmpty() {
       log.write(A, join(A), lease(DRAFTS, 10, 10), new Entry.Leave());
       log.write(B, join(B), new Entry.Leave());
-      log.pass(Duration.ofDays(8));
+      log.advanceClock(Duration.ofDays(8));
       log.write(OPERATOR, new Entry.ReturnLease(DRAFTS, A, 4));
 
       assertTrue(log.state().ended(A));
@@ -117,27 +121,27 @@
     }
 
     /**
-     * A process that never joined, such as an operator's command, is forgotten after a long
-     * silence. A copy of its second record that turns up then must not count as that of a new
-     * writer.
+     * A process that never joined, such as an operator's command, is removed after it has been
+     * silent for the key retention. A copy of its second record that appears later must not be
+     * applied as a record of a new writer.
      */
     @Test
-    void aForgottenWritersLaterRecordsStillDoNotCount() {
+    void laterRecordsOfARemovedWriterAreNotAppliedAgain() {
       log.write(A, topUp(TEAM_BUDGET, 1, "first"));
       log.write(A, topUp(TEAM_BUDGET, 1, "second"));
       byte[] second = log.records.getLast().payload();
-      log.pass(Duration.ofDays(8));
+      log.advanceClock(Duration.ofDays(8));
       log.write(B, join(B));
 
       assertEquals(0, log.state().lastSequence(A));
-      assertEquals(List.of(), log.writeOctets(second));
+      assertEquals(List.of(), log.writePayload(second));
     }
   }
 
   @Nested
   class Joined {
     @Test
-    void instancesAreListedWithHowFarTheyHaveRead() {
+    void instancesAreListedWithTheirLastFoldedOffset() {
       log.write(A, join(A));
       log.write(A, topUp(TEAM_BUDGET, 1, "t"));
 
@@ -148,15 +152,15 @@
   }
 
   @Nested
-  class Strangers {
+  class MalformedRecords {
     /**
-     * Somebody appends octets that are no batch. If the fold threw, every instance would stop at
-     * that offset for good; all must pass over it alike.
+     * Another process appends payloads that are not a batch. If the fold threw, every instance
+     * would stop at that offset for good, so all instances must skip such records.
      */
     @Test
-    void octetsThatAreNoBatchAreCountedAndPassedOver() {
-      log.writeOctets(new byte[0]);
-      log.writeOctets("GET / HTTP/1.1".getBytes(StandardCharsets.UTF_8));
+    void areCountedAndSkipped() {
+      log.writePayload(new byte[0]);
+      log.writePayload("GET / HTTP/1.1".getBytes(StandardCharsets.UTF_8));
 
       assertEquals(2, log.fold().counters().malformed());
       assertEquals(1, log.write(A, lease(DRAFTS, 10, 10)).size());
--- a/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/lease/LocalLeasesTests.java
+++ b/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/lease/LocalLeasesTests.java
@@ -3,10 +3,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.teaseldeal.ledger.LedgerNames.A;
-import static org.teaseldeal.ledger.LedgerNames.B;
-import static org.teaseldeal.ledger.LedgerNames.BIDS;
-import static org.teaseldeal.ledger.LedgerNames.DRAFTS;
+import static org.teaseldeal.ledger.LedgerFixtures.A;
+import static org.teaseldeal.ledger.LedgerFixtures.B;
+import static org.teaseldeal.ledger.LedgerFixtures.BIDS;
+import static org.teaseldeal.ledger.LedgerFixtures.DRAFTS;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -15,11 +15,14 @@
 import org.junit.jupiter.api.Test;
 import org.teaseldeal.ledger.Draw;
 
+/**
+ * Guards against tokens that an instance loses, or spends twice, between reserving and settling.
+ */
 class LocalLeasesTests {
   private final LocalLeases leases = new LocalLeases();
 
   @Test
-  void settlingDrawsWhatWasUsedAndFreesTheRest() {
+  void settlingDrawsUsedTokensAndFreesTheRest() {
     leases.credit(DRAFTS, List.of(new Draw(A, 30), new Draw(B, 30)));
     Reservation reservation = leases.reserve(DRAFTS, 50).orElseThrow();
     assertEquals(10, leases.free(DRAFTS));
@@ -31,7 +34,7 @@
   }
 
   @Test
-  void whatIsNotFreeIsNotReserved() {
+  void tokensThatAreNotFreeAreNotReserved() {
     leases.credit(DRAFTS, List.of(new Draw(A, 30)));
     leases.reserve(DRAFTS, 20);
 
@@ -42,19 +45,19 @@
   }
 
   @Test
-  void releasingFreesAll() {
+  void releasingFreesAllTokens() {
     leases.credit(DRAFTS, List.of(new Draw(A, 30)));
     leases.release(leases.reserve(DRAFTS, 20).orElseThrow());
 
-    assertEquals(List.of(new Draw(A, 30)), leases.parcels(DRAFTS));
+    assertEquals(List.of(new Draw(A, 30)), leases.freeDraws(DRAFTS));
   }
 
   /**
-   * An attempt's end is reported twice, by its answer and by its cancellation. Settling it a second
-   * time would free tokens that were spent, so it is refused.
+   * The end of an attempt is reported twice, by its answer and by its cancellation. Settling the
+   * reservation a second time would free tokens that were spent.
    */
   @Test
-  void aReservationEndsOnce() {
+  void aReservationCanBeSettledOnlyOnce() {
     leases.credit(DRAFTS, List.of(new Draw(A, 30)));
     Reservation reservation = leases.reserve(DRAFTS, 20).orElseThrow();
     leases.settle(reservation, 20);
@@ -64,11 +67,11 @@
   }
 
   /**
-   * An engine reports more tokens than were reserved. What is free pays for the excess as far as it
-   * goes; the draws never exceed what was credited.
+   * An engine reports more tokens than were reserved. Free tokens pay for the excess as far as they
+   * suffice; the draws must never exceed the credited tokens.
    */
   @Test
-  void usageBeyondTheReservationIsPaidOutOfWhatIsFree() {
+  void usageBeyondTheReservationIsPaidFromFreeTokens() {
     leases.credit(DRAFTS, List.of(new Draw(A, 30)));
     Reservation reservation = leases.reserve(DRAFTS, 20).orElseThrow();
 
@@ -77,28 +80,28 @@
   }
 
   @Test
-  void noOrderOfCallsLosesOrMakesTokens() {
+  void randomCallsNeverLoseOrCreateTokens() {
     SplittableRandom random = new SplittableRandom(5);
     List<Reservation> open = new ArrayList<>();
-    long inside = 0;
+    long expectedHeld = 0;
     for (int i = 0; i < 20_000; i++) {
       long tokens = 1 + random.nextInt(50);
       switch (random.nextInt(4)) {
         case 0 -> {
           leases.credit(DRAFTS, List.of(new Draw(random.nextBoolean() ? A : B, tokens)));
-          inside += tokens;
+          expectedHeld += tokens;
         }
         case 1 -> leases.reserve(DRAFTS, tokens).ifPresent(open::add);
-        case 2 -> inside -= sum(leases.take(DRAFTS, tokens / 4));
+        case 2 -> expectedHeld -= sum(leases.take(DRAFTS, tokens / 4));
         default -> {
           if (!open.isEmpty()) {
-            inside -= sum(leases.settle(open.remove(random.nextInt(open.size())), tokens));
+            expectedHeld -= sum(leases.settle(open.remove(random.nextInt(open.size())), tokens));
           }
         }
       }
-      assertEquals(inside, leases.held(DRAFTS));
+      assertEquals(expectedHeld, leases.held(DRAFTS));
       assertTrue(leases.free(DRAFTS) >= 0);
-      assertEquals(sum(leases.parcels(DRAFTS)), leases.free(DRAFTS));
+      assertEquals(sum(leases.freeDraws(DRAFTS)), leases.free(DRAFTS));
     }
   }
 
--- a/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/snapshot/SnapshotTests.java
+++ b/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/snapshot/SnapshotTests.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 import org.teaseldeal.api.IncarnationId;
-import org.teaseldeal.ledger.LedgerNames;
+import org.teaseldeal.ledger.LedgerFixtures;
 import org.teaseldeal.ledger.LogRecord;
 import org.teaseldeal.ledger.StreamId;
 import org.teaseldeal.ledger.codec.Batch;
@@ -27,6 +27,10 @@
 import org.teaseldeal.ledger.fold.LedgerFold;
 import org.teaseldeal.ledger.state.LedgerState;
 
+/**
+ * Guards against using an incomplete or corrupt snapshot, and against a due snapshot that no
+ * instance writes.
+ */
 class SnapshotTests {
   @Nested
   class Assembly {
@@ -38,7 +42,7 @@
     }
 
     @Test
-    void takesChunksOfSeveralWritersInAnyOrderAndRepeated() {
+    void acceptsRepeatedChunksInAnyOrder() {
       List<Entry.SnapshotChunk> chunks = new ArrayList<>(SnapshotChunks.of(9, state, 64));
       chunks.addAll(List.copyOf(chunks));
       Collections.shuffle(chunks, new Random(4));
@@ -48,7 +52,7 @@
     }
 
     @Test
-    void isNotWholeWithAChunkMissing() {
+    void isIncompleteWithAMissingChunk() {
       SnapshotChunks.of(9, state, 64).stream().skip(1).forEach(assembler::add);
 
       assertEquals(Optional.empty(), assembler.latest());
@@ -63,11 +67,11 @@
     }
 
     /**
-     * A chunk arrives with other octets than were written. The whole then has another digest: it is
-     * dropped and counted, and an older sound snapshot stays the latest.
+     * A chunk's bytes differ from those that were written. The assembled snapshot then has another
+     * digest. It must be dropped and counted, and the older intact snapshot must stay the latest.
      */
     @Test
-    void dropsAWholeWithAnotherDigest() {
+    void dropsASnapshotWithAWrongDigest() {
       SnapshotChunks.of(4, state, 64).forEach(assembler::add);
       for (Entry.SnapshotChunk chunk : SnapshotChunks.of(9, state, 64)) {
         assembler.add(
@@ -81,9 +85,10 @@
   }
 
   @Nested
-  class Duty {
-    private static final Duration GRACE = Duration.ofSeconds(10);
-    private final SnapshotConfig config = new SnapshotConfig(64, Duration.ofHours(4), 50, GRACE);
+  class Schedule {
+    private static final Duration TAKEOVER_DELAY = Duration.ofSeconds(10);
+    private final SnapshotConfig config =
+        new SnapshotConfig(64, Duration.ofHours(4), 50, TAKEOVER_DELAY);
     private final List<IncarnationId> instances =
         List.of("a-1", "b-1", "c-1").stream().map(IncarnationId::new).toList();
     private final LedgerFold fold =
@@ -97,87 +102,88 @@
     }
 
     private LedgerState joined() {
-      instances.forEach(id -> fold(id, 1, LedgerNames.join(id)));
+      instances.forEach(id -> fold(id, 1, LedgerFixtures.join(id)));
       return fold.state();
     }
 
-    private List<IncarnationId> whoIsDue(List<SnapshotDuty> duties, LedgerState state) {
+    private List<IncarnationId> dueInstances(List<SnapshotSchedule> schedules, LedgerState state) {
       List<IncarnationId> due = new ArrayList<>();
-      for (int i = 0; i < duties.size(); i++) {
-        if (duties.get(i).due(state, now)) {
+      for (int i = 0; i < schedules.size(); i++) {
+        if (schedules.get(i).isDue(state, now)) {
           due.add(instances.get(i));
         }
       }
       return due;
     }
 
-    private List<SnapshotDuty> duties() {
-      return instances.stream().map(id -> new SnapshotDuty(id, config)).toList();
+    private List<SnapshotSchedule> schedules() {
+      return instances.stream().map(id -> new SnapshotSchedule(id, config)).toList();
     }
 
     /**
-     * Nobody answers for the snapshot that is due: the instance whose turn it is has died. One
-     * after the other takes over, a grace apart, so that the oldest records don't expire first.
+     * A snapshot is due, but the instance that is first in rank has crashed. The others must take
+     * over one after the other, a takeover delay apart, before the oldest records expire.
      */
     @Test
-    void passesToTheNextInRankAfterEachGrace() {
+    void passesToTheNextInRankAfterEachTakeoverDelay() {
       LedgerState state = joined();
-      List<SnapshotDuty> duties = duties();
-      assertEquals(List.of(), whoIsDue(duties, state));
+      List<SnapshotSchedule> schedules = schedules();
+      assertEquals(List.of(), dueInstances(schedules, state));
       now = now.plus(config.maxAge());
 
-      assertEquals(1, whoIsDue(duties, state).size());
-      now = now.plus(GRACE);
-      assertEquals(2, whoIsDue(duties, state).size());
-      now = now.plus(GRACE);
-      assertEquals(3, whoIsDue(duties, state).size());
+      assertEquals(1, dueInstances(schedules, state).size());
+      now = now.plus(TAKEOVER_DELAY);
+      assertEquals(2, dueInstances(schedules, state).size());
+      now = now.plus(TAKEOVER_DELAY);
+      assertEquals(3, dueInstances(schedules, state).size());
     }
 
     @Test
     void isDueAfterANumberOfRecords() {
       LedgerState state = joined();
-      List<SnapshotDuty> duties = duties();
+      List<SnapshotSchedule> schedules = schedules();
       for (int sequence = 2; sequence <= 49; sequence++) {
-        fold(instances.getFirst(), sequence, LedgerNames.lease(LedgerNames.DRAFTS, 1, 1));
+        fold(instances.getFirst(), sequence, LedgerFixtures.lease(LedgerFixtures.DRAFTS, 1, 1));
       }
-      assertEquals(1, whoIsDue(duties, state).size());
+      assertEquals(1, dueInstances(schedules, state).size());
     }
 
     @Test
-    void endsWithAWholeSnapshotAndGoesRound() {
+    void endsWithACompleteSnapshotAndRotatesAmongInstances() {
       LedgerState state = joined();
-      Set<IncarnationId> first = new HashSet<>();
+      Set<IncarnationId> firstInRank = new HashSet<>();
       for (int epoch = 0; epoch < 20; epoch++) {
         now = now.plus(config.maxAge());
-        List<SnapshotDuty> duties = duties();
-        whoIsDue(duties, state);
+        List<SnapshotSchedule> schedules = schedules();
+        dueInstances(schedules, state);
         now = now.plus(config.maxAge());
         fold(
-            LedgerNames.OPERATOR,
+            LedgerFixtures.OPERATOR,
             2 * epoch + 1,
-            LedgerNames.topUp(LedgerNames.TEAM_BUDGET, 1, "t"));
+            LedgerFixtures.topUp(LedgerFixtures.TEAM_BUDGET, 1, "t"));
         List<IncarnationId> ranked =
             instances.stream()
                 .filter(
-                    id -> SnapshotDuty.rank(id, state.instances(), state.snapshot().epoch()) == 0)
+                    id ->
+                        SnapshotSchedule.rank(id, state.instances(), state.snapshot().epoch()) == 0)
                 .toList();
-        first.addAll(ranked);
+        firstInRank.addAll(ranked);
         Entry chunk = SnapshotChunks.of(offset - 1, fold.export(), 1_000_000).getFirst();
-        fold(LedgerNames.OPERATOR, 2 * epoch + 2, chunk);
-        assertEquals(List.of(), whoIsDue(duties, state));
+        fold(LedgerFixtures.OPERATOR, 2 * epoch + 2, chunk);
+        assertEquals(List.of(), dueInstances(schedules, state));
       }
-      assertEquals(Set.copyOf(instances), first);
+      assertEquals(Set.copyOf(instances), firstInRank);
       assertEquals(20, state.snapshot().epoch());
     }
 
     @Test
-    void isNeverOfOneThatHasNotJoined() {
+    void isNeverDueForAnInstanceThatHasNotJoined() {
       joined();
-      SnapshotDuty stranger = new SnapshotDuty(new IncarnationId("x-1"), config);
-      stranger.due(fold.state(), now);
+      SnapshotSchedule notJoined = new SnapshotSchedule(new IncarnationId("x-1"), config);
+      notJoined.isDue(fold.state(), now);
       now = now.plus(Duration.ofDays(1));
 
-      assertFalse(stranger.due(fold.state(), now));
+      assertFalse(notJoined.isDue(fold.state(), now));
       assertTrue(fold.state().instances().size() == 3);
     }
   }
