--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/client/Appender.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/client/Appender.java
@@ -192,7 +192,7 @@
   }
 
   boolean outstandingFor(Duration duration, Instant now) {
-    return inFlight != null && !now.isBefore(later(inFlight.firstAt, duration));
+    return inFlight != null && !now.isBefore(later(inFlight.firstAppendAt, duration));
   }
 
   long appends() {
@@ -219,7 +219,7 @@
   private static final class InFlight {
     final PendingBatch batch;
     final byte[] payload;
-    final Instant firstAt;
+    final Instant firstAppendAt;
     long token;
     int attempts;
     boolean awaitingAcknowledgement;
@@ -227,10 +227,10 @@
     Instant timeoutAt = Instant.MIN;
     Instant nextAttemptAt = Instant.MIN;
 
-    InFlight(PendingBatch batch, byte[] payload, Instant firstAt) {
+    InFlight(PendingBatch batch, byte[] payload, Instant firstAppendAt) {
       this.batch = batch;
       this.payload = payload;
-      this.firstAt = firstAt;
+      this.firstAppendAt = firstAppendAt;
     }
   }
 }
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/client/Reader.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/client/Reader.java
@@ -15,7 +15,7 @@
   private long outstandingFrom = NONE;
   private Instant timeoutAt = Instant.MIN;
   private Instant nextReadAt = Instant.MIN;
-  private int failuresInRow;
+  private int consecutiveFailures;
   private long reads;
   private long failures;
 
@@ -42,7 +42,7 @@
   }
 
   void answered(long from) {
-    failuresInRow = 0;
+    consecutiveFailures = 0;
     clearOutstanding(from);
   }
 
@@ -54,8 +54,8 @@
 
   /** Delays the next read by the back-off. */
   void backOff(Instant now) {
-    failuresInRow++;
-    nextReadAt = now.plus(config.backoff().delay(failuresInRow, seed));
+    consecutiveFailures++;
+    nextReadAt = now.plus(config.backoff().delay(consecutiveFailures, seed));
   }
 
   private void clearOutstanding(long from) {
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/Budgets.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/Budgets.java
@@ -203,7 +203,7 @@
   }
 
   /** Ends a source and returns the tokens left under its leases, which now count as written off. */
-  long end(Writer writer) {
+  long endSource(Writer writer) {
     if (writer.ended) {
       return 0;
     }
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/LeaseTable.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/LeaseTable.java
@@ -18,8 +18,8 @@
   private long[] tokens = new long[16];
   private int[] nextCells = new int[16];
   private int[] services = new int[16];
-  private int used;
-  private int free = END;
+  private int usedCells;
+  private int firstFreeCell = END;
 
   long tokens(int service, int source) {
     int cell = find(service, source);
@@ -66,7 +66,7 @@
   void forEachOfSource(int source, Visitor visitor) {
     int[] found = new int[4];
     int count = 0;
-    for (int cell = 0; cell < used; cell++) {
+    for (int cell = 0; cell < usedCells; cell++) {
       if (tokens[cell] > 0 && sources[cell] == source) {
         found = Columns.ensureIndex(found, count);
         found[count++] = services[cell];
@@ -123,16 +123,16 @@
   }
 
   private int freeCell() {
-    if (free != END) {
-      int cell = free;
-      free = nextCells[cell];
+    if (firstFreeCell != END) {
+      int cell = firstFreeCell;
+      firstFreeCell = nextCells[cell];
       return cell;
     }
-    sources = Columns.ensureIndex(sources, used);
-    tokens = Columns.ensureIndex(tokens, used);
-    nextCells = Columns.ensureIndex(nextCells, used);
-    services = Columns.ensureIndex(services, used);
-    return used++;
+    sources = Columns.ensureIndex(sources, usedCells);
+    tokens = Columns.ensureIndex(tokens, usedCells);
+    nextCells = Columns.ensureIndex(nextCells, usedCells);
+    services = Columns.ensureIndex(services, usedCells);
+    return usedCells++;
   }
 
   private void ensureHead(int service) {
@@ -154,8 +154,8 @@
       }
       nextCells[previous] = nextCells[cell];
     }
-    nextCells[cell] = free;
-    free = cell;
+    nextCells[cell] = firstFreeCell;
+    firstFreeCell = cell;
   }
 
   void write(StateWriter out) {
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/LedgerFold.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/LedgerFold.java
@@ -152,7 +152,7 @@
     long position = tables.foldedTo() + 1;
     return switch (entry) {
       case Entry.Join e -> join(e, writer);
-      case Entry.Leave e -> end(writer);
+      case Entry.Leave e -> endWriter(writer);
       case Entry.Retire e -> retire(e);
       case Entry.PublishSettings e -> tables.settings.publish(e, position);
       case Entry.CreateBudget e -> tables.budgets.create(e, now);
@@ -175,14 +175,14 @@
     return new Outcome.Joined(entry);
   }
 
-  private Outcome end(Writer writer) {
-    return new Outcome.Retired(writer.incarnation, tables.budgets.end(writer));
+  private Outcome endWriter(Writer writer) {
+    return new Outcome.Retired(writer.incarnation, tables.budgets.endSource(writer));
   }
 
   private Outcome retire(Entry.Retire entry) {
     Writer target = tables.writers.add(entry.incarnation());
     target.lastSeenMillis = Math.max(target.lastSeenMillis, tables.logMillis());
-    return end(target);
+    return endWriter(target);
   }
 
   private Outcome charge(Entry.Charge entry) {
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/snapshot/SnapshotAssembler.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/snapshot/SnapshotAssembler.java
@@ -21,7 +21,7 @@
    */
   private static final int MAX_CHUNKS = 1 << 16;
 
-  private final Map<SnapshotId, TreeMap<Integer, byte[]>> partial = new HashMap<>();
+  private final Map<SnapshotId, TreeMap<Integer, byte[]>> incomplete = new HashMap<>();
   private @Nullable Snapshot latest;
   private long corrupt;
 
@@ -31,10 +31,10 @@
       return;
     }
     SnapshotId id = new SnapshotId(chunk.coveredOffset(), chunk.digest(), chunk.count());
-    TreeMap<Integer, byte[]> chunkBytes = partial.computeIfAbsent(id, key -> new TreeMap<>());
+    TreeMap<Integer, byte[]> chunkBytes = incomplete.computeIfAbsent(id, key -> new TreeMap<>());
     chunkBytes.put(chunk.index(), chunk.bytes());
     if (chunkBytes.size() == chunk.count()) {
-      partial.remove(id);
+      incomplete.remove(id);
       complete(id, chunkBytes);
     }
   }
@@ -55,7 +55,7 @@
       return;
     }
     latest = new Snapshot(id.coveredOffset(), bytes);
-    partial.keySet().removeIf(other -> other.coveredOffset() <= id.coveredOffset());
+    incomplete.keySet().removeIf(other -> other.coveredOffset() <= id.coveredOffset());
   }
 
   /** Returns the latest complete snapshot if there is one. */
--- a/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/EmbeddingExampleTests.java
+++ b/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/EmbeddingExampleTests.java
@@ -98,7 +98,7 @@
   // page: end
 
   @Test
-  void theProgramSpendsWhatItSays() throws InterruptedException {
+  void theProgramChargesTheTeamBudget() throws InterruptedException {
     AccountView team = new OneRequest().run();
 
     assertEquals(1_000, team.granted());
@@ -108,7 +108,7 @@
   }
 
   @Test
-  void thePageShowsTheProgramAsItIs() throws IOException {
+  void thePageShowsTheProgramUnchanged() throws IOException {
     String source = Files.readString(SOURCE);
     int begin = source.indexOf("// page: begin\n") + "// page: begin\n".length();
     String program = source.substring(begin, source.indexOf("  // page: end"));
--- a/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/client/LedgerClientModelTests.java
+++ b/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/client/LedgerClientModelTests.java
@@ -80,15 +80,15 @@
         if (random.nextInt(3) > 0) {
           member.submit(member.randomEntry(random));
         }
-        member.participant.tick();
+        member.client.tick();
       }
       recover();
-      byte[] state = members.getFirst().participant.client.exportState();
+      byte[] state = members.getFirst().client.ledger.exportState();
       for (Member member : members) {
-        assertArrayEquals(state, member.participant.client.exportState(), name);
+        assertArrayEquals(state, member.client.ledger.exportState(), name);
         member.check(name);
       }
-      return members.stream().mapToInt(m -> (int) m.participant.client.counters().gaps()).sum();
+      return members.stream().mapToInt(m -> (int) m.client.ledger.counters().gaps()).sum();
     }
 
     private void injectFault() {
@@ -110,7 +110,7 @@
 
     private long latestCovered() {
       return members.stream()
-          .mapToLong(m -> m.participant.client.state().snapshot().coveredOffset())
+          .mapToLong(m -> m.client.ledger.state().snapshot().coveredOffset())
           .max()
           .orElse(-1);
     }
@@ -120,31 +120,31 @@
       log.losesAcknowledgements = false;
       for (int tick = 0; tick < 2_000 && !allIdleAndCaughtUp(); tick++) {
         clock.advance(Duration.ofMillis(20));
-        members.forEach(member -> member.participant.tick());
+        members.forEach(member -> member.client.tick());
       }
       assertTrue(allIdleAndCaughtUp(), name);
     }
 
     private boolean allIdleAndCaughtUp() {
       return members.stream()
-          .map(member -> member.participant.client)
+          .map(member -> member.client.ledger)
           .allMatch(client -> client.idle() && client.foldedTo() + 1 == log.nextOffset());
     }
   }
 
   private static final class Member {
     private final IncarnationId id;
-    private final TestClient participant;
+    private final TestClient client;
     private final Set<Ticket> tickets = new HashSet<>();
     private long number;
 
-    Member(IncarnationId id, TestClient participant) {
+    Member(IncarnationId id, TestClient client) {
       this.id = id;
-      this.participant = participant;
+      this.client = client;
     }
 
     void submit(Entry entry) {
-      tickets.add(participant.client.submit(entry));
+      tickets.add(client.ledger.submit(entry));
     }
 
     Entry randomEntry(SplittableRandom random) {
@@ -157,24 +157,22 @@
     }
 
     void check(String name) {
-      Set<Ticket> lost = new HashSet<>(participant.client.takeLostTickets());
+      Set<Ticket> lost = new HashSet<>(client.ledger.takeLostTickets());
       Set<Ticket> answered = new HashSet<>();
-      for (Settled settled : participant.ownOutcomes) {
-        assertTrue(answered.add(participant.client.ticket(settled).orElseThrow()), name);
+      for (Settled outcome : client.ownOutcomes) {
+        assertTrue(answered.add(client.ledger.ticket(outcome).orElseThrow()), name);
       }
       Set<Ticket> known = new HashSet<>(answered);
       known.addAll(lost);
       assertTrue(known.containsAll(tickets), name + ": a ticket of " + id + " has no outcome");
-      assertEquals(Optional.empty(), participant.client.state().imbalance(), name);
+      assertEquals(Optional.empty(), client.ledger.state().imbalance(), name);
       if (lost.isEmpty()) {
-        assertEquals(leaseChangeSum(), participant.client.state().leased(DRAFTS, id), name);
+        assertEquals(leaseChangeSum(), client.ledger.state().leased(DRAFTS, id), name);
       }
     }
 
     private long leaseChangeSum() {
-      return participant.ownOutcomes.stream()
-          .mapToLong(settled -> leaseChange(settled.outcome()))
-          .sum();
+      return client.ownOutcomes.stream().mapToLong(entry -> leaseChange(entry.outcome())).sum();
     }
 
     private static long leaseChange(Outcome outcome) {
--- a/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/client/LedgerClientTests.java
+++ b/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/client/LedgerClientTests.java
@@ -43,9 +43,9 @@
 
   private final ManualClock clock = new ManualClock();
   private final FakeLog log = new FakeLog(clock);
-  private final TestClient a = participant(A, CONFIG);
+  private final TestClient a = newClient(A, CONFIG);
 
-  private TestClient participant(IncarnationId incarnation, LedgerConfig config) {
+  private TestClient newClient(IncarnationId incarnation, LedgerConfig config) {
     return new TestClient(incarnation, config, log, clock);
   }
 
@@ -60,49 +60,49 @@
 
   /** Carries out the appends of one tick and leaves its reads unanswered. */
   private void appendOnly() {
-    a.client.poll().stream().filter(LogCommand.Append.class::isInstance).forEach(log::execute);
+    a.ledger.poll().stream().filter(LogCommand.Append.class::isInstance).forEach(log::execute);
   }
 
   @Nested
   class GroupCommit {
     @Test
     void gathersEntriesUntilTheFlushInterval() {
-      Ticket first = a.client.submit(join(A));
-      Ticket second = a.client.submit(charge(A, 1, DRAFTS, A, 1));
+      Ticket first = a.ledger.submit(join(A));
+      Ticket second = a.ledger.submit(charge(A, 1, DRAFTS, A, 1));
       a.runFor(Duration.ofMillis(90));
-      assertEquals(0, a.client.counters().appends());
+      assertEquals(0, a.ledger.counters().appends());
 
       a.runFor(Duration.ofMillis(30));
 
-      assertEquals(1, a.client.counters().appends());
+      assertEquals(1, a.ledger.counters().appends());
       assertInstanceOf(Outcome.Joined.class, a.outcome(first).orElseThrow());
       assertInstanceOf(Outcome.Rejected.class, a.outcome(second).orElseThrow());
-      assertTrue(a.client.idle());
+      assertTrue(a.ledger.idle());
     }
 
     @Test
     void sendsUrgentEntriesAtOnceTogetherWithQueuedOnes() {
-      a.client.submit(join(A));
-      Ticket lease = a.client.submit(lease(DRAFTS, 10, 10));
+      a.ledger.submit(join(A));
+      Ticket lease = a.ledger.submit(lease(DRAFTS, 10, 10));
       a.tick();
       a.tick();
 
       assertEquals(Optional.of(new Outcome.LeaseGranted(DRAFTS, 10)), a.outcome(lease));
-      assertEquals(1, a.client.counters().appends());
+      assertEquals(1, a.ledger.counters().appends());
     }
 
     @Test
     void keepsOneRecordInFlightAndBoundsItsSize() {
       log.losesAcknowledgements = true;
-      a.client.submit(lease(DRAFTS, 1, 1));
-      long appends = a.client.poll().stream().filter(LogCommand.Append.class::isInstance).count();
+      a.ledger.submit(lease(DRAFTS, 1, 1));
+      long appends = a.ledger.poll().stream().filter(LogCommand.Append.class::isInstance).count();
       String large = "x".repeat(CONFIG.appends().maxBatchBytes());
-      a.client.submit(claim("first", large));
-      a.client.submit(claim("second", large));
+      a.ledger.submit(claim("first", large));
+      a.ledger.submit(claim("second", large));
 
       assertEquals(1, appends);
-      assertTrue(a.client.poll().isEmpty());
-      assertTrue(a.client.appendOutstandingFor(Duration.ZERO));
+      assertTrue(a.ledger.poll().isEmpty());
+      assertTrue(a.ledger.appendOutstandingFor(Duration.ZERO));
     }
   }
 
@@ -118,7 +118,7 @@
 
       assertEquals(new Outcome.LeaseGranted(DRAFTS, 10), a.settle(lease(DRAFTS, 10, 10)));
       a.runFor(Duration.ofSeconds(10));
-      assertEquals(1, a.client.counters().appends());
+      assertEquals(1, a.ledger.counters().appends());
     }
 
     /**
@@ -128,19 +128,19 @@
     @Test
     void aFailedAppendIsRepeatedUnchangedUntilItIsReadBack() {
       log.unreachable = true;
-      Ticket lease = a.client.submit(lease(DRAFTS, 10, 10));
+      Ticket lease = a.ledger.submit(lease(DRAFTS, 10, 10));
       a.runFor(Duration.ofSeconds(20));
-      long attempts = a.client.counters().appends();
+      long attempts = a.ledger.counters().appends();
       assertTrue(attempts > 3 && attempts < 25, "appends were " + attempts);
-      assertFalse(a.client.logReachable());
-      assertTrue(a.client.appendOutstandingFor(Duration.ofSeconds(19)));
+      assertFalse(a.ledger.logReachable());
+      assertTrue(a.ledger.appendOutstandingFor(Duration.ofSeconds(19)));
 
       log.unreachable = false;
       a.runFor(Duration.ofSeconds(10));
 
       assertEquals(Optional.of(new Outcome.LeaseGranted(DRAFTS, 10)), a.outcome(lease));
-      assertEquals(10, a.client.state().leased(DRAFTS, A));
-      assertTrue(a.client.logReachable());
+      assertEquals(10, a.ledger.state().leased(DRAFTS, A));
+      assertTrue(a.ledger.logReachable());
     }
 
     /**
@@ -150,7 +150,7 @@
     @Test
     void aRepeatedRecordIsAppliedOnce() {
       a.runFor(Duration.ofMillis(50));
-      Ticket lease = a.client.submit(lease(DRAFTS, 10, 10));
+      Ticket lease = a.ledger.submit(lease(DRAFTS, 10, 10));
       appendOnly();
       clock.advance(CONFIG.appends().timeout());
       appendOnly();
@@ -160,8 +160,8 @@
       a.runFor(Duration.ofSeconds(5));
 
       assertEquals(Optional.of(new Outcome.LeaseGranted(DRAFTS, 10)), a.outcome(lease));
-      assertEquals(10, a.client.state().leased(DRAFTS, A));
-      assertEquals(1, a.client.counters().fold().repeats());
+      assertEquals(10, a.ledger.state().leased(DRAFTS, A));
+      assertEquals(1, a.ledger.counters().fold().repeats());
     }
   }
 
@@ -175,9 +175,9 @@
     @Test
     void anAcknowledgedButMissingRecordIsAppendedAgain() {
       a.runFor(Duration.ofMillis(50));
-      Ticket lease = a.client.submit(lease(DRAFTS, 10, 10));
-      LogCommand.Append append = (LogCommand.Append) a.client.poll().getFirst();
-      a.client.handle(
+      Ticket lease = a.ledger.submit(lease(DRAFTS, 10, 10));
+      LogCommand.Append append = (LogCommand.Append) a.ledger.poll().getFirst();
+      a.ledger.handle(
           new LogEvent.AppendAnswered(TestClient.STREAM, append.token(), log.nextOffset()));
       append(B, 1, join(B));
       a.runFor(Duration.ofSeconds(5));
@@ -195,8 +195,8 @@
       log.records.removeLast();
       a.runFor(Duration.ofSeconds(4));
 
-      assertTrue(a.client.problem().orElseThrow().contains("the log ends at offset 1"));
-      assertEquals(10, a.client.state().leased(DRAFTS, A));
+      assertTrue(a.ledger.problem().orElseThrow().contains("the log ends at offset 1"));
+      assertEquals(10, a.ledger.state().leased(DRAFTS, A));
     }
 
     /**
@@ -206,9 +206,9 @@
     @Test
     void aStaleReadAnswerIsNotReportedAsLostRecords() {
       a.settle(lease(DRAFTS, 10, 10));
-      a.client.handle(new LogEvent.RecordsRead(TestClient.STREAM, 0, log.records, 0, 1));
+      a.ledger.handle(new LogEvent.RecordsRead(TestClient.STREAM, 0, log.records, 0, 1));
 
-      assertEquals(Optional.empty(), a.client.problem());
+      assertEquals(Optional.empty(), a.ledger.problem());
     }
   }
 
@@ -221,14 +221,14 @@
     @Test
     void backwardsDoNotDelayARepeatedAppend() {
       log.unreachable = true;
-      Ticket lease = a.client.submit(lease(DRAFTS, 10, 10));
-      a.client.poll();
+      Ticket lease = a.ledger.submit(lease(DRAFTS, 10, 10));
+      a.ledger.poll();
       clock.advance(Duration.ofHours(-1));
       log.unreachable = false;
       a.runFor(Duration.ofSeconds(5));
 
       assertEquals(Optional.of(new Outcome.LeaseGranted(DRAFTS, 10)), a.outcome(lease));
-      assertFalse(a.client.lastContact().orElseThrow().isAfter(clock.instant()));
+      assertFalse(a.ledger.lastContact().orElseThrow().isAfter(clock.instant()));
     }
   }
 
@@ -241,14 +241,14 @@
     @Test
     void isReportedAndRefusesFurtherEntries() {
       a.settle(lease(DRAFTS, 10, 10));
-      Ticket queued = a.client.submit(charge(A, 1, DRAFTS, A, 1));
+      Ticket queued = a.ledger.submit(charge(A, 1, DRAFTS, A, 1));
       append(OPERATOR, 2, new Entry.Retire(A, "ops"));
       a.tick();
 
-      assertTrue(a.client.retired());
-      assertThrows(IllegalStateException.class, () -> a.client.submit(lease(DRAFTS, 1, 1)));
-      assertEquals(List.of(queued), a.client.takeLostTickets());
-      assertEquals(List.of(), a.client.takeLostTickets());
+      assertTrue(a.ledger.retired());
+      assertThrows(IllegalStateException.class, () -> a.ledger.submit(lease(DRAFTS, 1, 1)));
+      assertEquals(List.of(queued), a.ledger.takeLostTickets());
+      assertEquals(List.of(), a.ledger.takeLostTickets());
     }
 
     /**
@@ -260,8 +260,8 @@
       append(A, 1, join(A));
       a.tick();
 
-      assertTrue(a.client.retired());
-      assertTrue(a.client.problem().orElseThrow().contains("another process"));
+      assertTrue(a.ledger.retired());
+      assertTrue(a.ledger.problem().orElseThrow().contains("another process"));
     }
   }
 
@@ -280,8 +280,8 @@
       append(B, 1, join(B));
       a.runFor(Duration.ofMillis(50));
 
-      assertTrue(a.client.retired());
-      assertTrue(a.client.problem().orElseThrow().contains("forgotten"));
+      assertTrue(a.ledger.retired());
+      assertTrue(a.ledger.problem().orElseThrow().contains("forgotten"));
     }
   }
 
@@ -298,20 +298,20 @@
      */
     @Test
     void areBridgedByTheLatestCompleteSnapshot() {
-      TestClient writer = participant(B, frequentSnapshots);
+      TestClient writer = newClient(B, frequentSnapshots);
       writer.settle(join(B));
       for (int i = 1; i <= 60; i++) {
         writer.settle(lease(DRAFTS, 3, 3));
       }
-      assertTrue(writer.client.state().snapshot().epoch() > 0);
-      log.expireBefore(writer.client.state().snapshot().coveredOffset() + 1);
+      assertTrue(writer.ledger.state().snapshot().epoch() > 0);
+      log.expireBefore(writer.ledger.state().snapshot().coveredOffset() + 1);
 
       a.runFor(Duration.ofSeconds(1));
 
-      assertTrue(a.client.caughtUp());
-      assertEquals(Optional.empty(), a.client.problem());
-      assertEquals(1, a.client.counters().gaps());
-      assertArrayEquals(writer.client.exportState(), a.client.exportState());
+      assertTrue(a.ledger.caughtUp());
+      assertEquals(Optional.empty(), a.ledger.problem());
+      assertEquals(1, a.ledger.counters().gaps());
+      assertArrayEquals(writer.ledger.exportState(), a.ledger.exportState());
     }
 
     /**
@@ -325,12 +325,12 @@
       append(B, 3_000, SnapshotChunks.of(2_999, state, 100_000).getFirst());
       log.expireBefore(10);
       long servedBefore = log.recordsServed;
-      TestClient fresh = participant(new IncarnationId("c-1"), frequentSnapshots);
+      TestClient fresh = newClient(new IncarnationId("c-1"), frequentSnapshots);
       fresh.runFor(Duration.ofSeconds(1));
 
-      assertTrue(fresh.client.caughtUp());
+      assertTrue(fresh.ledger.caughtUp());
       assertEquals(80 + 1, log.recordsServed - servedBefore);
-      assertEquals(1, fresh.client.counters().fold().records());
+      assertEquals(1, fresh.ledger.counters().fold().records());
     }
 
     /**
@@ -345,11 +345,11 @@
         append(B, sequence, lease(DRAFTS, 1, 1));
       }
       log.expireBefore(3);
-      TestClient fresh = participant(new IncarnationId("c-1"), frequentSnapshots);
+      TestClient fresh = newClient(new IncarnationId("c-1"), frequentSnapshots);
       fresh.runFor(Duration.ofSeconds(1));
 
-      assertTrue(fresh.client.caughtUp());
-      assertEquals(998, fresh.client.state().leased(DRAFTS, B));
+      assertTrue(fresh.ledger.caughtUp());
+      assertEquals(998, fresh.ledger.state().leased(DRAFTS, B));
     }
 
     /**
@@ -364,9 +364,9 @@
       log.expireBefore(5);
       a.runFor(Duration.ofSeconds(1));
 
-      assertFalse(a.client.caughtUp());
-      assertEquals(-1, a.client.foldedTo());
-      assertTrue(a.client.problem().orElseThrow().contains("no whole snapshot"));
+      assertFalse(a.ledger.caughtUp());
+      assertEquals(-1, a.ledger.foldedTo());
+      assertTrue(a.ledger.problem().orElseThrow().contains("no whole snapshot"));
     }
 
     /**
@@ -382,14 +382,14 @@
       append(B, 3, new Entry.SnapshotChunk(2, 0, 1, intact.digest(), flipped));
       log.expireBefore(3);
       a.runFor(Duration.ofSeconds(1));
-      assertFalse(a.client.caughtUp());
-      assertEquals(1, a.client.counters().corruptSnapshots());
+      assertFalse(a.ledger.caughtUp());
+      assertEquals(1, a.ledger.counters().corruptSnapshots());
 
       append(B, 4, intact);
       a.runFor(Duration.ofSeconds(1));
 
-      assertTrue(a.client.caughtUp());
-      assertEquals(2, a.client.state().leased(DRAFTS, B));
+      assertTrue(a.ledger.caughtUp());
+      assertEquals(2, a.ledger.state().leased(DRAFTS, B));
     }
 
     /**
@@ -401,20 +401,20 @@
     void thatIncludeAnOwnRecordLoseItsTicket() {
       byte[] state = stateAfter(3);
       a.runFor(Duration.ofMillis(50));
-      Ticket lease = a.client.submit(lease(DRAFTS, 5, 5));
+      Ticket lease = a.ledger.submit(lease(DRAFTS, 5, 5));
       appendOnly();
-      TestClient other = participant(new IncarnationId("c-1"), CONFIG);
+      TestClient other = newClient(new IncarnationId("c-1"), CONFIG);
       other.runFor(Duration.ofMillis(50));
-      byte[] after = other.client.exportState();
+      byte[] after = other.ledger.exportState();
       assertTrue(after.length > state.length);
-      append(B, 3, SnapshotChunks.of(other.client.foldedTo(), after, 100_000).getFirst());
+      append(B, 3, SnapshotChunks.of(other.ledger.foldedTo(), after, 100_000).getFirst());
       log.expireBefore(log.nextOffset() - 1);
 
       a.runFor(Duration.ofSeconds(5));
 
-      assertEquals(5, a.client.state().leased(DRAFTS, A));
-      assertEquals(List.of(lease), a.client.takeLostTickets());
-      assertTrue(a.client.idle());
+      assertEquals(5, a.ledger.state().leased(DRAFTS, A));
+      assertEquals(List.of(lease), a.ledger.takeLostTickets());
+      assertTrue(a.ledger.idle());
     }
 
     /**
@@ -430,9 +430,9 @@
       log.expireBefore(4);
       a.runFor(Duration.ofSeconds(1));
 
-      assertFalse(a.client.caughtUp());
-      assertEquals(-1, a.client.foldedTo());
-      assertTrue(a.client.problem().orElseThrow().contains("no whole snapshot"));
+      assertFalse(a.ledger.caughtUp());
+      assertEquals(-1, a.ledger.foldedTo());
+      assertTrue(a.ledger.problem().orElseThrow().contains("no whole snapshot"));
     }
 
     /**
@@ -441,11 +441,11 @@
      */
     @Test
     void areStillSearchedAfterAStaleReadAnswer() {
-      a.client.poll();
-      a.client.handle(new LogEvent.OffsetExpired(TestClient.STREAM, 0, 5, 10));
-      a.client.handle(new LogEvent.RecordsRead(TestClient.STREAM, 0, List.of(), 0, 1));
+      a.ledger.poll();
+      a.ledger.handle(new LogEvent.OffsetExpired(TestClient.STREAM, 0, 5, 10));
+      a.ledger.handle(new LogEvent.RecordsRead(TestClient.STREAM, 0, List.of(), 0, 1));
 
-      assertEquals(Optional.of("records before offset 5 have expired"), a.client.problem());
+      assertEquals(Optional.of("records before offset 5 have expired"), a.ledger.problem());
     }
 
     /**
@@ -457,25 +457,25 @@
     void andMissingRecordsInAnAnswerAreNeverSkipped() {
       append(B, 1, lease(DRAFTS, 1, 1));
       append(B, 2, lease(DRAFTS, 1, 1));
-      a.client.poll();
+      a.ledger.poll();
       List<LogRecord> withGap = List.of(log.records.get(0), log.records.get(2));
-      a.client.handle(new LogEvent.RecordsRead(TestClient.STREAM, 0, withGap, 0, 3));
+      a.ledger.handle(new LogEvent.RecordsRead(TestClient.STREAM, 0, withGap, 0, 3));
 
-      assertEquals(0, a.client.foldedTo());
-      assertEquals(1, a.client.counters().gaps());
-      assertFalse(a.client.caughtUp());
+      assertEquals(0, a.ledger.foldedTo());
+      assertEquals(1, a.ledger.counters().gaps());
+      assertFalse(a.ledger.caughtUp());
       a.runFor(Duration.ofSeconds(1));
-      assertEquals(2, a.client.foldedTo());
+      assertEquals(2, a.ledger.foldedTo());
     }
 
     private byte[] stateAfter(int records) {
       for (int sequence = 1; log.nextOffset() < records; sequence++) {
         append(B, sequence, lease(DRAFTS, 1, 1));
       }
-      TestClient reader = participant(new IncarnationId("reader"), CONFIG);
+      TestClient reader = newClient(new IncarnationId("reader"), CONFIG);
       reader.runFor(Duration.ofSeconds(1));
-      assertEquals(log.nextOffset() - 1, reader.client.foldedTo());
-      return reader.client.exportState();
+      assertEquals(log.nextOffset() - 1, reader.ledger.foldedTo());
+      return reader.ledger.exportState();
     }
   }
 
@@ -487,20 +487,20 @@
      */
     @Test
     void replacesTheLogDuringAnOutage() {
-      TestClient peer = participant(B, CONFIG);
+      TestClient peer = newClient(B, CONFIG);
       peer.settle(lease(DRAFTS, 7, 7));
       log.unreachable = true;
       a.runFor(Duration.ofMillis(100));
-      assertFalse(a.client.caughtUp());
+      assertFalse(a.ledger.caughtUp());
 
-      a.client.restore(peer.client.exportState());
-      assertTrue(a.client.caughtUp());
-      assertEquals(7, a.client.state().leased(DRAFTS, B));
+      a.ledger.restore(peer.ledger.exportState());
+      assertTrue(a.ledger.caughtUp());
+      assertEquals(7, a.ledger.state().leased(DRAFTS, B));
 
       log.unreachable = false;
       peer.settle(lease(DRAFTS, 1, 1));
       a.runFor(Duration.ofSeconds(5));
-      assertArrayEquals(peer.client.exportState(), a.client.exportState());
+      assertArrayEquals(peer.ledger.exportState(), a.ledger.exportState());
     }
 
     /**
@@ -509,15 +509,15 @@
      */
     @Test
     void isRefusedIfItIsOlder() {
-      TestClient peer = participant(B, CONFIG);
+      TestClient peer = newClient(B, CONFIG);
       peer.runFor(Duration.ofMillis(50));
-      byte[] old = peer.client.exportState();
+      byte[] old = peer.ledger.exportState();
       a.settle(lease(DRAFTS, 7, 7));
-      byte[] before = a.client.exportState();
+      byte[] before = a.ledger.exportState();
 
-      assertThrows(IllegalArgumentException.class, () -> a.client.restore(old));
-      assertThrows(IllegalArgumentException.class, () -> a.client.restore(new byte[] {1, 2}));
-      assertArrayEquals(before, a.client.exportState());
+      assertThrows(IllegalArgumentException.class, () -> a.ledger.restore(old));
+      assertThrows(IllegalArgumentException.class, () -> a.ledger.restore(new byte[] {1, 2}));
+      assertArrayEquals(before, a.ledger.exportState());
     }
   }
 }
--- a/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/client/TestClient.java
+++ b/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/client/TestClient.java
@@ -15,7 +15,7 @@
 final class TestClient {
   static final StreamId STREAM = new StreamId(0);
 
-  final LedgerClient client;
+  final LedgerClient ledger;
   final List<Settled> ownOutcomes = new ArrayList<>();
   private final FakeLog log;
   private final ManualClock clock;
@@ -23,18 +23,18 @@
   TestClient(IncarnationId self, LedgerConfig config, FakeLog log, ManualClock clock) {
     this.log = log;
     this.clock = clock;
-    client = new LedgerClient(self, STREAM, config, (subtree, toml) -> List.of(), clock);
+    ledger = new LedgerClient(self, STREAM, config, (subtree, toml) -> List.of(), clock);
   }
 
   void tick() {
-    for (LogCommand command : client.poll()) {
-      log.execute(command).ifPresent(event -> keep(client.handle(event)));
+    for (LogCommand command : ledger.poll()) {
+      log.execute(command).ifPresent(event -> keep(ledger.handle(event)));
     }
   }
 
-  private void keep(List<Settled> settled) {
-    settled.stream()
-        .filter(outcome -> client.ticket(outcome).isPresent())
+  private void keep(List<Settled> outcomes) {
+    outcomes.stream()
+        .filter(outcome -> ledger.ticket(outcome).isPresent())
         .forEach(ownOutcomes::add);
   }
 
@@ -49,14 +49,14 @@
 
   /** Submits an entry and runs until its outcome has been read back. */
   Outcome settle(Entry entry) {
-    Ticket ticket = client.submit(entry);
+    Ticket ticket = ledger.submit(entry);
     runFor(Duration.ofMillis(300));
     return outcome(ticket).orElseThrow();
   }
 
   Optional<Outcome> outcome(Ticket ticket) {
     return ownOutcomes.stream()
-        .filter(settled -> client.ticket(settled).equals(Optional.of(ticket)))
+        .filter(outcome -> ledger.ticket(outcome).equals(Optional.of(ticket)))
         .map(Settled::outcome)
         .findFirst();
   }
