--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/client/Reader.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/client/Reader.java
@@ -5,7 +5,7 @@
 import org.teaseldeal.ledger.LogCommand;
 import org.teaseldeal.ledger.StreamId;
 
-/** Keeps one read going, from wherever the client says. */
+/** Keeps one read in flight, from the position that the client passes to {@link #poll}. */
 final class Reader {
   private static final long NONE = -1;
 
@@ -15,7 +15,7 @@
   private long outstandingFrom = NONE;
   private Instant timeoutAt = Instant.MIN;
   private Instant nextReadAt = Instant.MIN;
-  private int failuresInRow;
+  private int consecutiveFailures;
   private long reads;
   private long failures;
 
@@ -42,23 +42,23 @@
   }
 
   void answered(long from) {
-    failuresInRow = 0;
-    finish(from);
+    consecutiveFailures = 0;
+    clearOutstanding(from);
   }
 
   void failed(long from, Instant now) {
     failures++;
-    postpone(now);
-    finish(from);
+    backOff(now);
+    clearOutstanding(from);
   }
 
-  /** Waits before the next read. */
-  void postpone(Instant now) {
-    failuresInRow++;
-    nextReadAt = now.plus(config.backoff().delay(failuresInRow, seed));
+  /** Delays the next read by the back-off. */
+  void backOff(Instant now) {
+    consecutiveFailures++;
+    nextReadAt = now.plus(config.backoff().delay(consecutiveFailures, seed));
   }
 
-  private void finish(long from) {
+  private void clearOutstanding(long from) {
     if (outstandingFrom == from) {
       outstandingFrom = NONE;
     }
--- a/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/EmbeddingExampleTests.java
+++ b/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/EmbeddingExampleTests.java
@@ -26,7 +26,10 @@
 import org.teaseldeal.ledger.outcome.Outcome;
 import org.teaseldeal.ledger.state.AccountView;
 
-/** The program of docs/EMBEDDING.md, which shows the lines between the markers. */
+/**
+ * Runs the example program of docs/EMBEDDING.md and checks that the page shows it unchanged. The
+ * page contains the lines between the two markers.
+ */
 class EmbeddingExampleTests {
   private static final Path PAGE = Path.of("..", "docs", "EMBEDDING.md");
   private static final Path SOURCE =
@@ -95,7 +98,7 @@
   // page: end
 
   @Test
-  void theProgramSpendsWhatItSays() throws InterruptedException {
+  void theProgramChargesTheTeamBudget() throws InterruptedException {
     AccountView team = new OneRequest().run();
 
     assertEquals(1_000, team.granted());
@@ -105,7 +108,7 @@
   }
 
   @Test
-  void thePageShowsTheProgramAsItIs() throws IOException {
+  void thePageShowsTheProgramUnchanged() throws IOException {
     String source = Files.readString(SOURCE);
     int begin = source.indexOf("// page: begin\n") + "// page: begin\n".length();
     String program = source.substring(begin, source.indexOf("  // page: end"));
