--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/AnswerVerdict.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/AnswerVerdict.java
@@ -1,13 +1,13 @@
 package org.teaseldeal.gateway.flow;
 
-/** What the head of a backend server's answer says. */
+/** How the status and headers of a backend server's answer are to be understood. */
 public enum AnswerVerdict {
-  /** The server's own answer to the request, to be passed on. */
+  /** The server answered the request itself; the answer is passed on to the caller. */
   GENUINE,
-  /** The server has not run the request and will not. */
+  /** The server has not run the request and never will. */
   NOT_RUN,
-  /** Another incarnation has the address; it has not run the request. */
+  /** Another incarnation answered at the server's address; it has not run the request. */
   OTHER_SERVER,
-  /** Not known to be the server's answer; the request may have run. */
+  /** The answer may not come from the server; the request may have run. */
   DOUBTFUL
 }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/Attempt.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/Attempt.java
@@ -11,7 +11,7 @@
 import org.teaseldeal.net.HttpFailure;
 import org.teaseldeal.net.HttpListener;
 
-/** One sending of a request to one backend server, until it ends one way or another. */
+/** One attempt to have a request answered by one backend server, from its sending to its end. */
 final class Attempt implements HttpListener {
   private static final int OK = 200;
 
@@ -19,10 +19,10 @@
   private final GatewayParts parts;
   private final BackendServer server;
 
-  /** Tokens of the prompt that no server can have had in its cache. */
+  /** The number of prompt tokens that no server can have in its cache. */
   private final long promptTokens;
 
-  /** Tokens that the server is thought to read. */
+  /** The number of prompt tokens that the server presumably has to read. */
   private final long uncachedTokens;
 
   private final boolean streamed;
@@ -66,7 +66,9 @@
     return server;
   }
 
-  /** Whether the server may have read the prompt: it answered, or had the time to. */
+  /**
+   * Whether the server may have read the prompt: it answered, or enough time has passed to read it.
+   */
   boolean mayHaveReadPrompt() {
     return verdict == AnswerVerdict.GENUINE || PromptReading.mayBeDone(promptTokens, age());
   }
@@ -80,7 +82,7 @@
     return Duration.between(lastHeard, parts.clock().instant());
   }
 
-  /** Stops it: its connection is closed, so that the server stops working on it. */
+  /** Cancels the attempt by closing its connection, so that the server stops working on it. */
   void cancel() {
     if (over) {
       return;
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/BackendPort.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/BackendPort.java
@@ -4,9 +4,9 @@
 import org.teaseldeal.net.HttpCallRequest;
 import org.teaseldeal.net.HttpListener;
 
-/** Sends requests to backend servers, each once. */
+/** Sends requests to backend servers, each request once. */
 @FunctionalInterface
 public interface BackendPort {
-  /** Sends a request; {@code listener} is told what comes of it. */
+  /** Sends a request and reports its answer or failure to {@code listener}. */
   HttpCall send(HttpCallRequest request, HttpListener listener);
 }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/CallerAnswer.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/CallerAnswer.java
@@ -10,7 +10,7 @@
 import org.teaseldeal.net.HttpExchange;
 import org.teaseldeal.net.ResponseStream;
 
-/** The one answer that a caller gets, and how far it has got. */
+/** The only answer that a caller gets, with the progress of its transmission. */
 final class CallerAnswer {
   private final HttpExchange exchange;
   private final InstantSource clock;
@@ -26,12 +26,12 @@
     this.clock = clock;
   }
 
-  /** When its first part was sent; empty before. */
+  /** When the first part of the answer was sent; empty if none was sent yet. */
   Optional<Instant> firstSent() {
     return Optional.ofNullable(firstSent);
   }
 
-  /** The longest time between two of its parts. */
+  /** The longest time between two consecutive parts of the answer. */
   Duration longestPause() {
     return longestPause;
   }
@@ -47,7 +47,7 @@
     lastSent = now;
   }
 
-  /** Whether a part of it was sent, so that no other answer can take its place. */
+  /** Whether a part of a streamed answer was sent, after which no other answer can replace it. */
   boolean begun() {
     return stream != null;
   }
@@ -56,12 +56,15 @@
     return eventsSent;
   }
 
-  /** The id of the last event that was sent; empty if none had one. */
+  /** The id of the last event that was sent; empty if no event had an id. */
   String lastEventId() {
     return lastEventId;
   }
 
-  /** Sends an event; the first sends the head too, which stays the one of its server. */
+  /**
+   * Sends an event. The first event also sends the status and headers of its server's answer, which
+   * stay in place if later events come from another server.
+   */
   void event(int status, Map<String, String> headers, EventSplitter.Event event) {
     ResponseStream open = stream;
     if (open == null) {
@@ -76,7 +79,11 @@
     onSent();
   }
 
-  /** Ends it as complete; {@code rest} is what came after the last whole event, or all there is. */
+  /**
+   * Ends the answer as complete.
+   *
+   * @param rest the bytes after the last complete event, or the complete body if no event was sent
+   */
   void finish(int status, Map<String, String> headers, byte[] rest) {
     onSent();
     if (stream == null) {
@@ -87,13 +94,13 @@
     }
   }
 
-  /** Sends a whole answer in place of one that has not begun. */
+  /** Sends a complete answer. No part of a streamed answer must have been sent before. */
   void whole(HttpAnswer answer) {
     onSent();
     exchange.respond(answer.status(), answer.headers(), answer.body());
   }
 
-  /** Ends it so that the caller sees that it isn't whole. */
+  /** Aborts the answer so that the caller can tell that it is incomplete. */
   void breakOff() {
     if (stream != null) {
       stream.abort();
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/Dialect.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/Dialect.java
@@ -7,26 +7,29 @@
 import org.teaseldeal.net.HttpCallRequest;
 import org.teaseldeal.net.HttpExchange;
 
-/** How callers and backend servers say things in their headers; translates, decides nothing. */
+/**
+ * Translates between the gateway's requests and the HTTP headers that callers and backend servers
+ * use. It makes no decisions.
+ */
 public interface Dialect {
-  /** Reads a caller's request. */
+  /** Parses a caller's request. */
   Result<RoutedRequest> read(HttpExchange exchange);
 
-  /** The caller's name for the attempt, for the log; empty if it gave none. */
+  /** The caller's identifier of the attempt, for the log; empty if it gave none. */
   String requestId(HttpExchange exchange);
 
-  /** Writes the request as one backend server is to be given it. */
+  /** Creates the request that is sent to a backend server. */
   HttpCallRequest forward(RoutedRequest request, Handover handover);
 
-  /** Whether an answer's head names {@code request}. */
+  /** Whether the headers of an answer identify it as an answer to {@code request}. */
   boolean isAnswerTo(RoutedRequest request, Map<String, String> headers);
 
-  /** What an answer's head says. */
+  /** Interprets the status and headers of an answer. */
   AnswerVerdict verdict(int status, Map<String, String> headers);
 
-  /** The headers of a backend server's answer that the caller gets. */
+  /** The headers of a backend server's answer that are passed on to the caller. */
   Map<String, String> answerHeaders(Map<String, String> headers);
 
-  /** Writes a refusal. */
+  /** Creates the answer that refuses a request. */
   HttpAnswer refuse(Problem problem);
 }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/EventSplitter.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/EventSplitter.java
@@ -6,14 +6,14 @@
 import java.util.List;
 
 /**
- * Cuts a stream of server-sent events into whole events, byte for byte.
+ * Splits a stream of server-sent events into complete events without changing a byte.
  *
- * <p>A backend server may stop in the middle of an event. Only whole events go to the caller, so
- * that what another server sends after the last of them joins without a seam.
+ * <p>A backend server may stop in the middle of an event. Only complete events are sent to the
+ * caller, so another server can resume the stream after the last of them.
  */
 final class EventSplitter {
   /**
-   * A whole event as it came, up to and including its blank line.
+   * A complete event with its original bytes, including the blank line that ends it.
    *
    * @param id the event's id; empty if it has none
    */
@@ -25,28 +25,28 @@
   private final ByteArrayOutputStream line = new ByteArrayOutputStream();
   private String id = "";
 
-  /** Takes in more bytes; returns the events that they complete. */
+  /** Adds received bytes and returns the events that they complete. */
   List<Event> add(byte[] part) {
-    List<Event> whole = new ArrayList<>();
+    List<Event> complete = new ArrayList<>();
     for (byte next : part) {
       event.write(next);
       if (next != '\n') {
         line.write(next);
       } else if (endsLine()) {
-        whole.add(new Event(event.toByteArray(), id));
+        complete.add(new Event(event.toByteArray(), id));
         event.reset();
         id = "";
       }
     }
-    return whole;
+    return complete;
   }
 
-  /** Bytes of an event that isn't whole. */
+  /** The bytes of the last, incomplete event. */
   byte[] rest() {
     return event.toByteArray();
   }
 
-  /** Ends a line; true if it was the blank line that ends an event. */
+  /** Processes the end of a line and returns whether it was the blank line that ends an event. */
   private boolean endsLine() {
     byte[] text = line.toByteArray();
     line.reset();
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/GatewayLimits.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/GatewayLimits.java
@@ -3,9 +3,11 @@
 import java.time.Duration;
 
 /**
- * Bounds that the deployment sets.
+ * Limits of the retries that the gateway sends to backend servers, from the deployment's settings.
  *
- * @param retryShare repeats for each request of a service, over {@code retryWindow}
- * @param retryReserve repeats that the fleet may send besides in a window
+ * @param retryShare the number of retries allowed for each request of a service within {@code
+ *     retryWindow}
+ * @param retryReserve the number of retries that all instances together may send in addition within
+ *     a window
  */
 public record GatewayLimits(double retryShare, double retryReserve, Duration retryWindow) {}
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/GatewayParts.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/GatewayParts.java
@@ -14,12 +14,12 @@
 import org.teaseldeal.gateway.server.ServerDirectory;
 
 /**
- * What the flow of requests works with.
+ * The components that handle requests and what they depend on.
  *
- * @param plan the plan in force; null until one is known
- * @param othersLoad what other instances have outstanding at the servers
- * @param cachedPrompts what lies in the servers' caches
- * @param instances how many instances there are, this one included
+ * @param plan the configuration in force; null until one is known
+ * @param othersLoad the load that the other instances have outstanding at the backend servers
+ * @param cachedPrompts the prompt parts that are presumably in the backend servers' caches
+ * @param instances the number of instances, including this one
  */
 public record GatewayParts(
     Supplier<@Nullable GatewayPlan> plan,
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/GuardedSteps.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/GuardedSteps.java
@@ -6,33 +6,34 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Runs steps that are repeated so that one that fails holds up no other.
+ * Runs named tasks that are repeated, so that a failing task doesn't prevent the others from
+ * running.
  *
- * <p>If one step threw each time, those after it would never run: requests would wait past their
- * deadlines while the instance says that it is ready. An error that left a scheduled task would end
- * its schedule without a word.
+ * <p>If a task's exception reached the caller of a whole round, the tasks after it would never run:
+ * requests would wait past their deadlines while the instance reports that it is ready. An
+ * exception that leaves a task of a scheduled executor ends its schedule silently.
  */
 public final class GuardedSteps {
   private static final Logger LOG = LoggerFactory.getLogger(GuardedSteps.class);
 
   private final Set<String> failing = new HashSet<>();
 
-  /** Runs {@code step}; logs when it begins to fail and when it is well again. */
-  public void run(String name, Runnable step) {
+  /** Runs {@code task} and logs when it starts to fail and when it succeeds again. */
+  public void run(String name, Runnable task) {
     try {
-      step.run();
+      task.run();
     } catch (RuntimeException | Error e) {
       if (failing.add(name)) {
-        LOG.error("step '{}' fails", name, e);
+        LOG.error("task '{}' failed; further failures are not logged until it succeeds", name, e);
       }
       return;
     }
     if (failing.remove(name)) {
-      LOG.info("step '{}' is well again", name);
+      LOG.info("task '{}' succeeded after it had failed", name);
     }
   }
 
-  /** Forgets a step that is over. */
+  /** Forgets the failure of a task that will not be run again. */
   public void forget(String name) {
     failing.remove(name);
   }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/Handover.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/Handover.java
@@ -5,12 +5,14 @@
 import org.teaseldeal.api.BackendServerId;
 
 /**
- * What a backend server is told besides the caller's request.
+ * The terms under which a request is sent to a backend server, besides the caller's request itself.
  *
- * @param server the incarnation that is meant; another one at the address must not run it
- * @param timeLeft that it may take
- * @param rank 0 is the most urgent
- * @param resumeAfter the last event that the caller has, if a stream is to go on after it
+ * @param server the incarnation that is to run the request; another one at the same address must
+ *     not run it
+ * @param timeLeft the time that the request may still take
+ * @param rank the priority, where 0 is the most urgent
+ * @param resumeAfter the id of the last event that the caller has received, if a stream is to be
+ *     resumed after it
  */
 public record Handover(
     BackendServerId server,
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/InstanceDrain.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/InstanceDrain.java
@@ -17,16 +17,17 @@
 import org.teaseldeal.net.HttpServer;
 
 /**
- * Carries out the phases of an instance's stop.
+ * Carries out the phases of stopping an instance.
  *
- * <p>It steps on the event loop, as a task with a time of its own: the loop handles the input that
- * has come before it runs these, so an answer that arrived in time is passed on before a step
- * breaks off what is left, and no request comes between a look at what is left and the step.
+ * <p>Each step runs as a scheduled task on the event loop. The loop processes input that has
+ * already arrived before it runs such a task, so an answer that arrived in time is passed on before
+ * a step aborts the open requests. No request can arrive between the step's check of the open
+ * requests and its action.
  */
 public final class InstanceDrain {
   private static final Logger LOG = LoggerFactory.getLogger(InstanceDrain.class);
 
-  /** Fine against the shortest of the phases, 60 ms. */
+  /** The interval between two steps; short compared with the shortest phase, which takes 60 ms. */
   private static final Duration STEP = Duration.ofMillis(20);
 
   private final ScheduledExecutorService loop;
@@ -42,23 +43,23 @@
   private int brokenOff;
 
   /**
-   * Begins a stop now.
+   * Starts the stop's clock now; {@link #run()} carries out the stop.
    *
-   * @param loop the event loop that carries the callers
-   * @param clock must not follow steps of the time of day
-   * @param grace until the process is killed
+   * @param loop the event loop that serves the callers' connections
+   * @param clock a monotonic clock, which doesn't follow adjustments of the time of day
+   * @param grace the time until the process is killed
    */
   public InstanceDrain(
       ScheduledExecutorService loop,
       HttpServer callers,
-      RequestDesk desk,
+      RequestDesk dispatcher,
       AccountBook accounts,
       EventSink events,
       InstantSource clock,
       Duration grace) {
     this.loop = loop;
     this.callers = callers;
-    this.desk = desk;
+    this.desk = dispatcher;
     this.accounts = accounts;
     this.events = events;
     this.clock = clock;
@@ -66,7 +67,7 @@
     this.phases = new DrainPhases(clock.instant(), grace);
   }
 
-  /** Returns when the process may end. */
+  /** Carries out the stop and returns when the process may exit. */
   public void run() throws InterruptedException {
     callers.closeAfterAnswers();
     loop.execute(this::begin);
@@ -74,7 +75,7 @@
         loop.scheduleAtFixedRate(
             this::step, STEP.toMillis(), STEP.toMillis(), TimeUnit.MILLISECONDS);
     if (!done.await(grace.toMillis(), TimeUnit.MILLISECONDS)) {
-      LOG.warn("the stop did not come to its end in {}", grace);
+      LOG.warn("the drain did not finish within the shutdown grace of {}", grace);
     }
     steps.cancel(false);
     events.accept(new GatewayEvent.InstanceState("stopped", brokenOff + " requests cut off"));
@@ -95,8 +96,9 @@
         enter(next);
       }
     } catch (RuntimeException e) {
-      // A step that throws would be the last one, and the process be killed with its answers.
-      LOG.error("a step of the stop failed", e);
+      // The executor cancels a periodic task that throws. The drain would then stop here, and the
+      // process would be killed together with its open answers.
+      LOG.error("a step of the drain failed; the following steps still run", e);
     }
   }
 
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/PromptPart.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/PromptPart.java
@@ -2,7 +2,7 @@
 
 import org.teaseldeal.api.Preconditions;
 
-/** A part of a prompt that other prompts may share. */
+/** A part of a prompt. Other prompts may contain the same part. */
 public record PromptPart(String id, long tokens) {
   public PromptPart {
     Preconditions.requireText(id, "prompt part id");
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/PromptTerms.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/PromptTerms.java
@@ -4,11 +4,12 @@
 import org.teaseldeal.api.Preconditions;
 
 /**
- * What a caller says of its prompt.
+ * The caller's description of its prompt.
  *
- * @param inputTokens in the prompt
- * @param maxOutputTokens that may be generated
- * @param parts of the prompt in order; the last one belongs to this request or its session
+ * @param inputTokens the number of tokens in the prompt
+ * @param maxOutputTokens the largest number of tokens that may be generated
+ * @param parts the parts of the prompt in order; the last part is specific to this request or its
+ *     session, the parts before it may be shared with other prompts
  */
 public record PromptTerms(long inputTokens, long maxOutputTokens, List<PromptPart> parts) {
   public PromptTerms {
@@ -17,33 +18,36 @@
     parts = List.copyOf(parts);
   }
 
-  /** Tokens of the request at its largest. */
+  /** The largest number of tokens that the request can use, prompt and output together. */
   public long atMost() {
     return inputTokens + maxOutputTokens;
   }
 
-  /** All parts but the last, in order. */
+  /** All parts except the last, in order. */
   List<PromptPart> sharedParts() {
     return parts.subList(0, Math.max(0, parts.size() - 1));
   }
 
-  /** Tokens of all parts but the last. */
+  /** The number of tokens in all parts except the last. */
   public long sharedTokens() {
     long shared = sharedParts().stream().mapToLong(PromptPart::tokens).sum();
     return Math.min(shared, inputTokens);
   }
 
-  /** Tokens of the last part, which no other request has brought. */
+  /** The number of tokens in the last part, which no other request contains. */
   public long unsharedTokens() {
     return inputTokens - sharedTokens();
   }
 
-  /** The ids of all parts but the last, in order. */
+  /** The ids of all parts except the last, in order. */
   List<String> sharedPartIds() {
     return sharedParts().stream().map(PromptPart::id).toList();
   }
 
-  /** Names the longest beginning that other prompts may share; empty if there is none. */
+  /**
+   * The id of the last part that other prompts may share, which stands for the longest shared
+   * prefix; empty if the prompt has no shared part.
+   */
   public String sharedBeginning() {
     return parts.size() < 2 ? "" : parts.get(parts.size() - 2).id();
   }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/RequestDesk.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/RequestDesk.java
@@ -26,29 +26,38 @@
 import org.teaseldeal.net.HttpExchange;
 import org.teaseldeal.net.HttpHandler;
 
-/** Takes requests in: finds their route and customer, and starts the flow of each. */
+/**
+ * Receives callers' requests, determines the route and customer of each, admits or refuses it, and
+ * starts a {@link RequestFlow} for each admitted one.
+ */
 public final class RequestDesk implements HttpHandler {
   /**
-   * When to come back to an instance that is starting: about the time that it takes to be ready.
+   * The suggested delay before a retry while the instance is starting: about the time that it takes
+   * to become ready.
    */
   private static final Duration COME_BACK_STARTING = Duration.ofMillis(500);
 
   /**
-   * How long a request is kept for the first configuration, which is read some tens of milliseconds
-   * after callers can connect. Longer than that, the store is away, and another instance may serve.
+   * How long a request is held until the first configuration is read, which happens some tens of
+   * milliseconds after callers can connect. If it takes longer than this, the configuration store
+   * is unavailable, and another instance may be able to serve the request.
    */
   private static final Duration LONGEST_WAIT_FOR_PLAN = Duration.ofMillis(800);
 
   /**
-   * A server that sends nothing for this many times the aim of its route counts as silent. Answers
-   * under load take up to twice the aim; at three most of those still to come never will.
+   * A server counts as silent if it sends nothing for this many times its route's latency target.
+   * Answers under load take up to twice the target; of the answers that are still missing after
+   * three times the target, most never come.
    */
   private static final int SILENT_AIMS = 3;
 
-  /** Callers leave a stream after two seconds of silence; half of that is left to go on. */
+  /**
+   * The shortest silence after which a streaming server counts as silent. Callers abandon a stream
+   * after two seconds of silence; the other half of that time remains for the failover.
+   */
   private static final Duration SHORTEST_STREAM_SILENCE = Duration.ofMillis(1000);
 
-  /** A request that may be passed on. */
+  /** A request that was admitted and may be sent to a backend server. */
   record Admitted(
       RoutedRequest request,
       Route route,
@@ -58,7 +67,7 @@
       long planVersion,
       Instant arrived) {}
 
-  /** A request that came before the first configuration was known. */
+  /** A request that arrived before the first configuration was known. */
   private record EarlyRequest(HttpExchange exchange, Instant arrived) {}
 
   private final GatewayParts parts;
@@ -71,7 +80,6 @@
   private @Nullable DrainAdmission draining;
   private boolean refusing;
 
-  /** Creates a desk. */
   public RequestDesk(GatewayParts parts) {
     this.parts = parts;
     this.choice =
@@ -79,24 +87,28 @@
             parts.servers(), parts.othersLoad(), parts.cachedPrompts(), parts.random());
   }
 
-  /** How many requests have no final answer yet. */
+  /** The number of requests that have no final answer yet. */
   public int open() {
     return flows.size() + early.size();
   }
 
-  /** How many backend servers get no requests, as they failed or are far slower than others. */
+  /**
+   * The number of backend servers that get no requests because they failed or are far slower than
+   * the others.
+   */
   public int serversLeftOut() {
     return choice.leftOut(parts.clock().instant());
   }
 
-  /** Takes from now on only what {@code admission} admits. */
+  /** From now on admits only the requests that {@code admission} allows. */
   public void drain(DrainAdmission admission) {
     draining = admission;
   }
 
   /**
-   * Refuses from now on everything that has not run, what waits included: it would be cut off
-   * without an answer, or sent to a server that has no time left to run it.
+   * From now on refuses every request that has not run, including those that wait. If they were
+   * kept, they would be cut off without an answer, or sent to a server that has no time left to run
+   * them.
    */
   public void refuseAll() {
     refusing = true;
@@ -104,7 +116,10 @@
     new ArrayList<>(flows).forEach(flow -> guarded.run(flow.request().id(), flow::refuseIfNotRun));
   }
 
-  /** Ends all requests: says of each what is true, and breaks off the answers that have begun. */
+  /**
+   * Ends all requests: each caller whose answer has not begun gets an error that says whether its
+   * request may have run, and answers that have begun are aborted.
+   */
   public void breakOffAll() {
     new ArrayList<>(flows).forEach(flow -> guarded.run(flow.request().id(), flow::breakOff));
   }
@@ -130,11 +145,11 @@
   }
 
   /**
-   * Goes on with requests that came before the first configuration.
+   * Handles the requests that arrived before the first configuration and are now due.
    *
-   * <p>Failure: all instances start again at once, and callers connect before any has read its
-   * configuration. Symptom, if they were refused: most use up their one retry on that and fail,
-   * though they could be served a moment later.
+   * <p>If all instances restart at once, callers connect before any instance has read its
+   * configuration. If these requests were refused, most callers would spend their only retry on the
+   * refusal and fail, although the request could be served a moment later.
    */
   private void handleEarly() {
     Instant now = parts.clock().instant();
@@ -150,7 +165,7 @@
     return !now.isBefore(request.arrived().plus(LONGEST_WAIT_FOR_PLAN));
   }
 
-  /** Ends what takes too long and starts what waited. */
+  /** Ends requests whose deadline has passed and retries those that wait. */
   public void tick() {
     handleEarly();
     choice.tick(parts.clock().instant());
@@ -206,16 +221,16 @@
     if (drain == null) {
       return true;
     }
-    Duration usual = answersOf(route).ofNearlyAll();
-    return !refusing && drain.admits(parts.clock().instant(), deadline, usual);
+    Duration usualDuration = answersOf(route).ofNearlyAll();
+    return !refusing && drain.admits(parts.clock().instant(), deadline, usualDuration);
   }
 
   private RecentDurations answersOf(Route route) {
     return answersOfRoutes.computeIfAbsent(route.name(), name -> new RecentDurations());
   }
 
-  private Result<Admitted> refusal(ErrorKind kind, String detail, Duration comeBack) {
-    return Result.err(Problem.retryable(kind, detail, spread(comeBack)));
+  private Result<Admitted> refusal(ErrorKind kind, String detail, Duration retryAfter) {
+    return Result.err(Problem.retryable(kind, detail, spread(retryAfter)));
   }
 
   private void refuse(
@@ -250,22 +265,25 @@
     };
   }
 
-  /** How long a request may take at most: as its caller waits, and its route allows. */
+  /**
+   * The longest time that a request may take: the lesser of its caller's timeout and its route's
+   * timeout.
+   */
   static Duration longest(RoutedRequest request, Route route) {
-    Duration patience = request.patience().orElse(route.timeout());
-    return patience.compareTo(route.timeout()) < 0 ? patience : route.timeout();
+    Duration callerTimeout = request.patience().orElse(route.timeout());
+    return callerTimeout.compareTo(route.timeout()) < 0 ? callerTimeout : route.timeout();
   }
 
-  /** Whether nothing is sent to a server for the first time any more. */
+  /** Whether requests that have not been sent to any server are refused. */
   boolean refusing() {
     return refusing;
   }
 
-  /** What a caller is told whose request has not run as the instance stops. */
+  /** The error for a request that has not run when the instance stops. */
   Problem stopping() {
     DrainAdmission drain = draining;
-    Duration comeBack = drain == null ? COME_BACK_STARTING : drain.comeBack();
-    return Problem.retryable(ErrorKind.DRAINING, "the instance stops", spread(comeBack));
+    Duration retryAfter = drain == null ? COME_BACK_STARTING : drain.comeBack();
+    return Problem.retryable(ErrorKind.DRAINING, "the instance stops", spread(retryAfter));
   }
 
   void onAnswered(Route route, Duration took) {
@@ -280,14 +298,16 @@
     return window(service).tryRepeat(parts.clock().instant(), parts.instances().getAsInt());
   }
 
+  /** How long a server of {@code route} may send nothing before it counts as silent. */
   Duration longestSilence(Route route) {
     Duration silence = route.aim().multipliedBy(SILENT_AIMS);
     boolean tooShort = silence.compareTo(SHORTEST_STREAM_SILENCE) < 0;
     return route.kind().streamed() && tooShort ? SHORTEST_STREAM_SILENCE : silence;
   }
 
-  Duration spread(Duration comeBack) {
-    return ComeBackTime.spread(comeBack, parts.random());
+  /** Adds jitter to a suggested retry delay, so that the callers don't all return at once. */
+  Duration spread(Duration retryAfter) {
+    return ComeBackTime.spread(retryAfter, parts.random());
   }
 
   void onEnded(RequestFlow flow) {
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/RequestFlow.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/RequestFlow.java
@@ -22,13 +22,14 @@
 import org.teaseldeal.net.HttpExchange;
 
 /**
- * One request from its admission to its final answer.
+ * Handles one request from its admission to its final answer.
  *
- * <p>It waits for tokens, then for a backend server, then for the server's answer. It is sent again
- * only where that is safe: after proof that it has not run, or if its route may repeat it.
+ * <p>The request waits for tokens, then for a backend server, then for that server's answer. It is
+ * sent to a server again only where this is safe: if the previous attempt is proven not to have
+ * run, or if the route declares its requests repeatable.
  */
 final class RequestFlow implements ReservationListener {
-  /** What it waits for. */
+  /** The resource or event that the request currently waits for. */
   private enum Stage {
     TOKENS,
     SERVER,
@@ -36,44 +37,62 @@
     ENDED
   }
 
-  /** Rates of an engine with a few requests, from the sheets of those in use. */
+  /**
+   * Time per token of an inference engine under light load, from the data sheets of the engines in
+   * use.
+   */
   private static final double MILLIS_PER_PROMPT_TOKEN = 1 / 60.0;
 
   private static final double MILLIS_PER_OUTPUT_TOKEN = 5;
 
   private static final int FIRST_SERVER_ERROR = 500;
 
-  /** The outcome of a request that got a backend server's answer. */
+  /** The outcome of a request for which a backend server's answer was passed on. */
   private static final String ANSWERED = "answered";
 
-  /** A server that can't be reached is left out for about the time that a crashed one is away. */
+  /**
+   * How long a server is not chosen after a connection to it could not be opened: about the time
+   * that a crashed server takes to restart.
+   */
   private static final Duration UNREACHABLE_PAUSE = Duration.ofSeconds(1);
 
-  /** A full server is left out until a few of its requests have ended. */
+  /** How long a full server is not chosen: long enough for a few of its requests to end. */
   private static final Duration FULL_PAUSE = Duration.ofMillis(100);
 
   /**
-   * How long a server is left out at whose address another answered: an address has been given to a
-   * server of another service, which is known once the list says so.
+   * How long a server is not chosen after another server answered at its address. The address may
+   * have been reassigned to a server of another service, which the server list shows after a while.
    *
-   * <p>Failure: a server is back at its address and its line of the list has not changed. Symptom,
-   * if it were left out for good: callers are spread over fewer servers for the rest of the day.
+   * <p>The exclusion is limited because the original server may return to its address without a
+   * change in its listing. If it stayed excluded, the load would be spread over fewer servers until
+   * the list changes.
    */
   private static final Duration OTHER_SERVER_PAUSE = Duration.ofSeconds(4);
 
-  /** Connections that may fail to open; each costs a connect timeout at most. */
+  /**
+   * How many connections may fail to open for one request. Each failure costs a connect timeout at
+   * most.
+   */
   private static final int MAX_UNREACHABLE = 4;
 
-  /** How long a request waits for a server of its service to be listed. */
+  /** How long a request waits until a server of its service is listed. */
   private static final Duration LONGEST_WAIT_FOR_SERVER = Duration.ofMillis(400);
 
-  /** When to come back if no server can take the request: a restart of one takes some seconds. */
+  /**
+   * The suggested delay before a retry if no server can take the request. A server takes some
+   * seconds to restart.
+   */
   private static final Duration COME_BACK_NO_SERVER = Duration.ofMillis(500);
 
-  /** When to come back after a server was full: its queue moves on within a few answers. */
+  /**
+   * The suggested delay before a retry if a server was full: its queue drains within a few answers.
+   */
   private static final Duration COME_BACK_FULL = Duration.ofMillis(150);
 
-  /** A call's own timer counts whole milliseconds and starts a little after the request's. */
+  /**
+   * Tolerance when a call's timeout is compared with the request's deadline. The call's own timer
+   * has a resolution of whole milliseconds and starts slightly after the request's.
+   */
   private static final Duration TIMER_GRAIN = Duration.ofMillis(2);
 
   private final GatewayParts parts;
@@ -102,9 +121,12 @@
   private Instant waitingForServerSince = Instant.MAX;
 
   RequestFlow(
-      GatewayParts parts, RequestDesk desk, HttpExchange exchange, RequestDesk.Admitted admitted) {
+      GatewayParts parts,
+      RequestDesk dispatcher,
+      HttpExchange exchange,
+      RequestDesk.Admitted admitted) {
     this.parts = parts;
-    this.desk = desk;
+    this.desk = dispatcher;
     this.exchange = exchange;
     this.answer = new CallerAnswer(exchange, parts.clock());
     this.request = admitted.request();
@@ -144,8 +166,8 @@
 
   private void reserve(String name, long tokens) {
     TokenRequests requests = parts.tokens();
-    Instant leaves = arrived.plus(route.silenceBorne(Duration.between(arrived, deadline)));
-    requests.reserve(name, tokens, leaves, deadline, this);
+    Instant abandonAt = arrived.plus(route.silenceBorne(Duration.between(arrived, deadline)));
+    requests.reserve(name, tokens, abandonAt, deadline, this);
     if (stage == Stage.TOKENS && requests.waitHere(name)) {
       parts
           .events()
@@ -173,7 +195,10 @@
                 problem.kind(), problem.detail(), desk.spread(problem.retryAfter().get())));
   }
 
-  /** Ends what takes too long, and sends what waited for a server. */
+  /**
+   * Ends the request if its deadline has passed, retries the choice of a server if it waits for
+   * one, and fails over if its server has become silent.
+   */
   void tick() {
     if (stage == Stage.ENDED) {
       return;
@@ -187,15 +212,17 @@
     }
   }
 
-  /** Refuses it if no server can have run it: it waits for tokens or for a server. */
+  /**
+   * Refuses the request if it still waits for tokens or for a server and no server can have run it.
+   */
   void refuseIfNotRun() {
-    boolean waits = stage == Stage.TOKENS || stage == Stage.SERVER;
-    if (waits && !mayHaveRun) {
+    boolean waiting = stage == Stage.TOKENS || stage == Stage.SERVER;
+    if (waiting && !mayHaveRun) {
       refuse(desk.stopping());
     }
   }
 
-  /** Ends it now, as the process ends. */
+  /** Ends the request immediately because the process is about to exit. */
   void breakOff() {
     refuseIfNotRun();
     if (stage == Stage.ENDED) {
@@ -280,9 +307,10 @@
   }
 
   /**
-   * Goes on at another server where the present one has gone silent.
+   * Sends the request to another server if the present one has sent nothing for too long.
    *
-   * <p>A server that lost power closes no connection; its callers would wait out their deadline.
+   * <p>A server that loses power doesn't close its connections. Without this check its callers
+   * would wait until their deadlines.
    */
   private void leaveSilentServer() {
     Attempt silent = attempt;
@@ -342,26 +370,29 @@
     if (parts.quarantine().active()) {
       parts.quarantine().onAnswered(fingerprint());
     }
-    Attempt whole = attempt;
-    if (whole != null) {
-      use.after(whole);
-      desk.choice().onAnswered(whole.server(), whole.age(), expectedMillis());
+    Attempt last = attempt;
+    if (last != null) {
+      use.after(last);
+      desk.choice().onAnswered(last.server(), last.age(), expectedMillis());
     }
   }
 
-  /** What the answer would take at an idle server, roughly; 1 for a plain service. */
+  /**
+   * The approximate time in milliseconds that an idle server needs for the answer. 1 for a request
+   * without a prompt.
+   */
   private double expectedMillis() {
     return 1
         + request.prompt().map(PromptTerms::unsharedTokens).orElse(0L) * MILLIS_PER_PROMPT_TOKEN
         + use.outputTokens(answer.eventsSent()) * MILLIS_PER_OUTPUT_TOKEN;
   }
 
-  void onAttemptFailed(Attempt failed, AttemptEnd end, String detail) {
+  void onAttemptFailed(Attempt failed, AttemptEnd reason, String detail) {
     if (stage == Stage.ENDED) {
       return;
     }
     attempt = null;
-    if (end == AttemptEnd.SERVER_ERROR || end == AttemptEnd.MAY_HAVE_RUN) {
+    if (reason == AttemptEnd.SERVER_ERROR || reason == AttemptEnd.MAY_HAVE_RUN) {
       mayHaveRun = true;
       use.after(failed);
     }
@@ -370,13 +401,13 @@
         .events()
         .accept(
             new GatewayEvent.AttemptFailed(
-                request.id(), server.id().name(), sends, end.name(), detail, failed.age()));
+                request.id(), server.id().name(), sends, reason.name(), detail, failed.age()));
     tried.add(server.incarnation());
-    if (end.provesNotRun()) {
+    if (reason.provesNotRun()) {
       parts.cachedPrompts().onNotRun(server.incarnation(), sharedPartIds());
     }
     stage = Stage.SERVER;
-    switch (end) {
+    switch (reason) {
       case NOT_SENT -> {
         sends--;
         unreachable++;
@@ -398,9 +429,11 @@
   }
 
   /**
-   * Failure: a route's timeout is shorter than its requests take. Symptom: if each that ran out of
-   * time counted against its server, sound servers would be left out for all routes. So only one
-   * that was silent for longer than the route's aim explains does.
+   * Handles an attempt that may have run.
+   *
+   * <p>An attempt that ran out of time counts against its server only if the server was silent for
+   * longer than the route allows. If every attempt that ran out of time counted, a route whose
+   * timeout is shorter than its requests take would get healthy servers ejected for all routes.
    */
   private void onMayHaveRun(Attempt failed, String detail) {
     boolean outOfTime = !now().isBefore(deadline.minus(TIMER_GRAIN));
@@ -428,13 +461,16 @@
     }
   }
 
-  /** Answers with the most that is true: not run only if no server may have run it. */
+  /**
+   * Answers with the strongest statement that is certain: the answer says that the request was not
+   * run only if no server may have run it.
+   */
   private void giveUp(ErrorKind kind, String detail) {
     if (mayHaveRun) {
       fail(Problem.of(ErrorKind.BACKEND_FAILED, detail));
     } else if (kind.retryable()) {
-      Duration comeBack = kind == ErrorKind.OVERLOADED ? COME_BACK_FULL : COME_BACK_NO_SERVER;
-      refuse(Problem.retryable(kind, detail, desk.spread(comeBack)));
+      Duration retryAfter = kind == ErrorKind.OVERLOADED ? COME_BACK_FULL : COME_BACK_NO_SERVER;
+      refuse(Problem.retryable(kind, detail, desk.spread(retryAfter)));
     } else {
       refuse(Problem.of(kind, detail));
     }
@@ -465,7 +501,7 @@
     end(problem.kind().label(), refusal.status(), problem.detail());
   }
 
-  /** The caller must see that the answer is not whole. */
+  /** Aborts the connection so that the caller can tell that the answer is incomplete. */
   private void breakStream(String detail) {
     answer.breakOff();
     end(ErrorKind.STREAM_BROKEN.label(), 0, detail);
@@ -520,15 +556,15 @@
   }
 
   private void tellIfLate() {
-    Duration began = Duration.between(arrived, answer.firstSent().orElse(now()));
+    Duration toFirst = Duration.between(arrived, answer.firstSent().orElse(now()));
     boolean paused =
         route.kind().streamed() && answer.longestPause().compareTo(route.pauseAim()) > 0;
-    if (paused || began.compareTo(route.aim()) > 0) {
+    if (paused || toFirst.compareTo(route.aim()) > 0) {
       parts
           .events()
           .accept(
               new GatewayEvent.AnsweredLate(
-                  request.id(), waited, placed, began, answer.longestPause(), route.pauseAim()));
+                  request.id(), waited, placed, toFirst, answer.longestPause(), route.pauseAim()));
     }
   }
 
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/RoutedRequest.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/RoutedRequest.java
@@ -9,14 +9,14 @@
 import java.util.Optional;
 
 /**
- * One attempt of a caller.
+ * One request as a caller sent it.
  *
- * @param id the caller's name for the attempt, passed on unchanged
- * @param target path and query as sent
- * @param headers to pass on, in order
- * @param patience how long the caller waits, if it said so
- * @param key what the caller shows to say whose request it is
- * @param prompt what the caller says of its prompt, if it has one
+ * @param id the caller's identifier of this attempt, which is passed on unchanged
+ * @param target the path and query as sent
+ * @param headers the headers to pass on, in order
+ * @param patience how long the caller waits for an answer, if it said so
+ * @param key the API key that identifies the customer, if there is one
+ * @param prompt the caller's description of its prompt, if the request has one
  */
 public record RoutedRequest(
     String id,
@@ -32,7 +32,7 @@
     headers = List.copyOf(headers);
   }
 
-  /** The same for each try of the same caller with the same method, path and body. */
+  /** A hash that is equal for all attempts with the same host, key, method, target and body. */
   public String fingerprint() {
     HashStream64 hash = Hashing.komihash5_0().hashStream();
     hash.putString(method).putString(host).putString(target).putString(key.orElse(""));
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/ServerChoice.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/ServerChoice.java
@@ -20,24 +20,30 @@
 import org.teaseldeal.gateway.server.ServerDirectory;
 import org.teaseldeal.gateway.server.ServerIncarnation;
 
-/** Chooses the backend server of each attempt from what the list and own attempts say. */
+/**
+ * Chooses the backend server for each attempt, based on the server list, the load of all instances,
+ * the presumed cache contents and the results of this instance's own attempts.
+ */
 final class ServerChoice {
-  /** The first and the longest time that an unfit server is left out, and its way back. */
+  /** The first ejection of an unhealthy server, the longest one, and the ramp-up after each. */
   private static final Duration FIRST_EJECTION = Duration.ofSeconds(1);
 
   private static final Duration LONGEST_EJECTION = Duration.ofSeconds(8);
   private static final Duration RAMP = Duration.ofSeconds(1);
 
-  /** Between looks at all servers while none fails: short against the first ejection. */
+  /**
+   * The interval between two updates of the servers' health while no server fails; short compared
+   * with the first ejection.
+   */
   private static final Duration UPDATE_INTERVAL = Duration.ofMillis(100);
 
   /**
-   * What was chosen.
+   * The chosen server and the data that led to the choice.
    *
-   * @param candidates among which
-   * @param others what other instances were thought to have at the server
-   * @param uncachedTokens of the prompt that the server has to read
-   * @param heardAgo how old the news of the other instances was
+   * @param candidates the number of servers that the choice was made from
+   * @param others the load that the other instances were presumed to have at the server
+   * @param uncachedTokens the number of prompt tokens that the server has to read
+   * @param heardAgo the age of the other instances' load figures
    */
   record Chosen(
       BackendServer server,
@@ -66,7 +72,7 @@
     this.random = random;
   }
 
-  /** Follows the list and leaves out servers that have become unfit. */
+  /** Takes changes of the server list into account and ejects servers that became unhealthy. */
   void tick(Instant now) {
     followList(now);
     if (!now.isBefore(nextUpdate)) {
@@ -75,7 +81,7 @@
     }
   }
 
-  /** How many servers are left out as unfit. */
+  /** The number of servers that are ejected as unhealthy. */
   int leftOut(Instant now) {
     return healthByService.values().stream().mapToInt(health -> health.ejected(now).size()).sum();
   }
@@ -84,23 +90,24 @@
     if (seenChanges == servers.changes()) {
       return;
     }
-    Map<String, Set<BackendServerId>> listed = new HashMap<>();
+    Map<String, Set<BackendServerId>> listedByService = new HashMap<>();
     for (BackendServer server : servers.all()) {
-      listed.computeIfAbsent(server.service(), name -> new HashSet<>()).add(server.id());
+      listedByService.computeIfAbsent(server.service(), name -> new HashSet<>()).add(server.id());
       forgetEarlierIncarnation(server);
     }
-    listed.keySet().forEach(this::health);
+    listedByService.keySet().forEach(this::health);
     healthByService.forEach(
         (service, health) ->
-            health.onListed(listed.getOrDefault(service, Set.of()), now, seenChanges < 0));
+            health.onListed(listedByService.getOrDefault(service, Set.of()), now, seenChanges < 0));
     followed.keySet().removeIf(id -> servers.find(id).isEmpty());
     seenChanges = servers.changes();
   }
 
   /**
-   * Failure: a server that failed until it was left out starts again under its id. Symptom: the new
-   * process stands idle for the rest of the ejection, or is given little as its predecessor was
-   * slow.
+   * Discards the health record of a server's earlier incarnation.
+   *
+   * <p>Otherwise the new process of a server that restarts under its id would get no requests until
+   * the ejection of its predecessor ends, or few because its predecessor was slow.
    */
   private void forgetEarlierIncarnation(BackendServer server) {
     if (!server.incarnation().equals(followed.put(server.id(), server.incarnation()))) {
@@ -108,7 +115,7 @@
     }
   }
 
-  /** Servers are compared with those of their own service only. */
+  /** The health of the servers of a service, which are compared only with each other. */
   private ServerHealth health(String service) {
     return healthByService.computeIfAbsent(
         service, name -> new ServerHealth(FIRST_EJECTION, LONGEST_EJECTION, RAMP));
@@ -117,9 +124,10 @@
   /**
    * Chooses a server of {@code service}.
    *
-   * @param prompt none for a plain service
-   * @param aim until when the answer is to begin
-   * @param tried servers that failed this request before; one that started again since is none
+   * @param prompt the prompt; empty for a service without prompts
+   * @param aim the time within which the answer should begin
+   * @param tried the incarnations that failed this request before; a server that has restarted
+   *     since may be chosen again
    */
   Optional<Chosen> choose(
       String service,
@@ -132,16 +140,16 @@
     List<BackendServer> ready = servers.ready(service);
     List<BackendServer> untried =
         ready.stream().filter(server -> !tried.contains(server.incarnation())).toList();
-    List<BackendServer> fit =
+    List<BackendServer> healthy =
         untried.stream()
             .filter(server -> !server.avoided(now) && health.isIn(server.id(), now))
             .toList();
-    List<BackendServer> candidates = fit.isEmpty() ? untried : fit;
+    List<BackendServer> candidates = healthy.isEmpty() ? untried : healthy;
     FleetLoad fleet = load.get();
     List<PromptPlacement.Candidate> views =
         candidates.stream().map(server -> view(server, fleet.at(server.id()), prompt)).toList();
-    String beginning = prompt.map(PromptTerms::sharedBeginning).orElse("");
-    return PromptPlacement.choose(views, new PromptPlacement.Prompt(beginning, aim), random)
+    String prefix = prompt.map(PromptTerms::sharedBeginning).orElse("");
+    return PromptPlacement.choose(views, new PromptPlacement.Prompt(prefix, aim), random)
         .flatMap(servers::find)
         .map(
             server ->
@@ -165,7 +173,10 @@
         health(server.service()).slowness(server.id()));
   }
 
-  /** Tokens of a prompt that a server has to read: all behind the first part that it lacks. */
+  /**
+   * The number of prompt tokens that a server has to read: all tokens after the longest prefix that
+   * is in its cache.
+   */
   private long uncached(BackendServer server, Optional<PromptTerms> prompt) {
     if (prompt.isEmpty()) {
       return 0;
@@ -181,9 +192,9 @@
   }
 
   /**
-   * Counts a whole answer.
+   * Records a complete answer.
    *
-   * @param work the time that it should take, in any unit; the kinds of request differ by far
+   * @param work the time that the answer should take, in any unit; kinds of request differ widely
    */
   void onAnswered(BackendServer server, Duration took, double work) {
     if (servers.lists(server.incarnation())) {
@@ -191,7 +202,10 @@
     }
   }
 
-  /** Counts a failure that is the server's; of an earlier process it says nothing of the next. */
+  /**
+   * Records a failure of the server. It is ignored if the server has restarted since, as a failure
+   * of the earlier process says nothing about the new one.
+   */
   void onFailed(BackendServer server) {
     if (servers.lists(server.incarnation())) {
       health(server.service()).onFailed(server.id());
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/TokenUse.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/TokenUse.java
@@ -3,10 +3,10 @@
 import java.util.Optional;
 
 /**
- * The tokens that a request has used at most, over all its attempts.
+ * An upper bound of the tokens that a request has used in all its attempts.
  *
- * <p>The prompt counts once, as soon as a backend server may have read it; output counts as far as
- * it was sent to the caller.
+ * <p>The prompt counts once, from the time at which a backend server may have read it. Output
+ * counts as far as it was sent to the caller.
  */
 final class TokenUse {
   private final Optional<PromptTerms> prompt;
@@ -18,12 +18,12 @@
     this.tokensPerEvent = tokensPerEvent;
   }
 
-  /** Takes note of an attempt that was answered, broken off or given up. */
+  /** Takes into account an attempt that was answered, aborted or given up. */
   void after(Attempt attempt) {
     promptRead |= attempt.mayHaveReadPrompt();
   }
 
-  /** Tokens used if the caller was sent {@code events}. */
+  /** The largest number of tokens used if {@code events} events were sent to the caller. */
   long tokens(long events) {
     return promptRead || events > 0
         ? prompt.map(terms -> terms.inputTokens() + output(terms, events)).orElse(0L)
@@ -34,7 +34,7 @@
     return Math.min(terms.maxOutputTokens(), outputTokens(events));
   }
 
-  /** Tokens in {@code events} at most. */
+  /** The largest number of output tokens in {@code events} events. */
   long outputTokens(long events) {
     return events * tokensPerEvent;
   }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/package-info.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/package-info.java
@@ -1,4 +1,4 @@
-/** One request from its arrival to its final answer. */
+/** Handles each request from its arrival to its final answer. */
 @NullMarked
 package org.teaseldeal.gateway.flow;
 
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/EarlyRequestTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/EarlyRequestTests.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.teaseldeal.gateway.fake.FakeExchange;
 
-/** Requests that reach an instance before it has read its first configuration. */
+/** Tests requests that reach an instance before it has read its first configuration. */
 class EarlyRequestTests {
   private final GatewayFixture gateway = new GatewayFixture();
 
@@ -19,11 +19,11 @@
   }
 
   /**
-   * The caller is served. It connects as the process has just started, before the configuration is
-   * read; that comes a moment later, and the request goes to a server then.
+   * A caller may connect right after the process has started, before the configuration is read. Its
+   * request is held and sent to a server once the configuration is known.
    */
   @Test
-  void areServedOnceTheConfigurationIsKnown() {
+  void servesARequestOnceTheConfigurationIsKnown() {
     FakeExchange early = gateway.call(GatewayFixture.ONCE);
     gateway.desk.tick();
     assertEquals(0, early.status());
@@ -35,18 +35,21 @@
     assertEquals(0, gateway.desk.open());
   }
 
-  /** The caller is told to come back: the store is away, and no configuration can be read. */
+  /**
+   * The configuration store is unavailable, so no configuration can be read. The caller is refused
+   * with a suggestion to retry.
+   */
   @Test
-  void areRefusedWhereTheConfigurationDoesNotCome() {
+  void refusesARequestIfTheConfigurationIsNotReadInTime() {
     FakeExchange early = gateway.call(GatewayFixture.ONCE);
     gateway.clock.advance(Duration.ofSeconds(1));
     gateway.desk.tick();
     assertEquals(503, early.status());
   }
 
-  /** The caller is told at once as the process is stopped while it starts. */
+  /** The process is stopped while it starts. The caller is refused at once. */
   @Test
-  void areRefusedWhenTheInstanceStops() {
+  void refusesARequestWhenTheInstanceStops() {
     FakeExchange early = gateway.call(GatewayFixture.ONCE);
     gateway.desk.refuseAll();
     assertEquals(503, early.status());
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/EventSplitterTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/EventSplitterTests.java
@@ -11,7 +11,7 @@
   private final EventSplitter splitter = new EventSplitter();
 
   @Test
-  void cutsEventsWhereverThePartsEnd() {
+  void splitsEventsIndependentlyOfChunkBoundaries() {
     String text = "id: 0\ndata: a\n\nid: 1\r\ndata: b\r\n\r\nid: 2\nda";
     for (int size = 1; size < text.length(); size++) {
       EventSplitter each = new EventSplitter();
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void givesAnEventWithoutAnIdAnEmptyOne() {
+  void doesNotCarryAnIdOverToAnEventWithoutOne() {
     assertEquals("", splitter.add(bytes("id: 7\n\ndata: x\n\n")).getLast().id());
   }
 
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/GatewayFixture.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/GatewayFixture.java
@@ -36,16 +36,16 @@
 import org.teaseldeal.net.HttpFailure;
 import org.teaseldeal.net.HttpListener;
 
-/** A gateway whose backend servers are played by the test, in virtual time. */
+/** A gateway in virtual time, for which the test plays the backend servers. */
 final class GatewayFixture {
   static final String SERVICE = "register";
 
-  /** Path prefixes of the two routes. */
+  /** The path prefixes of the two routes: requests run at most once, and repeatable requests. */
   static final String ONCE = "/bid/";
 
   static final String REPEATABLE = "/hold/";
 
-  /** A request as it was sent to a server's address. */
+  /** A request that the gateway sent to a server's address. */
   record Sent(HttpCallRequest request, HttpListener listener) {
     String address() {
       return request.address();
@@ -133,7 +133,7 @@
     return servers.find(new BackendServerId(id)).orElseThrow();
   }
 
-  /** A caller's request; its answer is found in the exchange. */
+  /** Sends a caller's request and returns its exchange, which receives the answer. */
   FakeExchange call(String path) {
     FakeExchange exchange = new FakeExchange(path);
     desk.handle(exchange);
@@ -156,16 +156,16 @@
         List.of(new WeightedService(SERVICE, 1)));
   }
 
-  /** For an instance alone, which holds all itself. */
+  /** A port without peers, for a single instance that holds every customer itself. */
   private static final class NoHolders implements HolderPort {
     @Override
     public void ask(String holder, Ask ask, Consumer<Answer> answer) {
-      throw new AssertionError("asked " + holder);
+      throw new AssertionError("unexpected request to holder " + holder);
     }
 
     @Override
     public void giveBack(String holder, String customer, long tokens) {
-      throw new AssertionError("gave back to " + holder);
+      throw new AssertionError("unexpected return of tokens to " + holder);
     }
   }
 }
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/GuardedStepsTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/GuardedStepsTests.java
@@ -11,22 +11,22 @@
   private final List<String> ran = new ArrayList<>();
 
   /**
-   * Callers' requests outlast their deadlines. A step before the one that ends them throws each
-   * time, be it an exception or an error, and the one that ends them is never reached.
+   * A task that runs before the one that enforces deadlines throws an exception or an error in each
+   * round. If that prevented the later task from running, requests would outlast their deadlines.
    */
   @Test
-  void runEachStepWhateverBecomesOfTheOneBefore() {
+  void runsEachTaskEvenIfAnEarlierOneThrows() {
     for (int round = 0; round < 2; round++) {
-      steps.run("broken", () -> fail(new IllegalStateException("told to")));
-      steps.run("worse", () -> fail(new AssertionError("told to")));
+      steps.run("broken", () -> fail(new IllegalStateException("expected by the test")));
+      steps.run("worse", () -> fail(new AssertionError("expected by the test")));
       steps.run("deadlines", () -> ran.add("deadlines"));
     }
     assertEquals(List.of("deadlines", "deadlines"), ran);
   }
 
   @Test
-  void runAStepAgainThatFailed() {
-    steps.run("step", () -> fail(new IllegalStateException("told to")));
+  void runsAFailedTaskAgain() {
+    steps.run("step", () -> fail(new IllegalStateException("expected by the test")));
     steps.run("step", () -> ran.add("step"));
     assertEquals(List.of("step"), ran);
   }
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/RestartedServerTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/RestartedServerTests.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.teaseldeal.gateway.fake.FakeExchange;
 
-/** Backend servers that start again under the id that they had. */
+/** Tests backend servers that restart under the same id. */
 class RestartedServerTests {
   private static final String OLD_ADDRESS = "10.0.0.1:80";
   private static final String NEW_ADDRESS = "10.0.0.2:80";
@@ -17,12 +17,13 @@
   private final GatewayFixture gateway = new GatewayFixture();
 
   /**
-   * The first caller is told that its request may have run, the second gets its answer. The server
-   * crashes with the first caller's request and is listed anew before its connection breaks; what
-   * is settled of the old process leaves the counts of the new one alone.
+   * A server crashes with the first caller's request and is listed again before the connection to
+   * the crashed process breaks. The first caller gets an error that says that its request may have
+   * run, the second one its answer. The lost request doesn't change the counters of the new
+   * process.
    */
   @Test
-  void settlesALostAnswerWithTheProcessThatHadIt() {
+  void countsALostAnswerForTheIncarnationThatHadTheRequest() {
     gateway.list("i-1", OLD_ADDRESS, FIRST);
     FakeExchange lost = gateway.call(GatewayFixture.ONCE);
     gateway.list("i-1", NEW_ADDRESS, FIRST.plusMillis(1));
@@ -38,8 +39,8 @@
   }
 
   /**
-   * The caller gets its answer. The only server of its service loses the request, which may run
-   * again, and has started anew by then: the new process has not failed it.
+   * The only server of a service loses a repeatable request and has restarted by then. The request
+   * is sent to the new process, which has not failed it.
    */
   @Test
   void sendsARepeatableRequestAgainToTheNextIncarnation() {
@@ -53,12 +54,12 @@
   }
 
   /**
-   * The caller is refused at the fourth try. Its request crashes a server three times; each time
-   * the server is listed under its id again before its line was missed, with a later start, which
-   * proves that the process before it ended.
+   * A request crashes the only server three times and is refused at the fourth attempt. Each time
+   * the server is listed under its id again, with a later start, before its listing could expire.
+   * The later start proves that the previous process ended.
    */
   @Test
-  void holdsARequestThatCrashedAServerThatReturnsUnderItsId() {
+  void quarantinesARequestThatCrashedAServerWhichRestartsUnderItsId() {
     for (int crash = 0; crash < 3; crash++) {
       gateway.list("i-1", NEW_ADDRESS, FIRST.plusMillis(crash));
       FakeExchange exchange = gateway.call(GatewayFixture.ONCE);
@@ -70,11 +71,12 @@
   }
 
   /**
-   * Callers are spread over all servers again once one is back. It had crashed behind a cut,
-   * another process answered at its address for a moment, and its line of the list never changed.
+   * Another process briefly answered at the address of a server that was isolated by a network
+   * partition, and the server's listing never changed. The server must get requests again after
+   * some time, or the load would stay on fewer servers.
    */
   @Test
-  void asksAServerAgainSomeTimeAfterAnotherAnsweredAtItsAddress() {
+  void usesAServerAgainSomeTimeAfterAnotherAnsweredAtItsAddress() {
     gateway.list("i-1", OLD_ADDRESS, FIRST);
     gateway.list("i-2", NEW_ADDRESS, FIRST);
     FakeExchange moved = gateway.call(GatewayFixture.REPEATABLE);
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/ServerChoiceTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/ServerChoiceTests.java
@@ -19,7 +19,7 @@
 class ServerChoiceTests {
   private static final Instant NOW = Instant.ofEpochMilli(1_700_000_000_000L);
 
-  /** More in a row than chance explains, so that a server is left out. */
+  /** More consecutive failures than chance explains, so that the server is ejected. */
   private static final int MANY_FAILURES = 6;
 
   private final ServerDirectory servers = new ServerDirectory();
@@ -34,9 +34,9 @@
     choice.tick(NOW);
   }
 
-  /** A server that failed until it was left out starts again under its id: it serves at once. */
+  /** An ejected server that restarts under its id can be chosen again at once. */
   @Test
-  void startsARestartedServerWithACleanRecord() {
+  void resetsTheHealthOfARestartedServer() {
     fail(find("a"));
     choice.tick(NOW);
     assertEquals(2, candidates());
@@ -45,11 +45,11 @@
   }
 
   /**
-   * A server that started again is sent its share. The answers lost of the process before it become
-   * known only now, one by one, and say nothing of the new one.
+   * The answers that an earlier incarnation lost become known one by one after the server has
+   * restarted. They don't count against the new incarnation, which keeps its share of the requests.
    */
   @Test
-  void countsNoFailureOfAnEarlierIncarnation() {
+  void ignoresFailuresOfAnEarlierIncarnation() {
     BackendServer crashed = find("a");
     servers.put(listing("a", NOW.plusMillis(1)));
     choice.tick(NOW);
@@ -58,9 +58,12 @@
     assertEquals(3, candidates());
   }
 
-  /** The only server of a service fails, is gone from the list and returns: it is new. */
+  /**
+   * The only server of a service fails, disappears from the list and returns. It is treated as a
+   * new server.
+   */
   @Test
-  void forgetsTheLastServerOfAService() {
+  void forgetsTheHealthOfTheLastServerOfAService() {
     for (String id : new String[] {"b", "c"}) {
       servers.remove(new BackendServerId(id));
     }
