--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/CachedPromptsCalls.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/CachedPromptsCalls.java
@@ -15,21 +15,22 @@
 import org.teaseldeal.net.HttpHandler;
 
 /**
- * Asks another instance at the start what lies in the servers' caches, and answers others that
- * start.
+ * Fetches the presumed contents of the servers' caches from another instance at the start, and
+ * answers other instances that start.
  *
- * <p>Failure: instances are replaced in turn, and each begins with no idea of the caches. Symptom:
- * prompts go to servers that have to read their beginnings again while others hold them. Messages
- * tell only what is sent from now on, so all that was sent before is asked for once.
+ * <p>Load messages contain only the prompt parts that are sent from now on. When instances are
+ * replaced one after the other, each new one would know nothing of the caches: prompts would go to
+ * servers that have to read their prefixes again, while other servers have them in their caches. So
+ * a new instance asks once for everything that was sent before.
  */
 public final class CachedPromptsCalls implements HttpHandler {
-  /** Where an instance answers. */
+  /** The path of the HTTP call that returns the presumed contents of the servers' caches. */
   public static final String PATH = "/cached-prompts";
 
   private static final Logger LOG = LoggerFactory.getLogger(CachedPromptsCalls.class);
   private static final Duration TIMEOUT = Duration.ofMillis(500);
 
-  /** By then an instance has seen for itself most of what is asked for. */
+  /** After this time an instance has observed most of the cache contents itself. */
   private static final Duration LONGEST_TRY = Duration.ofSeconds(3);
 
   private static final int OK = 200;
@@ -43,7 +44,11 @@
   private boolean asking;
   private boolean done;
 
-  /** Creates the calls of an instance; {@code turn} decides which other one it asks first. */
+  /**
+   * Creates the calls of an instance.
+   *
+   * @param turn determines which of the other instances is asked first
+   */
   public CachedPromptsCalls(
       LoadExchange loads,
       Supplier<List<String>> others,
@@ -59,9 +64,9 @@
   }
 
   /**
-   * Asks the next instance until one has answered.
+   * Asks one instance after the other until one has answered.
    *
-   * @param ready whether the servers are known, without which the answer says nothing
+   * @param ready whether the backend servers are known; without them an answer can't be used
    */
   public void tick(boolean ready) {
     List<String> addresses = others.get();
@@ -88,7 +93,9 @@
       loads.learnCachedPrompts(answer.body());
       done = true;
     } catch (IllegalArgumentException e) {
-      LOG.warn("what another instance knows of the caches can't be read: {}", e.getMessage());
+      LOG.warn(
+          "could not decode the cache contents that another instance sent; asking the next: {}",
+          e.getMessage());
     }
   }
 
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/ChangedLoads.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/ChangedLoads.java
@@ -8,13 +8,13 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Remembers when the load of each server last changed, so that only changes need to be told. */
+/** Tracks when the load of each server last changed, so that only changes need to be sent. */
 final class ChangedLoads {
   private record Known(OthersLoad load, Instant changed) {}
 
   private final Map<Integer, Known> byServer = new HashMap<>();
 
-  /** Takes note of what is outstanding now; a server that isn't among {@code loads} has none. */
+  /** Records the present loads; a server that {@code loads} doesn't contain has no load. */
   void update(Map<Integer, OthersLoad> loads, Instant now) {
     loads.forEach(
         (server, load) -> {
@@ -30,7 +30,10 @@
                 : new Known(OthersLoad.NONE, now));
   }
 
-  /** The servers whose load has changed since {@code earliest}; forgets those long without any. */
+  /**
+   * The servers whose load has changed since {@code earliest}. Servers that have had no load since
+   * before that time are forgotten.
+   */
   Set<Integer> since(Instant earliest) {
     Set<Integer> changed = new HashSet<>();
     byServer
@@ -47,7 +50,7 @@
     return changed;
   }
 
-  /** The loads of {@code servers}, zero among them. */
+  /** The loads of {@code servers}, including loads of zero. */
   List<LoadNews.ServerLoad> loadsOf(Set<Integer> servers) {
     List<LoadNews.ServerLoad> loads = new ArrayList<>();
     for (int server : servers) {
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/DrawCalls.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/DrawCalls.java
@@ -23,14 +23,20 @@
 import org.teaseldeal.net.HttpExchange;
 import org.teaseldeal.net.HttpHandler;
 
-/** Draws of tokens between instances: asks others, and answers those that ask. */
+/**
+ * Draws tokens of a customer from other instances, and gives tokens to instances that draw from
+ * this one.
+ */
 public final class DrawCalls implements DrawPort, HttpHandler {
-  /** Where an instance answers draws. */
+  /** The path of the HTTP call with which one instance draws tokens from another. */
   public static final String PATH = "/draws";
 
   private static final Logger LOG = LoggerFactory.getLogger(DrawCalls.class);
 
-  /** Far above an answer's two milliseconds; a round of draws waits for one that never comes. */
+  /**
+   * Far longer than the two milliseconds that an answer takes. It is bounded because a round of
+   * draws waits for every answer, including one that never comes.
+   */
   private static final Duration TIMEOUT = Duration.ofMillis(150);
 
   private static final byte LAYOUT = 1;
@@ -41,7 +47,11 @@
   private final RelayedCalls.Caller caller;
   private final AccountBook accounts;
 
-  /** Creates the draws of an instance; {@code addresses} gives those of others by their names. */
+  /**
+   * Creates the draws of an instance.
+   *
+   * @param addresses maps another instance's name to its address, if that is known
+   */
   public DrawCalls(
       Function<String, Optional<String>> addresses,
       RelayedCalls.Caller caller,
@@ -65,15 +75,15 @@
   }
 
   private static OptionalLong read(
-      @Nullable HttpAnswer answer, @Nullable Throwable failure, long asked) {
+      @Nullable HttpAnswer answer, @Nullable Throwable failure, long requested) {
     if (failure != null || answer == null || answer.status() != OK) {
       return OptionalLong.empty();
     }
     try {
       long given = Long.parseLong(new String(answer.body(), StandardCharsets.US_ASCII));
-      return given >= 0 && given <= asked ? OptionalLong.of(given) : OptionalLong.empty();
+      return given >= 0 && given <= requested ? OptionalLong.of(given) : OptionalLong.empty();
     } catch (NumberFormatException e) {
-      LOG.warn("the answer to a draw is no number: {}", e.getMessage());
+      LOG.warn("the answer to a draw is not a number, so it counts as failed: {}", e.getMessage());
       return OptionalLong.empty();
     }
   }
@@ -84,7 +94,7 @@
     try {
       draw = Draw.decode(exchange.body());
     } catch (IllegalArgumentException e) {
-      LOG.warn("a draw can't be read: {}", e.getMessage());
+      LOG.warn("refused a draw that could not be decoded: {}", e.getMessage());
       exchange.respond(BAD_REQUEST, Map.of(), new byte[0]);
       return;
     }
@@ -93,11 +103,12 @@
     exchange.respond(OK, Map.of(), body);
   }
 
-  /** What is asked for. */
+  /** A request for tokens of a customer. */
   private record Draw(String customer, long tokens) {
     Draw {
       if (tokens <= 0) {
-        throw new IllegalArgumentException("tokens were %d, expected more".formatted(tokens));
+        throw new IllegalArgumentException(
+            "tokens to draw were %d, expected a positive number".formatted(tokens));
       }
     }
 
@@ -118,11 +129,11 @@
         byte layout = in.readByte();
         if (layout != LAYOUT) {
           throw new IllegalArgumentException(
-              "layout was %d, expected %d".formatted(layout, LAYOUT));
+              "layout of the draw was %d, expected %d".formatted(layout, LAYOUT));
         }
         return new Draw(in.readUTF(), in.readLong());
       } catch (IOException e) {
-        throw new IllegalArgumentException("the draw is too short", e);
+        throw new IllegalArgumentException("the draw is truncated", e);
       }
     }
   }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/FleetLoad.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/FleetLoad.java
@@ -5,20 +5,20 @@
 import org.teaseldeal.api.BackendServerId;
 
 /**
- * What other instances have outstanding at the backend servers, as far as is known here.
+ * The load that the other instances have outstanding at the backend servers, as far as it is known.
  *
- * @param byServer servers without any are left out
- * @param heardAgo how long ago other instances were last heard; zero if there are none
+ * @param byServer the loads by server, without servers that have no load
+ * @param heardAgo the time since the last message of another instance; zero if none has arrived
  */
 public record FleetLoad(Map<BackendServerId, OthersLoad> byServer, Duration heardAgo) {
-  /** Nothing is known of other instances. */
+  /** The value if nothing is known of other instances. */
   public static final FleetLoad NONE = new FleetLoad(Map.of(), Duration.ZERO);
 
   public FleetLoad {
     byServer = Map.copyOf(byServer);
   }
 
-  /** What others have at {@code server}. */
+  /** The load that other instances have at {@code server}. */
   public OthersLoad at(BackendServerId server) {
     return byServer.getOrDefault(server, OthersLoad.NONE);
   }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/HeardLoads.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/HeardLoads.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** What senders of one scope have told, each until its news is stale. */
+/** The loads that other instances sent in messages of one scope, each until it becomes stale. */
 final class HeardLoads {
   private static final class Sender {
     private final Map<Integer, LoadNews.ServerLoad> loads = new HashMap<>();
@@ -15,65 +15,66 @@
     private Instant at = Instant.MIN;
   }
 
-  /** Bounds memory whatever is sent: more than a fleet has instances. */
+  /** Limits memory use whatever is received; more than the number of instances in a fleet. */
   private static final int MOST_SENDERS = 2_048;
 
   private final Duration stale;
   private final Map<String, Sender> senders = new HashMap<>();
 
-  /** Creates an empty set of news, of which none older than {@code stale} counts. */
+  /** Creates an empty set of loads; those older than {@code stale} are ignored. */
   HeardLoads(Duration stale) {
     this.stale = stale;
   }
 
   /**
-   * Takes in a message; returns false if a later one of its sender has come before it.
+   * Adds the loads of a message. Returns false if a later message of its sender has arrived before
+   * it.
    *
-   * <p>A process that starts again may count from below its predecessor where the clock was set
-   * back, so what a silent sender said last doesn't bind it.
+   * <p>The sequence number is not compared if the sender's last message is stale. A restarted
+   * process may count from below its predecessor if its clock was set back.
    */
-  boolean hear(LoadNews news, Instant now) {
+  boolean hear(LoadNews message, Instant now) {
     makeRoom(now);
-    Sender sender = senders.computeIfAbsent(news.sender(), name -> new Sender());
+    Sender sender = senders.computeIfAbsent(message.sender(), name -> new Sender());
     boolean silent = isStale(sender, now);
-    if (!silent && news.sequence() <= sender.sequence) {
+    if (!silent && message.sequence() <= sender.sequence) {
       return false;
     }
-    if (news.complete() || silent) {
+    if (message.complete() || silent) {
       sender.loads.clear();
     }
-    for (LoadNews.ServerLoad load : news.loads()) {
+    for (LoadNews.ServerLoad load : message.loads()) {
       if (load.running() == 0 && load.promptTokensAhead() == 0) {
         sender.loads.remove(load.server());
       } else {
         sender.loads.put(load.server(), load);
       }
     }
-    sender.sequence = news.sequence();
+    sender.sequence = message.sequence();
     sender.at = now;
     return true;
   }
 
-  /** Adds what all have told to {@code sums}. */
+  /** Adds the loads of all senders to {@code sums}. */
   void addTo(LoadSums sums, Instant now) {
     senders.values().stream()
         .filter(sender -> !isStale(sender, now))
         .forEach(sender -> sums.add(sender.loads.values()));
   }
 
-  /** What one sender has told; nothing if it is stale. */
+  /** The loads that one sender sent; empty if they are stale. */
   Map<Integer, LoadNews.ServerLoad> of(String name, Instant now) {
     Sender sender = senders.get(name);
     return sender == null || isStale(sender, now) ? Map.of() : sender.loads;
   }
 
-  /** When a sender was last heard; long ago if never. */
+  /** When the last message of a sender arrived; {@link Instant#MIN} if none did. */
   Instant heardAt(String name) {
     Sender sender = senders.get(name);
     return sender == null ? Instant.MIN : sender.at;
   }
 
-  /** The senders heard since {@code earliest}. */
+  /** The names of the senders whose last message arrived at or after {@code earliest}. */
   List<String> heardSince(Instant earliest) {
     List<String> names = new ArrayList<>();
     senders.forEach(
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/HolderCalls.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/HolderCalls.java
@@ -17,17 +17,17 @@
 import org.teaseldeal.net.HttpExchange;
 import org.teaseldeal.net.HttpHandler;
 
-/** Asks holders for tokens, and answers as one. */
+/** Requests tokens from the holders of customers' totals, and answers such requests as a holder. */
 public final class HolderCalls implements HolderPort, HttpHandler {
-  /** Where an instance answers as a holder. */
+  /** The path of the HTTP call that requests tokens from a holder. */
   public static final String PATH = "/reservations";
 
-  /** Where an instance takes tokens back. */
+  /** The path of the HTTP call that returns unused tokens to a holder. */
   public static final String RETURNS = "/returns";
 
   private static final Logger LOG = LoggerFactory.getLogger(HolderCalls.class);
 
-  /** For the way to the holder and back, beyond the wait there. */
+  /** The time allowed for the round trip to the holder, in addition to the wait there. */
   private static final Duration WAY = Duration.ofMillis(150);
 
   private static final int OK = 200;
@@ -39,7 +39,11 @@
   private final AccountBook accounts;
   private final HolderAnswers answers;
 
-  /** Creates the calls of an instance; {@code addresses} gives those of others by their names. */
+  /**
+   * Creates the calls of an instance.
+   *
+   * @param addresses maps another instance's name to its address, if that is known
+   */
   public HolderCalls(
       Function<String, Optional<String>> addresses,
       RelayedCalls.Caller caller,
@@ -62,7 +66,7 @@
     Duration timeout = ask.patience().plus(WAY);
     caller
         .call(new HttpCallRequest(address.get(), "POST", PATH, Map.of(), body, timeout))
-        .whenComplete((got, failure) -> answer.accept(read(got, failure)));
+        .whenComplete((response, failure) -> answer.accept(read(response, failure)));
   }
 
   @Override
@@ -74,12 +78,13 @@
             address ->
                 caller
                     .call(new HttpCallRequest(address, "POST", RETURNS, Map.of(), body, WAY))
-                    .whenComplete((got, failure) -> tellLost(holder, tokens, failure)));
+                    .whenComplete((response, failure) -> tellLost(holder, tokens, failure)));
   }
 
   private static void tellLost(String holder, long tokens, @Nullable Throwable failure) {
     if (failure != null) {
-      LOG.info("{} tokens may not have come back to {}: {}", tokens, holder, failure.getMessage());
+      LOG.info(
+          "{} tokens may not have been returned to {}: {}", tokens, holder, failure.getMessage());
     }
   }
 
@@ -103,12 +108,12 @@
     try {
       ask = HolderMessages.decodeAsk(exchange.body());
     } catch (IllegalArgumentException e) {
-      LOG.warn("what is asked of a holder can't be read: {}", e.getMessage());
+      LOG.warn("refused a request for tokens that could not be decoded: {}", e.getMessage());
       exchange.respond(BAD_REQUEST, Map.of(), new byte[0]);
       return;
     }
     if (!accounts.servesOthers(ask.customer())) {
-      // The instance stops, or knows no plan of this customer yet: another holder can say more.
+      // The instance stops, or doesn't know the customer's plan yet. Another holder may serve it.
       exchange.respond(UNAVAILABLE, Map.of(), new byte[0]);
       return;
     }
@@ -121,18 +126,18 @@
       case Answer.Granted granted -> HolderMessages.granted();
       case Answer.Refused refused -> HolderMessages.refused(refused.problem());
       case Answer.Unreachable lost ->
-          throw new IllegalArgumentException("a holder answers no " + lost);
+          throw new IllegalArgumentException("a holder can't send the answer " + lost);
     };
   }
 
-  /** Takes tokens back that another instance was given. */
+  /** Handles a call in which another instance returns unused tokens. */
   public void handleReturn(HttpExchange exchange) {
     try {
-      HolderMessages.Return back = HolderMessages.Return.decode(exchange.body());
-      accounts.takeBack(back.customer(), back.tokens());
+      HolderMessages.Return returned = HolderMessages.Return.decode(exchange.body());
+      accounts.takeBack(returned.customer(), returned.tokens());
       exchange.respond(OK, Map.of(), new byte[0]);
     } catch (IllegalArgumentException e) {
-      LOG.warn("what is given back can't be read: {}", e.getMessage());
+      LOG.warn("refused a return of tokens that could not be decoded: {}", e.getMessage());
       exchange.respond(BAD_REQUEST, Map.of(), new byte[0]);
     }
   }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/HolderMessages.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/HolderMessages.java
@@ -13,7 +13,10 @@
 import org.teaseldeal.api.Problem;
 import org.teaseldeal.gateway.account.HolderPort;
 
-/** What instances say to holders of a total, and what those answer. */
+/**
+ * The encoding of the messages that instances exchange with the holders of a customer's total of
+ * tokens.
+ */
 final class HolderMessages {
   private static final byte LAYOUT = 1;
   private static final byte GRANTED = 0;
@@ -33,9 +36,9 @@
   }
 
   /**
-   * Reads what is asked.
+   * Decodes a request for tokens.
    *
-   * @throws IllegalArgumentException if it is none of this layout
+   * @throws IllegalArgumentException if {@code message} doesn't have this layout
    */
   static HolderPort.Ask decodeAsk(byte[] message) {
     return read(
@@ -48,11 +51,12 @@
                 Duration.ofMillis(in.readLong())));
   }
 
-  /** Tokens that no request has used. */
+  /** Tokens that are returned to their holder because no request has used them. */
   record Return(String customer, long tokens) {
     Return {
       Preconditions.requireText(customer, "customer");
-      Preconditions.require(tokens > 0, "tokens were %d, expected more".formatted(tokens));
+      Preconditions.require(
+          tokens > 0, "returned tokens were %d, expected a positive number".formatted(tokens));
     }
 
     byte[] encode() {
@@ -64,9 +68,9 @@
     }
 
     /**
-     * Reads a message.
+     * Decodes a return of tokens.
      *
-     * @throws IllegalArgumentException if it is none of this layout
+     * @throws IllegalArgumentException if {@code message} doesn't have this layout
      */
     static Return decode(byte[] message) {
       return read(message, in -> new Return(in.readUTF(), in.readLong()));
@@ -88,9 +92,9 @@
   }
 
   /**
-   * Reads an answer.
+   * Decodes a holder's answer.
    *
-   * @throws IllegalArgumentException if it is none of this layout
+   * @throws IllegalArgumentException if {@code message} doesn't have this layout
    */
   static HolderPort.Answer answer(byte[] message) {
     return read(
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/LoadCollectors.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/LoadCollectors.java
@@ -8,20 +8,27 @@
 import org.teaseldeal.decisions.LoadCollectorChoice;
 
 /**
- * The collectors of the fleet, and which of them this instance reports to: the first in its own
- * order that it hears. One that has gone silent is left for the next.
+ * The load collectors of the fleet, and the one that this instance reports to. The instance starts
+ * with the first collector in its own order of preference and switches to the next one when a
+ * collector becomes silent.
  */
 final class LoadCollectors {
-  /** Between messages over one hop: about the time in which an instance sends two prompts. */
+  /**
+   * The interval of messages in a fleet in which every instance is a collector: about the time in
+   * which an instance sends two prompts.
+   */
   private static final Duration DIRECT_INTERVAL = Duration.ofMillis(100);
 
-  /** Between messages of collectors to each other, so that news are little older in the end. */
+  /**
+   * The interval of messages between collectors. It is shorter because the loads then pass more
+   * hops until they reach an instance.
+   */
   private static final Duration COLLECTED_INTERVAL = Duration.ofMillis(40);
 
-  /** Between reports to a collector, which tell changes only: each tick. */
+  /** The interval of reports to a collector: every tick, as reports contain only changes. */
   private static final Duration REPORT_INTERVAL = Duration.ofMillis(20);
 
-  /** Some messages in a row, more than are lost by chance. */
+  /** The time of several consecutive messages, more than are lost by chance. */
   private static final Duration SILENCE = Duration.ofMillis(300);
 
   private final String instance;
@@ -38,7 +45,7 @@
     this.fleet = fleet;
   }
 
-  /** Follows the fleet, and leaves a collector that has gone silent. */
+  /** Takes changes of the fleet into account, and switches from a silent collector to the next. */
   void follow(Instant now) {
     Set<String> present = fleet.get();
     if (present != known) {
@@ -66,29 +73,29 @@
     heardAt = now;
   }
 
-  /** Whether this instance collects. */
+  /** Whether this instance is a collector. */
   boolean own() {
     return own;
   }
 
-  /** The other collectors. */
+  /** The other collectors, in this instance's order of preference. */
   List<String> others() {
     return order;
   }
 
-  /** Whom this instance reports to, unless it collects. */
+  /** The collector that this instance reports to; not used if it is a collector itself. */
   String collector() {
     return collector;
   }
 
-  /** Takes note of a message that tells this instance what all others have. */
+  /** Records the arrival of a message with the loads of all other instances. */
   void heard(String sender, Instant now) {
     if (sender.equals(collector)) {
       heardAt = now;
     }
   }
 
-  /** Between messages. */
+  /** The interval between two messages of this instance. */
   Duration interval() {
     if (direct) {
       return DIRECT_INTERVAL;
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/LoadExchange.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/LoadExchange.java
@@ -22,42 +22,49 @@
 import org.teaseldeal.gateway.server.ServerIncarnation;
 
 /**
- * Tells the other instances what this one has outstanding at each backend server, and adds up what
- * they tell.
+ * Sends the load that this instance has outstanding at each backend server to the other instances,
+ * and sums up the loads that they send.
  *
- * <p>An instance sees a small part of an engine's work. Without the rest, an engine that reads a
- * long prompt for another instance looks idle, and callers whose prompts are sent there wait behind
- * it. What is missing for a moment costs a worse choice, nothing else, so datagrams serve.
+ * <p>Each instance causes only a small part of a server's load. Without the loads of the others, a
+ * server that reads a long prompt for another instance would look idle, and callers whose prompts
+ * were sent there would wait behind that prompt. A message that is lost only leads to a worse
+ * choice of a server for a moment, so the messages are sent as datagrams.
  *
- * <p>An instance reports to one collector, which tells the other collectors what its group has
- * outstanding, and each instance of its group what all others have ({@link LoadCollectors}). In a
- * small fleet all collect, and no group has more than its collector.
+ * <p>An instance reports to one collector. A collector sends the sum of its group's loads to the
+ * other collectors, and to each instance of its group the sum of all other instances' loads ({@link
+ * LoadCollectors}). In a small fleet every instance is a collector, and each group consists of its
+ * collector only.
  */
 public final class LoadExchange {
   private static final Logger LOG = LoggerFactory.getLogger(LoadExchange.class);
 
-  /** Each message repeats what was sent since; one of two may be lost. */
+  /**
+   * Each message repeats the changes of this many intervals, so that a change still arrives if one
+   * of two messages is lost.
+   */
   private static final int REPEATED_INTERVALS = 2;
 
-  /** Between messages of a collector to its group, each of which has news of most servers. */
+  /**
+   * The interval of a collector's messages to its group, which contain the loads of most servers.
+   */
   private static final Duration GROUP_INTERVAL = Duration.ofMillis(80);
 
-  /** Between messages that tell all servers, so that what was lost is told again. */
+  /** The interval of messages that contain all servers, which make up for lost messages. */
   private static final Duration COMPLETE_PERIOD = Duration.ofMillis(500);
 
-  /** News older than this say nothing: most prompts were read since. */
+  /** The age from which loads are ignored, as most of the prompts were read since. */
   private static final Duration STALE = Duration.ofSeconds(1);
 
-  /** A collector tells an instance for so long after its last report. */
+  /** How long a collector sends messages to an instance after the instance's last report. */
   private static final Duration MEMBER_KEPT = Duration.ofSeconds(2);
 
-  /** Sums are added up anew after this at the latest, without what has become stale. */
+  /** The longest time after which the sums are computed again, without loads that became stale. */
   private static final Duration SUMS_KEPT = Duration.ofMillis(100);
 
-  /** After a change, reports are made up for so long, as each tells it more than once. */
+  /** How long reports are sent after a change; each change is repeated in several reports. */
   private static final Duration REPORT_KEPT = Duration.ofMillis(100);
 
-  /** Bounds what a starting instance is told to some ten kilobytes. */
+  /** Limits the cache contents that a starting instance is sent to some tens of kilobytes. */
   private static final int MOST_COPIES = 4_096;
 
   private final String instance;
@@ -92,10 +99,11 @@
   private long messagesDropped;
 
   /**
-   * Creates the exchange of {@code instance}.
+   * Creates the load exchange of {@code instance}.
    *
-   * @param fleet the names of all instances; an unmodifiable set, another one after each change
-   * @param addresses where an instance can be reached
+   * @param fleet the names of all instances; an unmodifiable set, which is replaced by another one
+   *     at each change
+   * @param addresses maps an instance's name to its address, if that is known
    */
   public LoadExchange(
       String instance,
@@ -112,27 +120,28 @@
     this.addresses = addresses;
     this.port = port;
     this.clock = clock;
-    // A process that starts anew goes on above its predecessor.
+    // The time of day in the upper bits makes a restarted process continue above its predecessor.
     this.sequence = clock.instant().toEpochMilli() << 16;
   }
 
   /**
-   * Whether another instance has been heard lately, or there is none to be heard. One that collects
-   * is told by the other collectors, any other one by its collector, each half second at least.
+   * Whether a load message was received recently, or there is no other instance to receive one
+   * from. A collector receives messages from the other collectors, any other instance from its
+   * collector, both at least every half second.
    */
   public boolean othersHeard() {
-    Instant heard = heardAt;
+    Instant last = heardAt;
     return collectors.others().isEmpty()
-        || heard == null
-        || !heard.isBefore(clock.instant().minus(STALE));
+        || last == null
+        || !last.isBefore(clock.instant().minus(STALE));
   }
 
-  /** Messages that could not be read, since the start. */
+  /** The number of messages since the start that could not be decoded. */
   public long messagesDropped() {
     return messagesDropped;
   }
 
-  /** Tells the others if it is time to. */
+  /** Sends the messages that are due. */
   public void tick() {
     Instant now = clock.instant();
     if (now.isBefore(next)) {
@@ -156,7 +165,7 @@
     }
   }
 
-  /** Since when changes are told, by one who tells them each {@code interval}. */
+  /** The time since which changes are included in a message that is sent every {@code interval}. */
   private static Instant repeatedSince(Instant now, Duration interval) {
     return now.minus(interval.multipliedBy(REPEATED_INTERVALS));
   }
@@ -166,10 +175,11 @@
   }
 
   /**
-   * Tells this instance's collector what has changed, or that it is there.
+   * Sends this instance's changed loads to its collector. A complete report is sent even if nothing
+   * has changed, to show that the instance is present.
    *
-   * <p>Most of the time nothing has changed, and looking through all servers would be most of what
-   * an idle instance does.
+   * <p>The servers are examined only for a while after a change. Most of the time nothing changes,
+   * and examining all servers would be most of the work of an idle instance.
    */
   private void report(boolean complete, Instant now) {
     if (reportedWork != servers.workChanges() || hashedChanges != reportedServers) {
@@ -221,16 +231,16 @@
     parts.addAll(groupParts.since(groupToldAt));
     parts.addAll(othersParts.since(groupToldAt));
     groupToldAt = now;
-    Set<Integer> told = complete ? all.asMap().keySet() : changed;
+    Set<Integer> included = complete ? all.asMap().keySet() : changed;
     for (String member : members) {
       Map<Integer, LoadNews.ServerLoad> reported = reports.of(member, now);
       List<LoadNews.ServerLoad> loads =
-          told.stream().map(server -> without(reported.get(server), server, all)).toList();
+          included.stream().map(server -> without(reported.get(server), server, all)).toList();
       send(member, news(LoadNews.Scope.OTHERS, complete, loads, parts));
     }
   }
 
-  /** What all have outstanding at a server, without what one of them has reported. */
+  /** The sum of all instances' loads at a server, without the load that one instance reported. */
   private static LoadNews.ServerLoad without(
       LoadNews.@Nullable ServerLoad reported, int server, LoadSums all) {
     OthersLoad sum = all.of(server);
@@ -255,7 +265,9 @@
     addresses.apply(name).ifPresent(address -> port.send(address, message));
   }
 
-  /** What is known of the servers' caches, for an instance that has just started. */
+  /**
+   * Encodes what is known of the servers' cache contents, for an instance that has just started.
+   */
   byte[] cachedPrompts() {
     return new LoadNews(
             LoadNews.Scope.INSTANCE,
@@ -268,46 +280,46 @@
   }
 
   /**
-   * Takes in what another instance knows of the servers' caches.
+   * Adds what another instance knows of the servers' cache contents.
    *
-   * @throws IllegalArgumentException if it can't be read
+   * @throws IllegalArgumentException if {@code message} can't be decoded
    */
   void learnCachedPrompts(byte[] message) {
     noteCached(LoadNews.decode(message).sentParts());
   }
 
-  /** Takes in a message of another instance. */
+  /** Processes a load message of another instance. */
   public void receive(byte[] message) {
-    LoadNews news;
+    LoadNews received;
     try {
-      news = LoadNews.decode(message);
+      received = LoadNews.decode(message);
     } catch (IllegalArgumentException e) {
       messagesDropped++;
-      LOG.debug("a message of a peer is dropped: {}", e.getMessage());
+      LOG.debug("dropped a load message that could not be decoded: {}", e.getMessage());
       return;
     }
     Instant now = clock.instant();
-    boolean heard =
-        switch (news.scope()) {
-          case INSTANCE -> reports.hear(news, now);
-          case GROUP -> groups.hear(news, now);
-          case OTHERS -> others.hear(news, now);
+    boolean accepted =
+        switch (received.scope()) {
+          case INSTANCE -> reports.hear(received, now);
+          case GROUP -> groups.hear(received, now);
+          case OTHERS -> others.hear(received, now);
         };
-    if (heard) {
+    if (accepted) {
       heardAt = now;
       sumsUntil = Instant.MIN;
-      if (news.scope() == LoadNews.Scope.OTHERS) {
-        collectors.heard(news.sender(), now);
+      if (received.scope() == LoadNews.Scope.OTHERS) {
+        collectors.heard(received.sender(), now);
       }
     }
-    noteCached(news.sentParts());
-    passOn(news, now);
+    noteCached(received.sentParts());
+    passOn(received, now);
   }
 
-  private void passOn(LoadNews news, Instant now) {
-    switch (news.scope()) {
-      case INSTANCE -> news.sentParts().forEach(part -> groupParts.add(part, now));
-      case GROUP -> news.sentParts().forEach(part -> othersParts.add(part, now));
+  private void passOn(LoadNews received, Instant now) {
+    switch (received.scope()) {
+      case INSTANCE -> received.sentParts().forEach(part -> groupParts.add(part, now));
+      case GROUP -> received.sentParts().forEach(part -> othersParts.add(part, now));
       case OTHERS -> {}
     }
   }
@@ -340,7 +352,7 @@
     }
   }
 
-  /** What the others have outstanding. */
+  /** The load that the other instances have outstanding at the servers. */
   public FleetLoad others() {
     Instant now = clock.instant();
     followServers();
@@ -352,16 +364,16 @@
   }
 
   private Map<BackendServerId, OthersLoad> addUp(Instant now) {
-    LoadSums heard = new LoadSums();
-    boolean told = !collectors.own() && !others.of(collectors.collector(), now).isEmpty();
-    if (told) {
-      heard.add(others.of(collectors.collector(), now).values());
+    LoadSums total = new LoadSums();
+    boolean collected = !collectors.own() && !others.of(collectors.collector(), now).isEmpty();
+    if (collected) {
+      total.add(others.of(collectors.collector(), now).values());
     } else {
-      reports.addTo(heard, now);
-      groups.addTo(heard, now);
+      reports.addTo(total, now);
+      groups.addTo(total, now);
     }
     Map<BackendServerId, OthersLoad> byServer = new HashMap<>();
-    heard
+    total
         .asMap()
         .forEach(
             (hash, load) -> {
@@ -386,8 +398,8 @@
   }
 
   /**
-   * Differs with the start, so that what a peer still has at an earlier process isn't taken for the
-   * load of the one that runs.
+   * A hash of a server's id and start time. The start time is included so that load which a peer
+   * still has at an earlier process of the server isn't attributed to the present one.
    */
   private static int hash(ServerIncarnation incarnation) {
     String start = incarnation.startedAt().map(at -> "\n" + at.toEpochMilli()).orElse("");
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/LoadNews.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/LoadNews.java
@@ -10,13 +10,16 @@
 import java.util.List;
 
 /**
- * What instances have outstanding at each backend server, and what was lately sent there.
+ * A message with the load that instances have outstanding at each backend server, and with the
+ * prompt parts that were recently sent there.
  *
- * @param scope whose work it tells
- * @param sender the instance that tells it
- * @param sequence rises with each message of the sender, so that one that was overtaken is dropped
- * @param complete whether servers that aren't named have none of it; else nothing is said of them
- * @param loads by server; zero takes back what an earlier message told
+ * @param scope the instances whose load and prompt parts the message contains
+ * @param sender the name of the instance that sends the message
+ * @param sequence increases with each message of the sender, so that a message that arrives after a
+ *     later one is dropped
+ * @param complete whether servers that the message doesn't contain have no load; if false, their
+ *     loads are unchanged
+ * @param loads the loads by server; a load of zero cancels the one of an earlier message
  */
 record LoadNews(
     Scope scope,
@@ -25,34 +28,38 @@
     boolean complete,
     List<ServerLoad> loads,
     List<SentPart> sentParts) {
-  /** Whose work a message tells. */
+  /** The instances whose load a message contains. The ordinal is part of the encoding. */
   enum Scope {
-    /** The sender's own. */
+    /** The sender only. */
     INSTANCE,
-    /** The sender's own, and that of the instances that report to it. */
+    /** The sender and the instances that report to it. */
     GROUP,
-    /** That of all instances but the one that is told. */
+    /** All instances except the receiver. */
     OTHERS
   }
 
   /**
-   * One server's part.
+   * The load at one server.
    *
-   * @param server a hash of the server's id and start, which are too long to send so often
+   * @param server a hash of the server's id and start time; the id itself would make the frequent
+   *     messages too long
    */
   record ServerLoad(int server, int running, long promptTokensAhead) {}
 
   /**
    * A part of a prompt that was sent to a server for the first time.
    *
-   * @param server as in {@link ServerLoad}
+   * @param server the same hash as in {@link ServerLoad}
    * @param part a hash of the part's id
    */
   record SentPart(int server, long part) {}
 
   private static final byte LAYOUT = 3;
 
-  /** Bits of a number in each octet; the highest bit says that more follow. */
+  /**
+   * The number of value bits in each byte of a variable-length number. The highest bit of a byte
+   * says that more bytes follow.
+   */
   private static final int NUMBER_BITS = 7;
 
   private static final int MORE = 1 << NUMBER_BITS;
@@ -89,64 +96,65 @@
   }
 
   /**
-   * Reads a message.
+   * Decodes a message.
    *
-   * @throws IllegalArgumentException if it is none of this layout
+   * @throws IllegalArgumentException if {@code message} doesn't have this layout
    */
   static LoadNews decode(byte[] message) {
     try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(message))) {
       byte layout = in.readByte();
       if (layout != LAYOUT) {
-        throw new IllegalArgumentException("layout was %d, expected %d".formatted(layout, LAYOUT));
+        throw new IllegalArgumentException(
+            "layout of the load message was %d, expected %d".formatted(layout, LAYOUT));
       }
       Scope scope = scope(in.readUnsignedByte());
       String sender = in.readUTF();
       long sequence = in.readLong();
       boolean complete = in.readBoolean();
       List<ServerLoad> loads = new ArrayList<>();
-      for (long left = readNumber(in); left > 0; left--) {
+      for (long remaining = readNumber(in); remaining > 0; remaining--) {
         loads.add(new ServerLoad(in.readInt(), Math.toIntExact(readNumber(in)), readNumber(in)));
       }
       List<SentPart> sentParts = new ArrayList<>();
-      for (long left = readNumber(in); left > 0; left--) {
+      for (long remaining = readNumber(in); remaining > 0; remaining--) {
         sentParts.add(new SentPart(in.readInt(), in.readLong()));
       }
       if (in.available() > 0) {
-        throw new IllegalArgumentException(in.available() + " octets follow the message");
+        throw new IllegalArgumentException(in.available() + " bytes follow the load message");
       }
       return new LoadNews(scope, sender, sequence, complete, loads, sentParts);
     } catch (IOException e) {
-      throw new IllegalArgumentException("the message is too short", e);
+      throw new IllegalArgumentException("the load message is truncated", e);
     } catch (ArithmeticException e) {
-      throw new IllegalArgumentException("a count is too large", e);
+      throw new IllegalArgumentException("a request count is too large", e);
     }
   }
 
   private static Scope scope(int ordinal) {
     if (ordinal >= Scope.values().length) {
-      throw new IllegalArgumentException("scope was " + ordinal);
+      throw new IllegalArgumentException("scope of the load message was " + ordinal);
     }
     return Scope.values()[ordinal];
   }
 
   private static void writeNumber(DataOutputStream out, long number) throws IOException {
-    long left = number;
-    while (left >= MORE) {
-      out.writeByte((int) (left % MORE) | MORE);
-      left /= MORE;
+    long remaining = number;
+    while (remaining >= MORE) {
+      out.writeByte((int) (remaining % MORE) | MORE);
+      remaining /= MORE;
     }
-    out.writeByte((int) left);
+    out.writeByte((int) remaining);
   }
 
   private static long readNumber(DataInputStream in) throws IOException {
     long number = 0;
     for (int shift = 0; shift < LONGEST_NUMBER_BITS; shift += NUMBER_BITS) {
-      int octet = in.readUnsignedByte();
-      number |= (long) (octet % MORE) << shift;
-      if (octet < MORE) {
+      int next = in.readUnsignedByte();
+      number |= (long) (next % MORE) << shift;
+      if (next < MORE) {
         return number;
       }
     }
-    throw new IllegalArgumentException("a number is too long");
+    throw new IllegalArgumentException("a number takes more than 8 bytes");
   }
 }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/LoadSums.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/LoadSums.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Adds up loads by server. */
+/** Sums of loads by server. */
 final class LoadSums {
   private final Map<Integer, OthersLoad> byServer = new HashMap<>();
 
@@ -21,7 +21,7 @@
     return byServer.getOrDefault(server, OthersLoad.NONE);
   }
 
-  /** Each server that has any. */
+  /** The sum for each server that has any load. */
   List<LoadNews.ServerLoad> toList() {
     return byServer.entrySet().stream()
         .map(
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/OthersLoad.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/OthersLoad.java
@@ -1,8 +1,13 @@
 package org.teaseldeal.gateway.peer;
 
-/** What other instances together have outstanding at a backend server. */
+/**
+ * The load that other instances together have outstanding at a backend server.
+ *
+ * @param running the number of requests
+ * @param promptTokensAhead the number of prompt tokens that the server presumably has yet to read
+ */
 public record OthersLoad(int running, long promptTokensAhead) {
-  /** Nothing, as far as is known. */
+  /** No load. Also stands for a load that is unknown. */
   public static final OthersLoad NONE = new OthersLoad(0, 0);
 
   OthersLoad plus(OthersLoad other) {
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/PeerCalls.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/PeerCalls.java
@@ -5,10 +5,10 @@
 import org.teaseldeal.net.HttpHandler;
 
 /**
- * Answers the calls of other instances.
+ * Dispatches the calls of other instances to their handlers by path.
  *
- * @param byPath handlers of this gateway's own calls
- * @param others handles all further calls
+ * @param byPath the handlers of the gateway's own calls
+ * @param others the handler of all other calls
  */
 public record PeerCalls(Map<String, HttpHandler> byPath, HttpHandler others)
     implements HttpHandler {
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/PeerPort.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/PeerPort.java
@@ -1,8 +1,12 @@
 package org.teaseldeal.gateway.peer;
 
-/** Sends messages to other instances; each may be lost, doubled or late. */
+/** Sends messages to other instances. A message may be lost, duplicated or delayed. */
 @FunctionalInterface
 public interface PeerPort {
-  /** Sends a message to {@code address}, {@code host:port} by IP number. */
+  /**
+   * Sends a message.
+   *
+   * @param address the receiver as {@code host:port}, with an IP address as the host
+   */
   void send(String address, byte[] message);
 }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/RecentParts.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/RecentParts.java
@@ -8,12 +8,12 @@
 import java.util.List;
 import java.util.Set;
 
-/** Parts of prompts that were heard of a moment ago, to be passed on; each once. */
+/** The prompt parts that were recently received and are to be forwarded, each once. */
 final class RecentParts {
-  /** Bounds what is passed on: as many as fit into a datagram beside the loads. */
+  /** As many parts as fit into a datagram in addition to the loads. */
   private static final int MOST = 128;
 
-  /** Longer than whoever tells of a part repeats it. */
+  /** Longer than a sender repeats a part, so that no part is forwarded twice. */
   private static final Duration KEPT = Duration.ofMillis(500);
 
   private record Entry(LoadNews.SentPart part, Instant at) {}
@@ -21,7 +21,7 @@
   private final Deque<Entry> entries = new ArrayDeque<>();
   private final Set<LoadNews.SentPart> known = new HashSet<>();
 
-  /** Adds a part unless it is there; the oldest makes room. */
+  /** Adds a part unless it is present; the oldest part is evicted if there are too many. */
   void add(LoadNews.SentPart part, Instant now) {
     forgetBefore(now.minus(KEPT));
     if (known.add(part)) {
@@ -38,7 +38,7 @@
     }
   }
 
-  /** What was added since {@code earliest}. */
+  /** The parts that were added at or after {@code earliest}. */
   List<LoadNews.SentPart> since(Instant earliest) {
     return entries.stream()
         .filter(entry -> !entry.at().isBefore(earliest))
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/RelayedCalls.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/RelayedCalls.java
@@ -13,19 +13,20 @@
 import org.teaseldeal.net.HttpCallRequest;
 
 /**
- * Makes calls to a service, by another instance where it turns this one away.
+ * Calls a service directly, or through another instance as a relay if the service can't be reached
+ * or rejects this instance's calls.
  *
- * <p>For calls that may be repeated only, as one may go both ways.
+ * <p>Only for calls that may be repeated, as a call may reach the service both ways.
  */
 public final class RelayedCalls {
-  /** Makes a call; the future completes on the instance's own thread. */
+  /** Sends a call. The returned future completes on the instance's event loop. */
   @FunctionalInterface
   public interface Caller {
-    /** Sends {@code request} and gathers its whole answer. */
+    /** Sends {@code request} and collects its complete answer. */
     CompletableFuture<HttpAnswer> call(HttpCallRequest request);
   }
 
-  /** Statuses with which a service turns an instance away. */
+  /** The statuses with which a service rejects an instance's calls. */
   private static final int TOO_MANY_CALLS = 429;
 
   private static final int UNAVAILABLE = 503;
@@ -38,11 +39,12 @@
   private final InstantSource clock;
 
   /**
-   * Creates calls.
+   * Creates the calls to one service.
    *
-   * @param service its name in logs
-   * @param instance decides which relay comes first, so that not all take the same
-   * @param relays gives the addresses of the other instances
+   * @param service the service's name in logs
+   * @param instance the name of this instance, which determines the first relay so that the
+   *     instances use different ones
+   * @param relays supplies the addresses of the other instances
    */
   public RelayedCalls(
       String service,
@@ -59,20 +61,20 @@
     this.clock = clock;
   }
 
-  /** Whether the service has served this instance's last direct call. */
+  /** Whether the last direct call reached the service, so that calls are sent directly. */
   public boolean direct() {
     return !choice.relaying();
   }
 
-  /** Sends {@code request} to its address, or to a relay. */
+  /** Sends {@code request} to its own address or to a relay. */
   public CompletableFuture<HttpAnswer> call(HttpCallRequest request) {
     return call(request, relays.get().size());
   }
 
   /**
-   * Sends a request; one that a relay turns away at once goes on to the next.
+   * Sends a request. If a relay rejects it, the next relay is tried at once.
    *
-   * @param further relays that may be asked after the first
+   * @param further the number of relays that may be tried after the first one
    */
   private CompletableFuture<HttpAnswer> call(HttpCallRequest request, int further) {
     List<String> present = relays.get();
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/package-info.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/package-info.java
@@ -1,4 +1,7 @@
-/** What instances tell each other directly; all of it may be lost or late without harm. */
+/**
+ * Communication between instances: load messages, token transfers and relayed calls. Each message
+ * may be lost or delayed without lasting harm.
+ */
 @NullMarked
 package org.teaseldeal.gateway.peer;
 
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/peer/HolderCallsTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/peer/HolderCallsTests.java
@@ -55,14 +55,14 @@
   private final List<HolderPort.Answer> answers = new ArrayList<>();
 
   @Test
-  void givesARequestItsTokensOnceTheyAreAtHand() {
+  void grantsARequestOnceItsTokensAreAvailable() {
     ask(CUSTOMER, 50_000);
     run(Duration.ofSeconds(1));
     assertEquals(List.of(new HolderPort.Answer.Granted()), answers);
   }
 
   @Test
-  void saysWhyARequestCannotHaveItsTokens() {
+  void refusesARequestThatExceedsTheTotalWithTheReason() {
     ask(CUSTOMER, TOTAL + 1);
     run(Duration.ofSeconds(2));
     HolderPort.Answer.Refused refused =
@@ -71,7 +71,7 @@
   }
 
   @Test
-  void givesAgainWhatCameBack() {
+  void grantsReturnedTokensAgain() {
     ask(CUSTOMER, TOTAL);
     run(Duration.ofSeconds(1));
     asker.giveBack(HOLDER, CUSTOMER, TOTAL);
@@ -81,25 +81,31 @@
     assertEquals(List.of(granted, granted), answers);
   }
 
-  /** Guards against a stop that takes long, and callers elsewhere who wait for it. */
+  /**
+   * A stopping instance must not answer as a holder, or callers at other instances would wait for
+   * the end of its stop.
+   */
   @Test
-  void givesNothingWhileTheInstanceStops() {
+  void isUnreachableAsAHolderWhileTheInstanceStops() {
     book.close();
     ask(CUSTOMER, 10);
     run(Duration.ofSeconds(1));
     assertInstanceOf(HolderPort.Answer.Unreachable.class, answers.getFirst());
   }
 
-  /** Guards against tokens that are taken as given by an instance that knows of no total yet. */
+  /**
+   * An instance that doesn't know a customer's total yet must not answer as its holder, or tokens
+   * would count as granted without a total.
+   */
   @Test
-  void saysNothingOfACustomerThatItDoesNotKnow() {
+  void isUnreachableAsAHolderOfAnUnknownCustomer() {
     ask("stranger", 10);
     run(Duration.ofSeconds(1));
     assertInstanceOf(HolderPort.Answer.Unreachable.class, answers.getFirst());
   }
 
   @Test
-  void countsAsUnreachableWithoutAnAnswerThatCanBeRead() {
+  void treatsAHolderWithoutADecodableAnswerAsUnreachable() {
     ask(CUSTOMER, 10);
     ask(CUSTOMER, 10);
     ask(CUSTOMER, 10);
@@ -111,20 +117,20 @@
   }
 
   @Test
-  void refusesWhatItCannotRead() {
+  void refusesMessagesThatCannotBeDecoded() {
     FakeExchange garbage = new FakeExchange(HolderCalls.PATH, new byte[] {1, 2, 3});
     holder.handle(garbage);
     assertEquals(400, garbage.status());
-    FakeExchange back = new FakeExchange(HolderCalls.RETURNS, new byte[] {9});
-    holder.handleReturn(back);
-    assertEquals(400, back.status());
+    FakeExchange garbageReturn = new FakeExchange(HolderCalls.RETURNS, new byte[] {9});
+    holder.handleReturn(garbageReturn);
+    assertEquals(400, garbageReturn.status());
   }
 
   private HolderCalls calls() {
     return new HolderCalls(name -> Optional.of("10.0.0.1:7000"), this::call, book, clock);
   }
 
-  /** What is called arrives at once; it is answered as time goes on. */
+  /** Delivers a call at once. Its answer is passed on when time advances. */
   private CompletableFuture<HttpAnswer> call(HttpCallRequest request) {
     FakeExchange exchange = new FakeExchange(request.path(), request.body());
     CompletableFuture<HttpAnswer> call = new CompletableFuture<>();
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/peer/LargeLoadExchangeTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/peer/LargeLoadExchangeTests.java
@@ -10,18 +10,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Many instances in front of many engines, each instance with few prompts. */
+/** Tests the load exchange with many instances and many servers, and few prompts per instance. */
 class LargeLoadExchangeTests {
   private static final int SERVERS = 61;
   private static final double PROMPTS_PER_INSTANCE = 3.6;
 
-  /** What control may cost an instance at the size that the system is built towards. */
+  /** The traffic of control messages allowed per instance at the largest planned fleet size. */
   private static final long MOST_OCTETS_PER_SECOND = 26_000;
 
-  /** The time in which an engine reads it: 12,000 tokens, 66 a millisecond. */
+  /** The time in which a server reads a large prompt: 12,000 tokens at 66 tokens a millisecond. */
   private static final Duration LARGE_PROMPT = Duration.ofMillis(180);
 
-  /** Each takes a whole step here. */
+  /** The hops that a load passes from one instance to another; each takes a whole step here. */
   private static final int HOPS = 3;
 
   private static final String PART = "subject";
@@ -29,35 +29,36 @@
   private static final Duration TIME = Duration.ofSeconds(3);
 
   /**
-   * Guards against instances that spend their processors and links on hearing each other: what all
-   * tell all grows with the square of the fleet.
+   * If each instance sent its loads to every other one, the traffic would grow with the square of
+   * the fleet's size and use up the instances' processors and links.
    */
   @ParameterizedTest
   @ValueSource(ints = {9, 30, 95})
-  void costsAnInstanceNoMoreThanControlMay(int size) {
+  void staysWithinTheControlTrafficLimitOfAnInstance(int size) {
     LoadFleet fleet = new LoadFleet(size, SERVERS);
     fleet.run(WARM_UP, size * PROMPTS_PER_INSTANCE);
     fleet.forgetCounts();
     fleet.run(TIME, size * PROMPTS_PER_INSTANCE);
-    long octets = fleet.instances.stream().mapToLong(each -> each.octets).sum();
-    long each = octets / size / TIME.toSeconds();
+    long bytes = fleet.instances.stream().mapToLong(each -> each.octets).sum();
+    long each = bytes / size / TIME.toSeconds();
     assertTrue(
         each <= MOST_OCTETS_PER_SECOND,
-        "%d octets a second at each of %d instances".formatted(each, size));
+        "%d bytes a second at each of %d instances".formatted(each, size));
   }
 
   /**
-   * Guards against a fleet in which each instance hears more messages as others join, by a tenth.
+   * The number of messages that an instance sends and receives must not grow by more than a tenth
+   * when the fleet grows to three times its size.
    */
   @Test
-  void tellsAnInstanceNoMoreOftenInALargerFleet() {
+  void exchangesNoMoreMessagesPerInstanceInALargerFleet() {
     long at95 = messagesOfAMember(95);
     long at300 = messagesOfAMember(300);
     assertTrue(
         10 * at300 <= 11 * at95, "%d messages at 95 instances, %d at 300".formatted(at95, at300));
   }
 
-  /** The middle one of all that don't collect. */
+  /** The median number of messages of the instances that aren't collectors. */
   private static long messagesOfAMember(int size) {
     LoadFleet fleet = new LoadFleet(size, SERVERS);
     fleet.forgetCounts();
@@ -72,9 +73,12 @@
     return counts.get(counts.size() / 2);
   }
 
-  /** Guards against choices by what was true before an engine has read a large prompt. */
+  /**
+   * A load must reach all instances before a server has read a large prompt, or servers are chosen
+   * by outdated loads.
+   */
   @Test
-  void tellsAllWithinTheTimeOfALargePrompt() {
+  void reachesAllInstancesWithinTheTimeOfALargePrompt() {
     LoadFleet fleet = new LoadFleet(95, SERVERS);
     fleet.instances.getFirst().start(7, PART);
     fleet.run(LARGE_PROMPT.plus(LoadFleet.STEP.multipliedBy(HOPS)));
@@ -84,9 +88,9 @@
     assertEquals(0, fleet.instances.getFirst().othersAt(7));
   }
 
-  /** Guards against loads that stay on the books after their requests have ended. */
+  /** A load must disappear at the other instances after its request has ended. */
   @Test
-  void takesBackWhatHasEnded() {
+  void removesTheLoadOfEndedRequests() {
     LoadFleet fleet = new LoadFleet(95, SERVERS);
     fleet.run(Duration.ofSeconds(1));
     LoadFleet.Instance first = fleet.instances.getFirst();
@@ -98,11 +102,11 @@
   }
 
   /**
-   * Guards against instances that go on reporting to a collector that is gone, and choose without
-   * knowing what the others have.
+   * Instances whose collector is gone must switch to another one, or they would choose servers
+   * without knowing the other instances' loads.
    */
   @Test
-  void turnsToAnotherCollectorWhenOneIsGone() {
+  void switchesToAnotherCollectorWhenOneIsGone() {
     LoadFleet fleet = new LoadFleet(95, SERVERS);
     Set<String> collectors = fleet.collectors();
     fleet.instances.stream()
@@ -110,23 +114,23 @@
         .limit(5)
         .forEach(each -> each.down = true);
     fleet.run(Duration.ofSeconds(3));
-    LoadFleet.Instance teller =
+    LoadFleet.Instance reporter =
         fleet.instances.stream()
             .filter(each -> !collectors.contains(each.name))
             .findFirst()
             .orElseThrow();
-    teller.start(7, PART);
+    reporter.start(7, PART);
     fleet.run(Duration.ofMillis(300));
     for (LoadFleet.Instance each : fleet.instances) {
-      if (!each.down && each != teller) {
+      if (!each.down && each != reporter) {
         assertEquals(1, each.othersAt(7), each.name);
       }
     }
   }
 
-  /** A prompt goes where any other instance has sent its beginning. */
+  /** All instances must learn which server a prompt's shared part was sent to. */
   @Test
-  void tellsAllWhereABeginningWasSent() {
+  void sharesWhichServerAPromptPartWasSentTo() {
     LoadFleet fleet = new LoadFleet(95, SERVERS);
     LoadFleet.Instance first = fleet.instances.getFirst();
     first.start(7, PART);
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/peer/LoadExchangeTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/peer/LoadExchangeTests.java
@@ -49,7 +49,7 @@
           clock);
 
   @Test
-  void addsUpWhatOthersHaveOutstanding() {
+  void sumsUpTheLoadsOfOtherInstances() {
     teller.find(ENGINE).orElseThrow().started(700);
     telling.tick();
     hearing.receive(sent.getFirst());
@@ -57,7 +57,7 @@
   }
 
   @Test
-  void forgetsOldNews() {
+  void ignoresStaleLoads() {
     teller.find(ENGINE).orElseThrow().started(700);
     telling.tick();
     hearing.receive(sent.getFirst());
@@ -66,7 +66,7 @@
   }
 
   @Test
-  void dropsAMessageThatWasOvertaken() {
+  void dropsAMessageThatArrivesAfterALaterOne() {
     teller.find(ENGINE).orElseThrow().started(700);
     telling.tick();
     teller.find(ENGINE).orElseThrow().started(300);
@@ -78,11 +78,12 @@
   }
 
   /**
-   * A server that started again draws its share of requests. A peer that hasn't heard of the
-   * restart still tells what it had at the process that crashed; the new one has none of it.
+   * A peer that doesn't know of a server's restart still sends the load that it had at the crashed
+   * process. That load must not count for the new process, or the server would get too few
+   * requests.
    */
   @Test
-  void takesNoLoadOfAnEarlierIncarnation() {
+  void ignoresLoadAtAnEarlierIncarnationOfAServer() {
     teller.put(listing(Optional.of(FIRST)));
     listener.put(listing(Optional.of(FIRST.plusMillis(1))));
     teller.find(ENGINE).orElseThrow().started(700);
@@ -98,9 +99,9 @@
     assertEquals(Map.of(ENGINE, new OthersLoad(1, 300)), hearing.others().byServer());
   }
 
-  /** A prompt goes where another instance has sent its beginning, also if a message was lost. */
+  /** Each prompt part is repeated, so that it arrives even if one message is lost. */
   @Test
-  void tellsWhatWasSentToAServer() {
+  void repeatsAPromptPartThatWasSentToAServer() {
     BackendServer server = teller.find(ENGINE).orElseThrow();
     server.started(700);
     told.onSent(server.incarnation(), List.of("subject"), clock.instant());
@@ -111,16 +112,16 @@
     assertTrue(heard.holds(listener.find(ENGINE).orElseThrow().incarnation(), "subject"));
   }
 
-  /** An instance that has just started sends prompts where their beginnings lie. */
+  /** An instance that has just started must know the cache contents from before its start. */
   @Test
-  void tellsAStartingInstanceWhatWasSentBefore() {
+  void transfersCacheContentsToAStartingInstance() {
     told.onSent(teller.find(ENGINE).orElseThrow().incarnation(), List.of("subject"), FIRST);
     hearing.learnCachedPrompts(telling.cachedPrompts());
     assertTrue(heard.holds(listener.find(ENGINE).orElseThrow().incarnation(), "subject"));
   }
 
   @Test
-  void ignoresWhatIsNoMessage() {
+  void ignoresMessagesThatCannotBeDecoded() {
     hearing.receive(new byte[] {9, 9, 9});
     hearing.receive(new byte[0]);
     assertEquals(Map.of(), hearing.others().byServer());
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/peer/LoadFleet.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/peer/LoadFleet.java
@@ -21,19 +21,22 @@
 import org.teaseldeal.gateway.server.ServerDirectory;
 import org.teaseldeal.gateway.server.ServerListing;
 
-/** Instances that exchange their loads by datagrams, in virtual time; a hop takes a step. */
+/** Instances that exchange their loads by datagrams in virtual time. A hop takes one step. */
 final class LoadFleet {
   static final Duration STEP = Duration.ofMillis(20);
   static final long PROMPT_TOKENS = 5_000;
 
-  /** Of which prompts share a beginning, and the servers that it is sent to. */
+  /**
+   * The number of different shared prompt parts, and the number of servers that each of them is
+   * sent to.
+   */
   private static final int SUBJECTS = 2_000;
 
   private static final int HOMES = 3;
 
   private record Datagram(String to, byte[] message) {}
 
-  /** One instance and what it has exchanged. */
+  /** One instance with the counts of its sent and received messages. */
   final class Instance {
     final String name;
     final ServerDirectory servers = new ServerDirectory();
@@ -72,12 +75,12 @@
       return servers.find(id(index)).orElseThrow();
     }
 
-    /** What it knows of the other instances' requests at a server. */
+    /** The number of requests that the other instances have at a server, as this one knows it. */
     int othersAt(int index) {
       return exchange.others().at(id(index)).running();
     }
 
-    /** Sends a prompt with the beginning {@code part}. */
+    /** Sends a prompt with the shared part {@code part} to a server. */
     void start(int index, String part) {
       BackendServer server = server(index);
       server.started(PROMPT_TOKENS);
@@ -116,7 +119,12 @@
     run(time, 0);
   }
 
-  /** Lets time pass, with so many prompts a second over the whole fleet, each for two seconds. */
+  /**
+   * Advances the time.
+   *
+   * @param promptsPerSecond the rate of prompts over the whole fleet; each runs for two seconds on
+   *     average
+   */
   void run(Duration time, double promptsPerSecond) {
     double perStep = promptsPerSecond * STEP.toMillis() / 1000;
     for (long passed = 0; passed < time.toMillis(); passed += STEP.toMillis()) {
@@ -125,9 +133,9 @@
       int due = (int) perStep + (random.nextDouble() < perStep % 1 ? 1 : 0);
       for (int i = 0; i < due; i++) {
         Instance instance = instances.get(random.nextInt(instances.size()));
-        int subject = random.nextInt(SUBJECTS);
-        int home = (subject + random.nextInt(HOMES)) % instance.servers.all().size();
-        instance.start(home, "subject-" + subject);
+        int part = random.nextInt(SUBJECTS);
+        int server = (part + random.nextInt(HOMES)) % instance.servers.all().size();
+        instance.start(server, "subject-" + part);
       }
       instances.forEach(this::endSome);
       instances.stream().filter(each -> !each.down).forEach(each -> each.exchange.tick());
@@ -159,7 +167,7 @@
     }
   }
 
-  /** The instances that others report to: those that are sent most. */
+  /** The names of the collectors. */
   Set<String> collectors() {
     return LoadCollectorChoice.of(names);
   }
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/peer/LoadNewsTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/peer/LoadNewsTests.java
@@ -32,25 +32,27 @@
   private static final int FUZZED = 20_000;
 
   @Test
-  void readsWhatItWrote() {
+  void decodesWhatWasEncoded() {
     assertEquals(NEWS, LoadNews.decode(NEWS.encode()));
   }
 
-  /** Guards against a datagram that was cut, of which the rest would be taken for other numbers. */
+  /**
+   * A truncated or extended datagram must be rejected, or its rest would be read as wrong numbers.
+   */
   @Test
-  void refusesAMessageThatIsTooShortOrTooLong() {
-    byte[] whole = NEWS.encode();
-    for (int length = 0; length < whole.length; length++) {
-      byte[] torn = Arrays.copyOf(whole, length);
-      assertThrows(IllegalArgumentException.class, () -> LoadNews.decode(torn));
+  void rejectsATruncatedOrExtendedMessage() {
+    byte[] complete = NEWS.encode();
+    for (int length = 0; length < complete.length; length++) {
+      byte[] truncated = Arrays.copyOf(complete, length);
+      assertThrows(IllegalArgumentException.class, () -> LoadNews.decode(truncated));
     }
-    byte[] longer = Arrays.copyOf(whole, whole.length + 1);
+    byte[] longer = Arrays.copyOf(complete, complete.length + 1);
     assertThrows(IllegalArgumentException.class, () -> LoadNews.decode(longer));
   }
 
   /** An instance of another version may run beside this one during a rolling restart. */
   @Test
-  void refusesAnotherLayoutAndScope() {
+  void rejectsAnotherLayoutAndAnUnknownScope() {
     byte[] otherLayout = NEWS.encode();
     otherLayout[0]++;
     assertThrows(IllegalArgumentException.class, () -> LoadNews.decode(otherLayout));
@@ -59,9 +61,9 @@
     assertThrows(IllegalArgumentException.class, () -> LoadNews.decode(otherScope));
   }
 
-  /** Guards against a forged datagram that ends the instance, or that nobody hears of. */
+  /** A forged datagram must neither end the instance nor go uncounted. */
   @Test
-  void dropsAndCountsWhatIsNoMessage() {
+  void countsAndDropsMessagesThatCannotBeDecoded() {
     LoadExchange exchange =
         new LoadExchange(
             "a",
@@ -84,16 +86,17 @@
   }
 
   /**
-   * Guards against an instance that is heard no more once its clock was set back and it restarted.
+   * The messages of an instance must be accepted after it restarted with its clock set back,
+   * although its sequence numbers are lower.
    */
   @Test
-  void hearsAProcessThatCountsFromBelowItsPredecessor() {
-    HeardLoads heard = new HeardLoads(Duration.ofSeconds(1));
+  void acceptsLowerSequenceNumbersFromASilentSender() {
+    HeardLoads loads = new HeardLoads(Duration.ofSeconds(1));
     Instant now = Instant.EPOCH;
     LoadNews later = new LoadNews(LoadNews.Scope.GROUP, "b", 9, true, List.of(), List.of());
     LoadNews lower = new LoadNews(LoadNews.Scope.GROUP, "b", 3, true, List.of(), List.of());
-    assertTrue(heard.hear(later, now));
-    assertFalse(heard.hear(lower, now));
-    assertTrue(heard.hear(lower, now.plusSeconds(2)));
+    assertTrue(loads.hear(later, now));
+    assertFalse(loads.hear(lower, now));
+    assertTrue(loads.hear(lower, now.plusSeconds(2)));
   }
 }
