--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/server/BackendServer.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/server/BackendServer.java
@@ -4,10 +4,11 @@
 import org.teaseldeal.api.BackendServerId;
 
 /**
- * One incarnation of a backend server as listed, and this instance's own work at it.
+ * One incarnation of a backend server as listed, with the requests that this instance has running
+ * there.
  *
- * <p>A server that starts again under its id is another object. So what still runs at the process
- * before is counted there, and its end can't be taken off the counts of the new one.
+ * <p>Each incarnation has its own object. Requests that still run at an earlier process are counted
+ * in that process's object, so their end doesn't lower the counters of the new one.
  */
 public final class BackendServer {
   private final ServerIncarnation incarnation;
@@ -21,7 +22,11 @@
   private long promptTokensAhead;
   private Instant avoidUntil = Instant.MIN;
 
-  /** Creates a server; {@code onWork} runs after each change of what this instance has there. */
+  /**
+   * Creates a server.
+   *
+   * @param onWork runs after each change of the load that this instance has outstanding there
+   */
   BackendServer(ServerListing listing, Runnable onWork) {
     this.onWork = onWork;
     this.incarnation = listing.incarnation();
@@ -32,74 +37,77 @@
     this.leaving = listing.leaving();
   }
 
-  /** Names the server; the next incarnation may have the same id. */
+  /** The server's id, which stays the same when the server restarts. */
   public BackendServerId id() {
     return incarnation.id();
   }
 
-  /** Names this run of its process. */
+  /** The incarnation, which is different after each restart. */
   public ServerIncarnation incarnation() {
     return incarnation;
   }
 
-  /** The service it belongs to. */
+  /** The name of the service that the server belongs to. */
   public String service() {
     return service;
   }
 
-  /** {@code host:port} by IP number. */
+  /** The address as {@code host:port}, with an IP address as the host. */
   public String address() {
     return address;
   }
 
-  /** Where it stands. */
+  /** The data centre in which the server runs. */
   public String dataCentre() {
     return dataCentre;
   }
 
-  /** Requests that it runs at once. */
+  /** The number of requests that the server runs at once. */
   public int places() {
     return places;
   }
 
-  /** Whether it may be given requests, as far as the list says. */
+  /** Whether the server accepts new requests according to the list. */
   public boolean listedAsReady() {
     return !leaving;
   }
 
-  /** Requests of this instance that it has now. */
+  /** The number of this instance's requests that run there now. */
   public int running() {
     return running;
   }
 
-  /** Prompt tokens sent by this instance whose answer hasn't begun. */
+  /** The prompt tokens of this instance's requests whose answers have not begun. */
   public long promptTokensAhead() {
     return promptTokensAhead;
   }
 
-  /** Whether a recent failure says that a request would not reach it. */
+  /** Whether the server gets no requests because of a recent failure that would probably recur. */
   public boolean avoided(Instant now) {
     return now.isBefore(avoidUntil);
   }
 
-  /** Gives it no requests until {@code until}. */
+  /** Sends no requests to the server until {@code until}. */
   public void avoidUntil(Instant until) {
     avoidUntil = until;
   }
 
-  /** Leaving is final: a list that lags can't revive an incarnation. */
+  /**
+   * Marks the server as leaving. This is final, so that an outdated listing can't make the
+   * incarnation ready again.
+   */
   void markLeaving() {
     leaving = true;
   }
 
-  /** Counts a request as sent there. */
+  /** Counts a request that was sent to the server. */
   public void started(long promptTokens) {
     running++;
     promptTokensAhead += promptTokens;
     onWork.run();
   }
 
-  /** Counts a prompt as read: the answer has begun, or never will. */
+  /** Counts a prompt as read, because the answer has begun or the request has ended. */
   public void promptRead(long promptTokens) {
     promptTokensAhead -= promptTokens;
     onWork.run();
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/server/CachedPrompts.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/server/CachedPrompts.java
@@ -9,23 +9,26 @@
 import java.util.Map;
 
 /**
- * Which parts of prompts are thought to lie in the caches of backend servers, as this instance and
- * others have sent them there.
+ * The parts of prompts that are presumably in the caches of backend servers, because this instance
+ * or another one has sent them there.
  *
- * <p>A belief that is wrong costs a worse choice of server, nothing else. What a cache has dropped
- * since isn't known here; the parts that are used least are forgotten first, as they are there.
+ * <p>An entry that is wrong only leads to a worse choice of a server. Evictions from a server's
+ * cache aren't known here. The least recently used parts are evicted first, as the servers do.
  */
 public final class CachedPrompts {
-  /** Bounds memory to some megabytes; a fleet of a hundred servers caches fewer parts. */
+  /**
+   * Limits memory use to some megabytes. The servers of a fleet of a hundred servers cache fewer
+   * parts than this.
+   */
   private static final int MOST_COPIES = 16_384;
 
-  /** As many as fit into a datagram beside the loads. */
+  /** As many parts as fit into a datagram in addition to the loads. */
   private static final int MOST_NEWS = 48;
 
   /**
-   * One part at one server.
+   * One part in the cache of one server.
    *
-   * @param part a hash of its id, which is longer
+   * @param part a hash of the part's id, which is longer
    */
   public record Copy(ServerIncarnation server, long part) {}
 
@@ -43,7 +46,7 @@
 
   private final Deque<News> news = new ArrayDeque<>();
 
-  /** Takes note that a prompt with {@code parts} was sent to {@code server}. */
+  /** Records that a prompt with {@code parts} was sent to {@code server}. */
   public void onSent(ServerIncarnation server, List<String> parts, Instant now) {
     for (String part : parts) {
       Copy copy = new Copy(server, hash(part));
@@ -56,29 +59,32 @@
     }
   }
 
-  /** Takes note of what another instance has sent. */
+  /** Records a part that another instance has sent to a server. */
   public void onHeard(Copy copy) {
     copies.put(copy, true);
   }
 
-  /** Takes back that a prompt was sent: the server has not run it. */
+  /** Removes the parts of a prompt that was sent to {@code server} but not run. */
   public void onNotRun(ServerIncarnation server, List<String> parts) {
     parts.forEach(part -> copies.remove(new Copy(server, hash(part))));
   }
 
-  /** Whether {@code server} is thought to hold {@code part}. */
+  /** Whether {@code part} is presumably in the cache of {@code server}. */
   public boolean holds(ServerIncarnation server, String part) {
     return copies.containsKey(new Copy(server, hash(part)));
   }
 
-  /** What this instance has sent for the first time since {@code earliest}. */
+  /**
+   * The parts that this instance has sent to a server for the first time at or after {@code
+   * earliest}.
+   */
   public List<Copy> sentSince(Instant earliest) {
     return news.stream().filter(each -> !each.since().isBefore(earliest)).map(News::copy).toList();
   }
 
-  /** The copies that were used last, {@code most} of them. */
-  public List<Copy> newest(int most) {
-    return copies.keySet().stream().skip(Math.max(0, copies.size() - most)).toList();
+  /** The {@code limit} most recently used parts. */
+  public List<Copy> newest(int limit) {
+    return copies.keySet().stream().skip(Math.max(0, copies.size() - limit)).toList();
   }
 
   private static long hash(String part) {
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/server/DepartedServers.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/server/DepartedServers.java
@@ -7,18 +7,22 @@
 import org.teaseldeal.api.BackendServerId;
 
 /**
- * The newest incarnation of each server that is off the list.
+ * The latest incarnation of each server that is no longer listed.
  *
- * <p>Failure: a server leaves, its line is taken away, and a late line of the same process, or of
- * one before it, lists it again. Symptom: requests are sent to a process that ends, or has ended.
+ * <p>After a server has left and its listing was removed, a delayed listing of the same or of an
+ * earlier process could list it again. Requests would then be sent to a process that is ending or
+ * has ended.
  */
 final class DepartedServers {
-  /** Some tens of fleets; a line isn't late by so many departures. About 200 bytes each. */
+  /**
+   * The size of some tens of fleets: a listing isn't delayed for so many departures. An entry takes
+   * about 200 bytes.
+   */
   private static final int MOST = 4_096;
 
   /**
-   * Longer than lines are late: the store is away for some ten seconds at most. Not for good, as a
-   * server whose clock was set back starts with an earlier start.
+   * Longer than a listing is delayed, as the store is unavailable for some ten seconds at most. The
+   * time is limited because a server restarts with an earlier start time if its clock was set back.
    */
   private static final Duration KEPT = Duration.ofMinutes(2);
 
@@ -33,17 +37,19 @@
       };
   private Instant now = Instant.MIN;
 
-  /** Forgets those that are gone for long. */
+  /** Forgets the servers that left longer ago than the retention time. */
   void tick(Instant time) {
     now = time;
     departed.values().removeIf(each -> !each.at().plus(KEPT).isAfter(time));
   }
 
   /**
-   * Takes note that a server is gone; {@code left} if it had said that it leaves.
+   * Records that a server is no longer listed.
+   *
+   * <p>A server without a start time isn't recorded: a later listing might be of another process,
+   * and a server that returns must be used.
    *
-   * <p>Nothing is kept of one without a start: whether a later line is another process can't be
-   * told, and a server that returns must be used.
+   * @param left whether the server had announced that it leaves
    */
   void add(ServerIncarnation incarnation, boolean left) {
     if (incarnation.startedAt().isPresent()) {
@@ -53,19 +59,19 @@
   }
 
   /**
-   * Whether {@code listed} may not come back.
+   * Whether a listing of {@code listed} is to be ignored.
    *
-   * <p>The same process may if it hadn't said that it leaves. It was cut off from the list for
-   * longer than its line lasts, and only its own heartbeat writes the line anew. Were this a late
-   * line after all, it would cost a refused connection; shutting out a server that runs would cost
-   * its places until it starts again.
+   * <p>The same process is accepted again if it had not announced that it leaves. It was isolated
+   * from the list until its listing expired, and only its own heartbeat writes the listing again.
+   * If this is a delayed listing after all, it costs a refused connection, whereas ignoring a
+   * running server would cost its capacity until it restarts.
    */
   boolean shutsOut(ServerIncarnation listed) {
-    Departed before = departed.get(listed.id());
-    if (before == null || listed.startedAfter(before.incarnation())) {
+    Departed known = departed.get(listed.id());
+    if (known == null || listed.startedAfter(known.incarnation())) {
       return false;
     }
-    return before.left() || !listed.equals(before.incarnation());
+    return known.left() || !listed.equals(known.incarnation());
   }
 
   /** Forgets a server that is listed again. */
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/server/ListChange.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/server/ListChange.java
@@ -2,18 +2,18 @@
 
 import java.util.Locale;
 
-/** What a line of the list changed in what is believed of its server. */
+/** How an entry of the server list changed what is known of its server. */
 public enum ListChange {
-  /** Nothing: it was known, or the line is out of date or names no server. */
+  /** Nothing changed: the listing was known, is outdated or is not accepted as a server's. */
   NONE,
-  /** A server is new, or back. */
+  /** A server is listed for the first time or again. */
   READY,
-  /** A server takes no new requests. */
+  /** A server accepts no new requests any more. */
   LEAVING,
-  /** A server started again under its id, and takes requests. */
+  /** A server restarted under its id and accepts requests. */
   RESTARTED;
 
-  /** The name in the log. */
+  /** The name in the event log. */
   public String label() {
     return name().toLowerCase(Locale.ROOT);
   }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/server/ServerDirectory.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/server/ServerDirectory.java
@@ -14,7 +14,7 @@
 import java.util.function.Consumer;
 import org.teaseldeal.api.BackendServerId;
 
-/** The backend servers that are listed, by service. */
+/** The backend servers that are listed, by id and by service. */
 public final class ServerDirectory {
   private final Map<BackendServerId, BackendServer> servers = new HashMap<>();
   private final Map<BackendServerId, Instant> lapsed = new HashMap<>();
@@ -25,19 +25,23 @@
   private long changes;
   private long workChanges;
 
-  /** Stays set: good lines may all be gone for a moment while another writer's stay. */
+  /**
+   * Whether listings without a start time are ignored. Once set it stays set, as the listings with
+   * a start time may all be missing for a moment while those of another writer remain.
+   */
   private boolean startsTold;
 
-  /** Tells {@code listener} of each incarnation that a later one of its id takes the place of. */
+  /** Sets the listener that is called with each incarnation that a later one has replaced. */
   public void onReplaced(Consumer<BackendServer> listener) {
     replacedListener = listener;
   }
 
   /**
-   * Takes in a line of the list.
+   * Processes an entry of the server list.
    *
-   * <p>A line of a later incarnation replaces what is known of its server; of an earlier one, it
-   * changes nothing. Of the same one, leaving is final, and nothing else changes.
+   * <p>A listing of a later incarnation replaces the known one, a listing of an earlier incarnation
+   * is ignored. In a listing of the known incarnation only the change to leaving has an effect, and
+   * it is final.
    */
   public ListChange put(ServerListing listing) {
     if (startsTold && listing.startedAt().isEmpty()) {
@@ -54,8 +58,8 @@
     if (!listing.incarnation().equals(known.incarnation())) {
       return ListChange.NONE;
     }
-    boolean missed = lapsed.remove(listing.id()) != null;
-    boolean back = unusable.remove(listing.id()) || missed;
+    boolean hadExpired = lapsed.remove(listing.id()) != null;
+    boolean back = unusable.remove(listing.id()) || hadExpired;
     if (!known.listedAsReady()) {
       return ListChange.NONE;
     }
@@ -102,15 +106,16 @@
     lapsed.remove(server.id());
     servers.remove(server.id());
     server.markLeaving();
-    Map<BackendServerId, BackendServer> others = byService.get(server.service());
-    if (others != null) {
-      others.remove(server.id());
+    Map<BackendServerId, BackendServer> ofService = byService.get(server.service());
+    if (ofService != null) {
+      ofService.remove(server.id());
     }
   }
 
   /**
-   * Gives a server no new requests until {@link #put} has a good line of it again: its newest line
-   * can't be used, and may be another writer's. It isn't leaving, and what runs there goes on.
+   * Sends no new requests to a server until {@link #put} receives a valid listing of it. Its latest
+   * listing is invalid and may be from another writer. The server doesn't count as leaving, and
+   * requests that run there continue.
    */
   public void unusable(BackendServerId id) {
     if (servers.containsKey(id) && unusable.add(id)) {
@@ -118,7 +123,7 @@
     }
   }
 
-  /** Takes a line out of the list: the server left, or was silent for too long. */
+  /** Removes a server whose listing is gone because it left or was silent for too long. */
   public void remove(BackendServerId id) {
     BackendServer removed = servers.get(id);
     if (removed != null) {
@@ -128,13 +133,14 @@
   }
 
   /**
-   * Keeps a server whose line is missing for a little longer; for the time just after an outage of
-   * the list.
+   * Keeps a server whose listing has expired until {@code until}; for use shortly after an outage
+   * of the list.
    *
-   * <p>Failure: while the list can't be written, servers can't renew their lines and all of them
-   * expire. Symptom: when it is back the list is empty for some seconds, and every request is
-   * refused although all servers are well. A server that is gone for good fails fast, and one that
-   * left serves on for as long, so keeping both until {@code until} costs a second attempt at most.
+   * <p>While the list can't be written, servers can't renew their listings, so all listings expire.
+   * Without the grace period the list would be empty for some seconds after the outage, and every
+   * request would be refused although all servers are healthy. A server that is really gone fails
+   * fast, and one that left continues to serve for as long as the grace period, so keeping them
+   * costs a second attempt at most.
    */
   public void lapse(BackendServerId id, Instant until) {
     BackendServer server = servers.get(id);
@@ -145,59 +151,64 @@
     }
   }
 
-  /** Removes what has not come back in time and what names no server, and returns it. */
+  /**
+   * Removes and returns the servers whose grace period has ended without a new listing, and the
+   * servers whose listing without a start time is not accepted any more.
+   */
   public List<BackendServer> tick(Instant now) {
     departed.tick(now);
-    Set<BackendServer> gone = new LinkedHashSet<>();
+    Set<BackendServer> removed = new LinkedHashSet<>();
     lapsed.forEach(
         (id, until) -> {
           if (!now.isBefore(until)) {
-            find(id).ifPresent(gone::add);
+            find(id).ifPresent(removed::add);
           }
         });
     if (!startsTold && mostTellStarts()) {
       startsTold = true;
-      gone.addAll(servers.values().stream().filter(server -> !tellsStart(server)).toList());
+      removed.addAll(servers.values().stream().filter(server -> !tellsStart(server)).toList());
     }
-    gone.forEach(server -> remove(server.id()));
-    return List.copyOf(gone);
+    removed.forEach(server -> remove(server.id()));
+    return List.copyOf(removed);
   }
 
   /**
-   * Whether the list is of a fleet that tells starts, so that a line without one names no server.
+   * Whether at least half of the listings have a start time. Listings without one are then not
+   * accepted.
    *
-   * <p>Failure: another writer's line is taken for a server's. Symptom: requests are sent to an
-   * address that is none of the platform's. All servers of a fleet tell their start, or none does;
-   * half of the list decides, so that one line of another writer can't take a whole fleet away.
+   * <p>Otherwise an entry of another writer could be taken for a server, and requests would be sent
+   * to an address outside the platform. Either all servers of a fleet publish their start time or
+   * none does. At least half must have one so that a single entry of another writer can't remove a
+   * whole fleet.
    */
   private boolean mostTellStarts() {
-    long telling = servers.values().stream().filter(ServerDirectory::tellsStart).count();
-    return telling > 0 && 2 * telling >= servers.size();
+    long withStartTime = servers.values().stream().filter(ServerDirectory::tellsStart).count();
+    return withStartTime > 0 && 2 * withStartTime >= servers.size();
   }
 
   private static boolean tellsStart(BackendServer server) {
     return server.incarnation().startedAt().isPresent();
   }
 
-  /** Removes all that are not among {@code listed}, after the list was read anew. */
+  /** Removes all servers that {@code listed} doesn't contain, after the list was read again. */
   public void retain(Set<BackendServerId> listed) {
     missing(listed).forEach(this::remove);
   }
 
-  /** Lets all lapse that are not among {@code listed}. */
+  /** Applies {@link #lapse} to all servers that {@code listed} doesn't contain. */
   public void lapseOthers(Set<BackendServerId> listed, Instant until) {
     missing(listed).forEach(id -> lapse(id, until));
   }
 
   private List<BackendServerId> missing(Set<BackendServerId> listed) {
-    List<BackendServerId> gone = new ArrayList<>(servers.keySet());
-    gone.removeAll(listed);
-    return gone;
+    List<BackendServerId> unlisted = new ArrayList<>(servers.keySet());
+    unlisted.removeAll(listed);
+    return unlisted;
   }
 
   /**
-   * The servers of a service that are listed as ready. Servers of a service that no configuration
-   * names are held too: nobody asks for them until one does.
+   * The servers of a service that accept requests according to the list. Servers of a service that
+   * no configuration contains are kept too, for a configuration that adds the service.
    */
   public List<BackendServer> ready(String service) {
     Map<BackendServerId, BackendServer> all = byService.get(service);
@@ -209,28 +220,28 @@
         .toList();
   }
 
-  /** A listed server by its id. */
+  /** The listed server with an id. */
   public Optional<BackendServer> find(BackendServerId id) {
     return Optional.ofNullable(servers.get(id));
   }
 
-  /** Whether this incarnation is listed; not so once a later one of its id is. */
+  /** Whether this incarnation is listed; false once a later incarnation of its id is listed. */
   public boolean lists(ServerIncarnation incarnation) {
     BackendServer known = servers.get(incarnation.id());
     return known != null && known.incarnation().equals(incarnation);
   }
 
-  /** All that are listed. */
+  /** All listed servers. */
   public Collection<BackendServer> all() {
     return servers.values();
   }
 
-  /** Counts up with each change of which servers are listed, and of which of them are ready. */
+  /** A counter that increases whenever a server is listed, removed, or changes its readiness. */
   public long changes() {
     return changes;
   }
 
-  /** Counts up with each change of what this instance has outstanding at any server. */
+  /** A counter that increases whenever the load of this instance at any server changes. */
   public long workChanges() {
     return workChanges;
   }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/server/ServerIncarnation.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/server/ServerIncarnation.java
@@ -5,16 +5,18 @@
 import org.teaseldeal.api.BackendServerId;
 
 /**
- * One run of a backend server's process, which may start again under the id that it had.
+ * One process of a backend server. The server may restart under the same id as another incarnation.
  *
- * @param startedAt by the server's own clock; empty if it doesn't tell
+ * @param startedAt the process's start time by the server's own clock; empty if the server doesn't
+ *     publish it
  */
 public record ServerIncarnation(BackendServerId id, Optional<Instant> startedAt) {
   /**
-   * Whether this one started after {@code other} of the same id.
+   * Whether this incarnation started after {@code other}, which has the same id.
    *
-   * <p>One that tells its start follows one that doesn't: releases that don't are the older ones,
-   * and a process that tells its start tells it from its first line on.
+   * <p>An incarnation with a start time counts as later than one without: only older releases
+   * publish no start time, and a process that publishes its start time does so from its first
+   * listing on.
    */
   boolean startedAfter(ServerIncarnation other) {
     if (startedAt.isEmpty()) {
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/server/ServerListing.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/server/ServerListing.java
@@ -6,12 +6,15 @@
 import org.teaseldeal.api.Preconditions;
 
 /**
- * One line of the list of backend servers.
+ * One entry of the list of backend servers.
  *
- * @param address {@code host:port} by IP number
- * @param places requests that it runs at once
- * @param leaving whether it takes no new requests
- * @param startedAt when the server's process started, by its own clock; empty if it doesn't tell
+ * @param service the name of the service that the server belongs to
+ * @param address the address as {@code host:port}, with an IP address as the host
+ * @param dataCentre the data centre in which the server runs
+ * @param places the number of requests that the server runs at once
+ * @param leaving whether the server accepts no new requests
+ * @param startedAt when the server's process started, by its own clock; empty if the server doesn't
+ *     publish it
  */
 public record ServerListing(
     BackendServerId id,
@@ -27,7 +30,7 @@
     Preconditions.requirePositive(places, "places of " + id);
   }
 
-  /** The process that the line is of. */
+  /** The incarnation that the entry describes. */
   public ServerIncarnation incarnation() {
     return new ServerIncarnation(id, startedAt);
   }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/server/package-info.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/server/package-info.java
@@ -1,4 +1,4 @@
-/** What is known of backend servers. */
+/** The backend servers as listed, their load from this instance and their presumed caches. */
 @NullMarked
 package org.teaseldeal.gateway.server;
 
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/server/CachedPromptsTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/server/CachedPromptsTests.java
@@ -17,37 +17,37 @@
   private final CachedPrompts cached = new CachedPrompts();
 
   @Test
-  void knowsWhatWasSent() {
+  void containsThePartsThatWereSent() {
     cached.onSent(FIRST, List.of("a", "b"), NOW);
     assertTrue(cached.holds(FIRST, "a"));
     assertFalse(cached.holds(FIRST, "c"));
   }
 
-  /** A server that started again has an empty cache. */
+  /** A restarted server has an empty cache. */
   @Test
-  void knowsNothingOfTheNextIncarnation() {
+  void containsNoPartsOfALaterIncarnation() {
     cached.onSent(FIRST, List.of("a"), NOW);
     assertFalse(cached.holds(incarnation(NOW.plusMillis(1)), "a"));
   }
 
   @Test
-  void forgetsWhatWasNotRun() {
+  void removesThePartsOfAPromptThatWasNotRun() {
     cached.onSent(FIRST, List.of("a"), NOW);
     cached.onNotRun(FIRST, List.of("a"));
     assertFalse(cached.holds(FIRST, "a"));
   }
 
   @Test
-  void tellsEachPartForAWhileAndOnlyWhenNew() {
+  void reportsAPartAsSentOnlyTheFirstTime() {
     cached.onSent(FIRST, List.of("a"), NOW);
     cached.onSent(FIRST, List.of("a"), NOW.plusMillis(200));
     assertEquals(1, cached.sentSince(NOW).size());
     assertEquals(List.of(), cached.sentSince(NOW.plusMillis(100)));
   }
 
-  /** Memory stays bounded over a day of ever new subjects; the latest are known. */
+  /** Memory use stays bounded if new prompt parts keep coming; the most recent ones are kept. */
   @Test
-  void forgetsTheLeastUsedBeyondItsBound() {
+  void evictsTheLeastRecentlyUsedParts() {
     for (int i = 0; i < 50_000; i++) {
       cached.onSent(FIRST, List.of("subject-" + i), NOW);
     }
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/server/ServerDirectoryTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/server/ServerDirectoryTests.java
@@ -33,11 +33,12 @@
   }
 
   /**
-   * Callers are served right after an outage of the list. All servers' lines expired in it, as none
-   * could be renewed; one server writes its line again in time, the other is gone for good.
+   * All listings expired in an outage of the list because none could be renewed. Right after it,
+   * the servers are kept for a grace period. One server renews its listing in time, the other one
+   * is gone.
    */
   @Test
-  void keepsServersWhoseLinesLapsedInAnOutageForAWhile() {
+  void keepsServersForAGracePeriodAfterAnOutageOfTheList() {
     directory.lapseOthers(Set.of(), UNTIL);
     directory.tick(UNTIL.minusMillis(1));
     assertEquals(2, directory.ready("models").size());
@@ -47,25 +48,25 @@
     assertEquals(1, directory.ready("models").size());
   }
 
-  /** A server that said it leaves gets nothing more, also where its line goes in an outage. */
+  /** A server that announced that it leaves gets no grace period after an outage of the list. */
   @Test
-  void dropsAServerThatWasLeavingAtOnce() {
+  void removesALeavingServerWithoutAGracePeriod() {
     directory.put(listing("a", true));
     directory.lapse(new BackendServerId("a"), UNTIL);
     assertEquals(1, directory.all().size());
   }
 
   @Test
-  void listsNoServerAgainThatSaidItLeaves() {
+  void keepsAServerLeavingIfAnOutdatedListingFollows() {
     directory.put(listing("a", true));
     directory.put(listing("a", false));
     assertEquals(1, directory.ready("models").size());
   }
 
   /**
-   * Callers are served by a server that crashed and came back within its line's time. It starts
-   * under the id that it had, at another address and for another service, and holds nothing of
-   * before; what this instance had there counts for the process that is gone.
+   * A server crashes and restarts under its id before its listing expires, at another address and
+   * for another service. Nothing of the earlier process applies to the new one; requests that this
+   * instance had there count for the earlier process.
    */
   @Test
   void replacesAnIncarnationByALaterOne() {
@@ -90,7 +91,7 @@
     assertEquals(32, restarted.places());
     assertEquals(0, restarted.running());
     assertEquals(0, restarted.promptTokensAhead());
-    assertFalse(restarted.avoided(BACK), "the earlier incarnation's pause holds");
+    assertFalse(restarted.avoided(BACK), "the earlier incarnation's exclusion still applies");
     assertEquals(List.of("c"), ready("desk"));
     assertEquals(List.of("a", "b"), ready("models"));
     crashed.ended();
@@ -98,38 +99,40 @@
     assertEquals(List.of(crashed), replaced);
   }
 
-  /** A server that was draining ends and starts again under its id: it serves at once. */
+  /** A draining server ends and restarts under its id. It can be chosen at once. */
   @Test
-  void listsAServerThatLeftAndStartedAgain() {
+  void listsAServerThatLeftAndRestarted() {
     directory.put(started("c", FIRST, true));
     directory.put(started("c", SECOND, false));
     assertEquals(List.of("a", "b", "c"), ready("models"));
   }
 
   /**
-   * No request goes to a process that has ended. Its last lines arrive after those of its
-   * successor: one says that it is ready, one that it leaves.
+   * The last listings of a process that has ended arrive after those of its successor. One says
+   * that the process is ready, one that it leaves; neither may have an effect.
    */
   @Test
-  void ignoresLinesOfAnEarlierIncarnation() {
+  void ignoresListingsOfAnEarlierIncarnation() {
     directory.put(started("c", SECOND, false));
     BackendServer current = find("c");
     directory.put(started("c", FIRST, false));
     directory.put(started("c", FIRST, true));
     assertSame(current, find("c"));
-    assertTrue(current.listedAsReady(), "an earlier incarnation's line took its successor away");
+    assertTrue(current.listedAsReady(), "a listing of an earlier incarnation made it leave");
   }
 
   @Test
-  void keepsAnIncarnationThatLeavesShutOut() {
+  void keepsALeavingIncarnationFromBecomingReadyAgain() {
     directory.put(started("c", FIRST, true));
     directory.put(started("c", FIRST, false));
     assertEquals(List.of("a", "b"), ready("models"));
   }
 
-  /** The line of a server that left is gone, and a late one of the same process follows. */
+  /**
+   * The listing of a server that left is removed, and a delayed one of the same process follows.
+   */
   @Test
-  void listsNoServerAgainThatLeftAndIsGone() {
+  void ignoresADelayedListingOfAServerThatLeft() {
     directory.put(started("c", FIRST, true));
     directory.remove(new BackendServerId("c"));
     directory.put(started("c", FIRST, false));
@@ -139,16 +142,16 @@
   }
 
   @Test
-  void listsNoEarlierIncarnationOfAServerThatIsGone() {
+  void ignoresAnEarlierIncarnationOfARemovedServer() {
     directory.put(started("c", SECOND, false));
     directory.remove(new BackendServerId("c"));
     directory.put(started("c", FIRST, false));
     assertEquals(List.of("a", "b"), ready("models"));
   }
 
-  /** A server's clock is set back and it starts again: it isn't shut out for good. */
+  /** A server that restarts with its clock set back must not be ignored forever. */
   @Test
-  void listsAServerWithAnEarlierStartInTheEnd() {
+  void acceptsAnEarlierStartTimeAfterTheRetentionTime() {
     directory.tick(BACK);
     directory.put(started("c", SECOND, false));
     directory.remove(new BackendServerId("c"));
@@ -161,45 +164,51 @@
   }
 
   /**
-   * A server that was cut off from the list serves again once it is back. It lived on meanwhile, so
-   * its line comes with the start that it had; only its own heartbeat can have written it.
+   * A server was isolated from the list until its listing expired, and kept running. Its listing
+   * returns with the same start time, and only its own heartbeat can have written it.
    */
   @Test
-  void listsAServerAgainWhoseLineHadExpired() {
+  void listsAServerAgainAfterItsListingHadExpired() {
     directory.put(started("c", FIRST, false));
     directory.remove(new BackendServerId("c"));
     directory.put(started("c", FIRST, false));
     assertEquals(List.of("a", "b", "c"), ready("models"));
   }
 
-  /** A line without a start, under the id of a server that tells its own, is another writer's. */
+  /**
+   * A listing without a start time, under the id of a server that publishes its start time, is from
+   * another writer.
+   */
   @Test
-  void ignoresALineWithoutAStartBehindOneWithAStart() {
+  void ignoresAListingWithoutAStartTimeAfterOneWithAStartTime() {
     directory.put(started("c", FIRST, false));
     BackendServer current = find("c");
     directory.put(listing("c", true));
     assertSame(current, find("c"));
-    assertTrue(current.listedAsReady(), "a line without a start took the server away");
+    assertTrue(current.listedAsReady(), "a listing without a start time made the server leave");
     directory.remove(new BackendServerId("c"));
     directory.put(listing("c", false));
     assertEquals(List.of("a", "b"), ready("models"));
   }
 
-  /** A server's new release tells its start; the process that didn't has ended. */
+  /**
+   * A new release of a server publishes its start time. The process that didn't publish one has
+   * ended.
+   */
   @Test
-  void replacesAServerWithoutAStartByOneWithAStart() {
+  void replacesAServerWithoutAStartTimeByOneWithAStartTime() {
     directory.put(listing("a", true));
     directory.put(started("a", FIRST, false));
     assertEquals(2, directory.ready("models").size());
   }
 
   /**
-   * No request goes to an address that another writer put on the list. All servers of the platform
-   * tell their start; lines without one stand among them from the beginning, or come later, also
-   * while the good lines are gone for a moment.
+   * No request may be sent to an address that another writer put on the list. All servers of the
+   * platform publish their start time. Listings without one are there from the beginning or come
+   * later, also while the valid listings are missing for a moment.
    */
   @Test
-  void usesNoServerWithoutAStartOnceMostTellOne() {
+  void ignoresServersWithoutAStartTimeOnceMostHaveOne() {
     directory.put(started("c", FIRST, false));
     directory.tick(BACK);
     assertEquals(List.of("a", "b", "c"), ready("models"));
@@ -212,9 +221,9 @@
     assertEquals(List.of(), ready("models"));
   }
 
-  /** A fleet whose servers tell no start isn't taken away by the one line that tells one. */
+  /** A single listing with a start time must not remove a fleet whose servers publish none. */
   @Test
-  void keepsAFleetWithoutStarts() {
+  void keepsAFleetWithoutStartTimes() {
     directory.put(started("c", FIRST, false));
     directory.remove(new BackendServerId("c"));
     directory.tick(BACK);
