--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/quarantine/RequestQuarantine.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/quarantine/RequestQuarantine.java
@@ -17,44 +17,52 @@
 import org.teaseldeal.gateway.server.ServerIncarnation;
 
 /**
- * Stops requests that crash each backend server that begins to run them.
+ * Quarantines requests that crash each backend server that runs them.
  *
- * <p>Failure: one request ends a server; its caller, or an instance, sends it again, and it ends
- * the next. Symptom: servers of one service are down in turn, and everybody's requests that ran
- * there fail with it. Each instance sees only some of the tries, so each tells the others on the
- * shared log what it has seen, and all count together.
+ * <p>If a request crashes a server and its caller or an instance sends it again, it crashes the
+ * next server too. The servers of the service would be down one after the other, and all other
+ * requests that run there would fail. Each instance sees only some of the attempts, so the
+ * instances share their counts through the shared log and add them up.
  *
- * <p>A broken connection alone proves no crash: an answer may have been lost on its way. It counts
- * only once the server can't be connected to, is gone from the list, or is listed with a later
- * start. A request that happened to run beside the culprit is counted too; that it happens to
- * {@link #LIMIT} servers in a row without one answer between is too rare to matter.
+ * <p>A broken connection alone doesn't prove a crash, as an answer may have been lost in the
+ * network. It counts only once the server refuses connections, is gone from the list, or is listed
+ * with a later start time. A request that ran beside the crashing one is counted too. That this
+ * happens to the same request {@link #LIMIT} times without an answer in between is too unlikely to
+ * matter.
  */
 public final class RequestQuarantine implements LogParticipant {
-  /** Crashes after which a request isn't sent any more; two may be chance when a rack fails. */
+  /**
+   * The number of crashes from which on a request is not sent any more. Two crashes may be a
+   * coincidence when a rack fails.
+   */
   static final int LIMIT = 3;
 
-  /** A crashed server refuses connections, or is taken off the list, within this time. */
+  /** A crashed server refuses connections or is removed from the list within this time. */
   private static final Duration PROOF_WITHIN = Duration.ofSeconds(6);
 
-  /** Callers who send a request again do so within minutes; the log needn't hold it for longer. */
+  /**
+   * How long this instance keeps its count of a request. Callers repeat a request within minutes,
+   * so the shared log need not keep it for longer.
+   */
   private static final Duration FORGET_AFTER = Duration.ofMinutes(3);
 
   /**
-   * An instance takes its count back after {@link #FORGET_AFTER}; what is there for longer is
-   * nobody's, or another writer's, and would stop a request for good.
+   * How long the count of another instance is kept. An instance cancels its count after {@link
+   * #FORGET_AFTER}. A count that is still there later is from an instance that is gone or from
+   * another writer, and would block a request forever.
    */
   private static final Duration FORGET_OTHERS_AFTER = FORGET_AFTER.plusMinutes(1);
 
-  /** Bounds memory when many servers crash at once: thirty requests run at each. */
+  /** Limits memory use when many servers crash at once; some thirty requests run at each server. */
   private static final int MOST_TRACKED = 2_000;
 
-  /** A request whose connection broke off at a server. */
+  /** A request whose connection to a server broke. */
   private record Suspect(String fingerprint, ServerIncarnation server, Instant at) {}
 
-  /** What another instance has counted of a request, and since when this count is known here. */
+  /** Another instance's count of a request, and when this value was first received. */
   private record Heard(int crashes, Instant at) {}
 
-  /** What this instance has counted of a request; due until the log has it. */
+  /** This instance's count of a request, and whether it has yet to be written to the shared log. */
   private static final class Count {
     private int crashes;
     private Instant last = Instant.MIN;
@@ -70,8 +78,9 @@
   private final Map<String, Map<String, Heard>> others = new HashMap<>();
 
   /**
-   * Creates the quarantine of {@code instance}; {@code listed} tells whether that incarnation of a
-   * server is listed.
+   * Creates the quarantine of {@code instance}.
+   *
+   * @param listed whether an incarnation of a server is listed
    */
   public RequestQuarantine(
       String instance, Predicate<ServerIncarnation> listed, EventSink events, InstantSource clock) {
@@ -81,7 +90,7 @@
     this.clock = clock;
   }
 
-  /** Whether anything is counted; while it isn't, no fingerprint need be worked out. */
+  /** Whether there is any count. If not, no request's fingerprint needs to be computed. */
   public boolean active() {
     return !own.isEmpty() || !others.isEmpty();
   }
@@ -91,19 +100,19 @@
     return crashes(fingerprint) >= LIMIT;
   }
 
-  /** Takes note that a server closed a request's connection without an answer. */
+  /** Records that the connection of a request broke before its answer was complete. */
   public void onBrokenOff(String fingerprint, ServerIncarnation server) {
     if (suspects.size() < MOST_TRACKED) {
       suspects.add(new Suspect(fingerprint, server, clock.instant()));
     }
   }
 
-  /** Takes note that a server can't be connected to: what broke off there was a crash. */
+  /** Records that a server can't be connected to: connections that broke there count as crashes. */
   public void onUnreachable(ServerIncarnation server) {
     confirm(suspect -> suspect.server().equals(server));
   }
 
-  /** Forgets what was counted of a request that a server has answered. */
+  /** Resets this instance's count of a request that a server has answered. */
   public void onAnswered(String fingerprint) {
     Count count = own.get(fingerprint);
     if (count != null && count.crashes > 0) {
@@ -113,7 +122,8 @@
   }
 
   /**
-   * Takes servers that are gone from the list, or replaced, as crashed, and forgets what is old.
+   * Counts crashes of servers that are gone from the list or were replaced, and drops counts and
+   * suspected requests that have expired.
    */
   public void tick() {
     if (suspects.isEmpty() && !active()) {
@@ -147,14 +157,14 @@
 
   @Override
   public void onLoaded(List<SharedNote> notes, boolean first) {
-    Map<String, Map<String, Heard>> before = new HashMap<>(others);
+    Map<String, Map<String, Heard>> known = new HashMap<>(others);
     others.clear();
     for (SharedNote note : notes) {
       if (!(note instanceof SharedNote.Crash crash)) {
         continue;
       }
       if (!crash.instance().equals(instance)) {
-        hear(crash, before);
+        hear(crash, known);
       } else if (first) {
         goOn(crash);
       }
@@ -184,14 +194,18 @@
     return notes;
   }
 
-  /** Takes over what an earlier process on this machine had counted. */
+  /** Adopts the count of an earlier process of this instance. */
   private void goOn(SharedNote.Crash crash) {
     Count count = own.computeIfAbsent(crash.fingerprint(), fingerprint -> new Count());
     count.crashes += crash.count();
     count.last = clock.instant();
   }
 
-  /** {@code before} is what was known; a count that was known already is as old as it was. */
+  /**
+   * Applies the count of another instance.
+   *
+   * @param before the counts known before; a count with an unchanged value keeps its age
+   */
   private void hear(SharedNote.Crash crash, Map<String, Map<String, Heard>> before) {
     if (crash.count() == 0) {
       Map<String, Heard> byInstance = others.get(crash.fingerprint());
@@ -202,13 +216,13 @@
       return;
     }
     Heard known = before.getOrDefault(crash.fingerprint(), Map.of()).get(crash.instance());
-    Heard heard =
+    Heard current =
         known != null && known.crashes() == crash.count()
             ? known
             : new Heard(crash.count(), clock.instant());
     others
         .computeIfAbsent(crash.fingerprint(), fingerprint -> new HashMap<>())
-        .put(crash.instance(), heard);
+        .put(crash.instance(), current);
   }
 
   private void confirm(Predicate<Suspect> crashed) {
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/quarantine/package-info.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/quarantine/package-info.java
@@ -1,4 +1,4 @@
-/** Stops requests that end the backend servers that run them, on all instances. */
+/** Quarantines requests that crash backend servers, across all instances. */
 @NullMarked
 package org.teaseldeal.gateway.quarantine;
 
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/quarantine/RequestQuarantineTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/quarantine/RequestQuarantineTests.java
@@ -29,33 +29,33 @@
       List.of(quarantine("a"), quarantine("b"), quarantine("c"));
 
   /**
-   * A caller's request ends each server that begins it, and comes again at another instance each
-   * time. After the third crash no instance sends it any more, though none of them saw more than
-   * one; the next caller's request that ran beside it once is still served.
+   * A request crashes each server that runs it and is repeated at another instance each time. After
+   * the third crash no instance sends it any more, although each of them saw only one. A request
+   * that ran beside it once is still served.
    */
   @Test
-  void stopsARequestThatCrashedThreeServersAtThreeInstances() {
+  void quarantinesARequestThatCrashedServersOfThreeInstances() {
     for (int i = 0; i < 3; i++) {
-      assertFalse(fleet.get(i).holds(REQUEST), "held after %d crashes".formatted(i));
+      assertFalse(fleet.get(i).holds(REQUEST), "quarantined after %d crashes".formatted(i));
       fleet.get(i).onBrokenOff(REQUEST, server(i));
       fleet.get(i).onBrokenOff("beside " + i, server(i));
       fleet.get(i).onUnreachable(server(i));
       exchangeNotes();
     }
     for (RequestQuarantine each : fleet) {
-      assertTrue(each.holds(REQUEST), "not held after three crashes");
-      assertFalse(each.holds("beside 1"), "a request that ran beside it is held");
+      assertTrue(each.holds(REQUEST), "not quarantined after three crashes");
+      assertFalse(each.holds("beside 1"), "a request that ran beside it is quarantined");
     }
     assertEquals(
         List.of(new GatewayEvent.RequestQuarantined(REQUEST, server(2).id().name())), events);
   }
 
   /**
-   * Callers' requests aren't stopped for lost answers. A server runs each, and its connection
-   * breaks before the answer; the server goes on taking connections, so nothing crashed.
+   * Requests aren't quarantined because of lost answers. A connection breaks before the answer, but
+   * the server still accepts connections, so it has not crashed.
    */
   @Test
-  void countsNoBrokenConnectionOfAServerThatGoesOn() {
+  void ignoresBrokenConnectionsOfAServerThatKeepsRunning() {
     for (int i = 0; i < 4; i++) {
       fleet.getFirst().onBrokenOff(REQUEST, server(i));
     }
@@ -66,11 +66,11 @@
   }
 
   /**
-   * A caller's request isn't stopped for an answer lost at a server that runs. The server's earlier
-   * process, at another address, refuses a connection; that tells nothing of the one that runs.
+   * The address of a server's earlier process refuses a connection. That is no proof that the
+   * present process crashed, so an answer lost there doesn't count.
    */
   @Test
-  void takesARefusalByAnEarlierIncarnationForNoCrashOfTheNext() {
+  void doesNotCountARefusalByAnEarlierIncarnationAsACrash() {
     ServerIncarnation earlier = new ServerIncarnation(server(0).id(), Optional.of(Instant.EPOCH));
     ServerIncarnation later =
         new ServerIncarnation(server(0).id(), Optional.of(Instant.EPOCH.plusMillis(1)));
@@ -79,20 +79,20 @@
     assertFalse(fleet.getFirst().active(), "a lost answer was counted as a crash");
   }
 
-  /** A crashed server that nobody connects to again is found out by its absence from the list. */
+  /** The crash of a server that gets no further connections shows by its removal from the list. */
   @Test
-  void countsServersThatAreGoneFromTheList() {
+  void countsCrashesOfServersThatAreGoneFromTheList() {
     RequestQuarantine one = fleet.getFirst();
     for (int i = 0; i < 3; i++) {
       one.onBrokenOff(REQUEST, server(i));
       listed.remove(server(i));
       one.tick();
     }
-    assertTrue(one.holds(REQUEST), "not held after three crashes");
+    assertTrue(one.holds(REQUEST), "not quarantined after three crashes");
   }
 
   @Test
-  void startsAnewWithAnAnswer() {
+  void resetsTheCountWhenTheRequestIsAnswered() {
     RequestQuarantine one = fleet.getFirst();
     for (int i = 0; i < 4; i++) {
       one.onBrokenOff(REQUEST, server(i));
@@ -101,11 +101,11 @@
         one.onAnswered(REQUEST);
       }
     }
-    assertFalse(one.holds(REQUEST), "held with an answer between the crashes");
+    assertFalse(one.holds(REQUEST), "quarantined despite an answer between the crashes");
   }
 
   @Test
-  void goesOnAfterARestartAndForgetsInTheEnd() {
+  void keepsTheCountOverARestartAndDropsItAfterTheRetentionTime() {
     for (int i = 0; i < 3; i++) {
       fleet.getFirst().onBrokenOff(REQUEST, server(i));
       fleet.getFirst().onUnreachable(server(i));
@@ -119,27 +119,27 @@
     assertEquals(
         List.of(new SharedNote.Crash("a", REQUEST, 0)),
         fleet.getFirst().notesToWrite(clock.instant()));
-    assertFalse(fleet.getFirst().active(), "still counted after the time to forget");
+    assertFalse(fleet.getFirst().active(), "still counted after the retention time");
   }
 
   /**
-   * A caller's request is refused by all for a while only. A count stands under the name of an
-   * instance that isn't there, or is gone for good, so nobody ever takes it back.
+   * A request must not be refused forever. The count of an instance that doesn't exist, or is gone,
+   * is never cancelled by that instance.
    */
   @Test
-  void forgetsWhatNobodyTakesBack() {
+  void dropsACountThatItsInstanceNeverCancels() {
     RequestQuarantine one = fleet.getFirst();
     one.onNote(new SharedNote.Crash("nobody", REQUEST, 1_000), false);
-    assertTrue(one.holds(REQUEST), "what another instance counted isn't held");
+    assertTrue(one.holds(REQUEST), "the count of another instance is ignored");
     clock.advance(Duration.ofMinutes(5));
     one.tick();
-    assertFalse(one.holds(REQUEST), "held for good");
-    assertFalse(one.active(), "still counted after the time to forget");
+    assertFalse(one.holds(REQUEST), "quarantined forever");
+    assertFalse(one.active(), "still counted after the retention time");
   }
 
-  /** Read again after a gap, the same note is as old as before. */
+  /** A note that is read again after a gap in the log keeps its age. */
   @Test
-  void countsNoNoteLongerForReadingItAgain() {
+  void doesNotExtendACountWhoseNoteIsReadAgain() {
     SharedNote note = new SharedNote.Crash("nobody", REQUEST, 3);
     RequestQuarantine one = fleet.getFirst();
     one.onLoaded(List.of(note), true);
@@ -147,7 +147,7 @@
     one.onLoaded(List.of(note), false);
     clock.advance(Duration.ofMinutes(2));
     one.tick();
-    assertFalse(one.holds(REQUEST), "held for good");
+    assertFalse(one.holds(REQUEST), "quarantined forever");
   }
 
   private RequestQuarantine quarantine(String instance) {
