--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/event/EventLog.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/event/EventLog.java
@@ -16,31 +16,38 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Writes events as JSON lines from a thread of its own.
+ * Writes events as JSON lines from its own thread.
  *
- * <p>The buffer is bounded: whoever reads the output may be slow, and the thread that serves
+ * <p>The buffer is bounded. The reader of the output may be slow, and the thread that serves
  * callers must not wait for it. Lines that don't fit are dropped and counted, and the count is
  * written as soon as there is room.
  *
- * <p>The lines of requests that were answered at once are kept up to {@link #ALL_KEPT} a second;
- * beyond it, for one in {@link #SAMPLED} requests, the same at every instance. Those of all others
- * are always kept.
+ * <p>The lines of requests that were answered at the first attempt are written up to {@link
+ * #ALL_KEPT} a second. Beyond that rate they are written for one in {@link #SAMPLED} requests only,
+ * which are the same ones at every instance. The lines of all other requests and events are always
+ * written.
  */
 public final class EventLog implements EventSink {
-  /** Lines that wait: about a second of a busy instance with every line kept. */
+  /** The number of buffered lines: about a second of a busy instance without sampling. */
   private static final int CAPACITY = 2048;
 
-  /** One in eight leaves some two lines a second of a busy instance's served requests. */
+  /**
+   * The divisor of the sampling. One request in eight yields some two lines a second for the served
+   * requests of a busy instance.
+   */
   private static final int SAMPLED = 8;
 
-  /** A second's lines of which none is left out: some hundred octets each. */
+  /**
+   * The rate in lines a second up to which no line is sampled out. A line has some hundred bytes.
+   */
   private static final int ALL_KEPT = 32;
 
   private static final Duration IDLE_WAIT = Duration.ofMillis(500);
 
   /**
-   * A line takes well under a millisecond, the first one some hundreds, as classes are loaded for
-   * it; if nobody reads the output, waiting longer doesn't help.
+   * How long closing waits for the writer. A line takes well under a millisecond, the first line
+   * some hundred milliseconds, as classes are loaded for it. If the output is not read at all, a
+   * longer wait doesn't help.
    */
   private static final Duration LAST_WRITE = Duration.ofSeconds(1);
 
@@ -63,7 +70,12 @@
     this.instance = instance;
   }
 
-  /** Starts a log of {@code instance}; {@code clock} shows the time of day. */
+  /**
+   * Starts a log.
+   *
+   * @param clock a clock that shows the time of day
+   * @param instance the name of the instance, which is part of each line
+   */
   public static EventLog start(PrintStream out, InstantSource clock, String instance) {
     EventLog log = new EventLog(out, clock, instance);
     log.writer.setDaemon(true);
@@ -82,21 +94,22 @@
     }
   }
 
-  /** Lines that wait to be written. */
+  /** The number of lines that wait to be written. */
   public int waiting() {
     return lines.size();
   }
 
-  /** Lines that were dropped and not yet reported. */
+  /** The number of lines that were dropped and not yet reported in the log. */
   public long dropped() {
     return dropped.get();
   }
 
   /**
-   * Writes what is left, as far as it can be written soon.
+   * Writes the remaining lines, as far as this is possible within a short time.
    *
-   * <p>The writer may have taken a line from the buffer that it has not written yet; without a wait
-   * for it, the process would end before its last lines, those of its stop, are out.
+   * <p>The writer thread may have taken a line from the buffer without having written it yet. If
+   * closing didn't wait for the thread, the process would exit before its last lines, those of its
+   * stop, are written.
    */
   public void close() {
     closed = true;
@@ -109,7 +122,7 @@
   }
 
   private void awaitWriter() {
-    // It may be waiting for a line.
+    // Wakes the writer if it waits for a line.
     writer.interrupt();
     try {
       writer.join(LAST_WRITE);
@@ -128,7 +141,8 @@
   }
 
   /**
-   * Counts a line, and says whether the second has had all those that are kept whatever they say.
+   * Counts a line of a served request. Returns whether the rate up to which all lines are written
+   * is exceeded in the current second.
    */
   private boolean beyondAllKept(Instant now) {
     long current = now.getEpochSecond();
@@ -157,9 +171,9 @@
         if (line != null) {
           write(line);
         }
-        long lost = lines.isEmpty() ? dropped.getAndSet(0) : 0;
-        if (lost > 0) {
-          write(new Line(clock.instant(), new GatewayEvent.LinesDropped(lost)));
+        long unreported = lines.isEmpty() ? dropped.getAndSet(0) : 0;
+        if (unreported > 0) {
+          write(new Line(clock.instant(), new GatewayEvent.LinesDropped(unreported)));
         }
       }
     } catch (InterruptedException e) {
@@ -188,7 +202,7 @@
     try {
       value = component.getAccessor().invoke(event);
     } catch (ReflectiveOperationException e) {
-      throw new IllegalStateException("accessor of a public record can be called", e);
+      throw new IllegalStateException("an accessor of an event record could not be called", e);
     }
     switch (value) {
       case Duration duration -> json.put(component.getName() + "_ms", duration.toNanos() / 1e6);
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/event/EventSink.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/event/EventSink.java
@@ -1,12 +1,12 @@
 package org.teaseldeal.gateway.event;
 
-/** Takes events in; never blocks. */
+/** Receives events. Implementations must not block. */
 @FunctionalInterface
 public interface EventSink {
-  /** Takes one event. */
+  /** Receives one event. */
   void accept(GatewayEvent event);
 
-  /** A sink that passes each event on to this one and then to {@code other}. */
+  /** A sink that passes each event to this sink and then to {@code other}. */
   default EventSink and(EventSink other) {
     return event -> {
       accept(event);
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/event/GatewayEvent.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/event/GatewayEvent.java
@@ -2,19 +2,22 @@
 
 import java.time.Duration;
 
-/** The closed list of what is logged: decisions about requests, and changes of belief. */
+/**
+ * The closed set of events: decisions about requests, and changes of what the instance knows. The
+ * names of the records and of their components appear in the event log.
+ */
 public sealed interface GatewayEvent {
-  /** The name in logs and metrics. */
+  /** The name of the event in logs and metrics. */
   default String label() {
     return getClass().getSimpleName();
   }
 
   /**
-   * A request can't have its tokens at once.
+   * A request can't have its tokens reserved at once.
    *
-   * @param tokens that it needs at its largest
-   * @param idleHere of its customer, that this instance has at hand
-   * @param logReachable whether more can be asked for now
+   * @param tokens the largest number of tokens that the request can use
+   * @param idleHere the tokens of the customer that this instance has leased and not reserved
+   * @param logReachable whether more tokens can be leased at present
    */
   record WaitsForTokens(
       String request, String customer, long tokens, long idleHere, boolean logReachable)
@@ -23,15 +26,16 @@
   /**
    * A request was sent to a backend server.
    *
-   * @param attempt counts from 1
-   * @param running this instance's requests at the server before this one
-   * @param othersRunning what other instances were thought to have there
-   * @param tokensAhead prompt tokens that the server was thought to read before this prompt
-   * @param readAgain tokens that it has to read though prompts before shared them
-   * @param heardAgo how old the news of the other instances was
-   * @param candidates servers that it was chosen among
-   * @param resumeAfter the last event that the caller has; empty for a start from the beginning
-   * @param fingerprint the same for each attempt of the caller
+   * @param attempt the number of the attempt, starting at 1
+   * @param running the requests that this instance already had at the server
+   * @param othersRunning the requests that the other instances presumably had there
+   * @param tokensAhead the prompt tokens that the server presumably has to read before this prompt
+   * @param readAgain the tokens that the server has to read although earlier prompts shared them
+   * @param heardAgo the age of the other instances' load figures
+   * @param candidates the number of servers that the choice was made from
+   * @param resumeAfter the id of the last event that the caller has received; empty if the stream
+   *     starts from the beginning
+   * @param fingerprint a hash that is equal for all attempts of the caller
    */
   record Placed(
       String request,
@@ -49,13 +53,14 @@
       implements GatewayEvent {}
 
   /**
-   * A request's answer began or went on later than is on time; its end follows.
+   * A request's answer began, or continued after a pause, later than its target. {@link
+   * RequestEnded} follows.
    *
-   * @param waited for tokens of its customer's total
-   * @param placed from its arrival until it was sent to the server that answered
-   * @param began from its arrival until its answer did
-   * @param longestPause between parts of the answer
-   * @param pauseAim the longest that is on time
+   * @param waited the time spent waiting for tokens of the customer's total
+   * @param placed the time from the request's arrival until it was sent to the server that answered
+   * @param began the time from the request's arrival until its answer began
+   * @param longestPause the longest pause between two parts of the answer
+   * @param pauseAim the longest pause that meets the target
    */
   record AnsweredLate(
       String request,
@@ -66,13 +71,17 @@
       Duration pauseAim)
       implements GatewayEvent {}
 
-  /** The event loop stood still, so that nothing was sent or heard for a while. */
+  /**
+   * The event loop was blocked, so nothing was sent or received for a while.
+   *
+   * @param late the delay of the loop's tick
+   */
   record LoopStalled(Duration late) implements GatewayEvent {}
 
-  /** A holder of a customer's total did not answer; it isn't asked for a while. */
+  /** A holder of a customer's total did not answer. It gets no requests for a while. */
   record HolderUnreachable(String customer, String holder, String detail) implements GatewayEvent {}
 
-  /** A backend server did not give its whole answer. */
+  /** An attempt at a backend server ended without a complete answer. */
   record AttemptFailed(
       String request, String server, int attempt, String failure, String detail, Duration after)
       implements GatewayEvent {}
@@ -81,13 +90,14 @@
    * A request got its final answer, or its caller left.
    *
    * @param outcome {@code answered}, {@code caller-gone} or the label of an error
-   * @param status of the answer; 0 if there was none
-   * @param chargedTokens to its customer; 0 for one without a total
-   * @param plan version of the plan that routed it; 0 if there was none
-   * @param waited for tokens of its customer's total
-   * @param kind of its route
-   * @param aim until when its answer was to begin
-   * @param fingerprint the same for each attempt of the caller
+   * @param status the status of the answer; 0 if there was none
+   * @param chargedTokens the tokens charged to the customer; 0 if the customer has no total
+   * @param plan the version of the plan that routed the request; 0 if there was none
+   * @param waited the time spent waiting for tokens of the customer's total
+   * @param took the time from the request's arrival to its end
+   * @param kind the kind of the request's route
+   * @param aim the target for the time until the answer begins
+   * @param fingerprint a hash that is equal for all attempts of the caller
    */
   record RequestEnded(
       String request,
@@ -106,42 +116,42 @@
       String fingerprint)
       implements GatewayEvent {}
 
-  /** A plan came in force. */
+  /** A plan came into force. */
   record PlanInForce(long version, int routes, String source) implements GatewayEvent {}
 
-  /** A published plan could not be read; the one before stays in force. */
+  /** A published plan could not be read. The previous plan stays in force. */
   record PlanUnreadable(long offset, String detail) implements GatewayEvent {}
 
-  /** A backend server is new on the list, started again, leaves, or is gone from it. */
+  /** A backend server was listed, restarted, is leaving, or was removed from the list. */
   record ServerListed(String server, String service, String address, String state)
       implements GatewayEvent {}
 
   /**
-   * The newest record of a backend server names no server to use; it gets no requests until a good
-   * one comes.
+   * The latest record of a backend server is invalid. The server gets no requests until a valid
+   * record arrives.
    *
-   * @param reason the label of what is wrong with it
-   * @param detail what was found
+   * @param reason the label of the problem
+   * @param detail the value that was found
    */
   record ServerUnusable(String server, String reason, String detail) implements GatewayEvent {}
 
-  /** The instance itself started, is ready, is stopping, stopped, or read its settings again. */
+  /** The instance started, became ready, is draining, stopped, or reloaded its settings. */
   record InstanceState(String state, String detail) implements GatewayEvent {}
 
-  /** Something that the instance depends on is lost or back. */
+  /** A service that the instance depends on became unreachable or reachable. */
   record Dependency(String name, boolean reachable, String detail) implements GatewayEvent {}
 
   /**
-   * How a customer's prepaid total is used, as this instance knows it.
+   * The use of a customer's prepaid total, as this instance knows it.
    *
-   * @param total what the plan in force says
-   * @param taken spent, lost and held by all instances
-   * @param lostByAll the part of it that was held by processes when they ended
-   * @param spentHere by this instance and those before it on its machine
-   * @param lostHere held by earlier processes on this machine when they ended
-   * @param heldHere that this instance may still use
-   * @param idleHere the part of it that no request has
-   * @param ratePerSecond at which this instance's requests set tokens aside
+   * @param total the total according to the plan in force
+   * @param taken the tokens spent, lost and held by all instances
+   * @param lostByAll the part of {@code taken} that was held by processes when they ended
+   * @param spentHere the tokens spent by this process and earlier ones of this instance
+   * @param lostHere the tokens that earlier processes of this instance held when they ended
+   * @param heldHere the tokens that this instance may still use
+   * @param idleHere the part of {@code heldHere} that is not reserved for a request
+   * @param ratePerSecond the rate at which this instance's requests reserve tokens
    */
   record AccountLevel(
       String customer,
@@ -156,15 +166,16 @@
       implements GatewayEvent {}
 
   /**
-   * This process goes on from the note of an earlier one on its machine.
+   * This process has taken over the account from the last note of an earlier process of this
+   * instance.
    *
-   * @param spent as that note says
-   * @param setAside for requests that ran; lost to the customer
-   * @param freeAtOnce idle tokens that the note gave free; lost
-   * @param released idle tokens that may have been used by their pace; lost
-   * @param takenBack idle tokens that can't have been used
-   * @param proof what tells how long the earlier process can have gone on after its note
-   * @param since how long that is at most; zero without a proof
+   * @param spent the tokens spent according to that note
+   * @param setAside the tokens reserved for requests that were running; lost to the customer
+   * @param freeAtOnce the idle tokens that the note released for immediate use; lost
+   * @param released the idle tokens that may have been used since, at their release rate; lost
+   * @param takenBack the idle tokens that can't have been used
+   * @param proof the evidence for how long the earlier process can have run after its note
+   * @param since the upper bound of that time; zero without a proof
    */
   record AccountTakenOver(
       String customer,
@@ -177,18 +188,18 @@
       Duration since)
       implements GatewayEvent {}
 
-  /** Other instances gave tokens of a customer to requests that waited here. */
+  /** Other instances gave tokens of a customer to this instance for requests that waited. */
   record TokensDrawn(String customer, long tokens, Duration took) implements GatewayEvent {}
 
   /**
-   * What this instance has exchanged with the shared log and with other instances since the event
-   * before.
+   * The traffic of this instance with the shared log and with other instances since the previous
+   * event of this kind.
    *
-   * @param notesWritten by {@code appends} calls
-   * @param slowestAppend until its answer, or until nobody waited for it any more
-   * @param notesHeard in {@code reads} answers, those of other instances among them
-   * @param messagesSent to other instances, each counted once for each of them
-   * @param longestStall by which a tick of the event loop came late
+   * @param notesWritten the notes written in {@code appends} calls
+   * @param slowestAppend the longest time of an append until its answer, or until it was given up
+   * @param notesHeard the notes in {@code reads} answers, from this and from other instances
+   * @param messagesSent the messages sent to other instances, counted once for each receiver
+   * @param longestStall the longest delay of a tick of the event loop
    */
   record FleetTraffic(
       long appends,
@@ -207,11 +218,11 @@
   /**
    * A request crashed so many backend servers that no instance sends it any more.
    *
-   * @param fingerprint of its caller, path and body
-   * @param server that it crashed last
+   * @param fingerprint a hash of the request's caller, path and body
+   * @param server the server that the request crashed last
    */
   record RequestQuarantined(String fingerprint, String server) implements GatewayEvent {}
 
-  /** Lines did not fit into the log's buffer. */
+  /** Lines were dropped because they did not fit into the log's buffer. */
   record LinesDropped(long count) implements GatewayEvent {}
 }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/event/package-info.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/event/package-info.java
@@ -1,4 +1,4 @@
-/** What an instance decides and believes, as typed events for logs and metrics. */
+/** The decisions and state changes of an instance as typed events for the log and the metrics. */
 @NullMarked
 package org.teaseldeal.gateway.event;
 
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/event/EventLogTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/event/EventLogTests.java
@@ -10,13 +10,13 @@
 import org.junit.jupiter.api.Test;
 
 class EventLogTests {
-  /** The two threads meet in the harmful order in some of a hundred rounds. */
+  /** The race between the two threads shows in some of a hundred rounds. */
   private static final int ROUNDS = 2_000;
 
   /**
-   * The engineer who looks for the last line of a process that was told to stop finds none. The
-   * thread that writes had just taken the line from the buffer when the log was closed; the buffer
-   * was empty, so the log counted as written and the process ended.
+   * The writer thread may have just taken the last line from the buffer when the log is closed. If
+   * closing took the empty buffer as proof that all lines were written, the process would exit
+   * before its last line is written.
    */
   @Test
   void writesTheLastLineBeforeItIsClosed() {
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/event/LogPageTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/event/LogPageTests.java
@@ -19,7 +19,7 @@
   private static final Path PAGE = Path.of("..", "docs", "LOGS.md");
 
   @Test
-  void listsEveryEventAndNoOther() throws IOException {
+  void containsARowForEveryEventAndNoOther() throws IOException {
     Set<String> events =
         Stream.of(GatewayEvent.class.getPermittedSubclasses())
             .map(Class::getSimpleName)
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void namesEveryField() throws IOException {
+  void containsEveryFieldInTheRowOfItsEvent() throws IOException {
     List<String> rows = rows().toList();
     for (Class<?> event : GatewayEvent.class.getPermittedSubclasses()) {
       String row =
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/event/SampledLinesTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/event/SampledLinesTests.java
@@ -15,7 +15,10 @@
   private final ByteArrayOutputStream out = new ByteArrayOutputStream();
   private final EventLog log = EventLog.start(new PrintStream(out), clock, "instance-1");
 
-  /** Guards against logs that don't tell whether a refused request was served when it came back. */
+  /**
+   * On a quiet instance the log must show for each refused request whether it was served when its
+   * caller retried.
+   */
   @Test
   void keepsEveryLineOfAQuietInstance() {
     for (int i = 0; i < 100; i++) {
@@ -25,13 +28,13 @@
     assertEquals(100, lines());
   }
 
-  /** Guards against a log that costs a busy instance as much as its requests. */
+  /** On a busy instance the log must not cost as much as the requests themselves. */
   @Test
-  void keepsAPartOfTheServedRequestsOfABusyInstance() {
+  void samplesTheLinesOfServedRequestsOnABusyInstance() {
     for (int i = 0; i < 1_000; i++) {
       log.accept(ended("r" + i, "answered"));
     }
-    assertTrue(lines() < 250, "all lines of 1,000 requests in a moment");
+    assertTrue(lines() < 250, "the lines of 1,000 requests in the same second were not sampled");
   }
 
   @Test
