--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/metrics/FleetTrafficMeter.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/metrics/FleetTrafficMeter.java
@@ -12,11 +12,11 @@
 import org.teaseldeal.gateway.peer.PeerPort;
 
 /**
- * Measures what an instance exchanges with the shared log and with other instances, and tells it
- * each {@link #PERIOD}.
+ * Measures the traffic of an instance with the shared log and with other instances, and reports it
+ * as an event every {@link #PERIOD}.
  *
- * <p>It grows with the size of the fleet and not with the callers' load, so it is what tells a slow
- * log, a full link and a busy processor apart.
+ * <p>This traffic grows with the size of the fleet and not with the callers' load. Its figures
+ * therefore help to distinguish a slow log, a saturated link and a busy processor.
  */
 public final class FleetTrafficMeter {
   private static final Duration PERIOD = Duration.ofSeconds(5);
@@ -43,12 +43,12 @@
     this.periodEnd = clock.instant().plus(PERIOD);
   }
 
-  /** A log that measures the calls of {@code log}. */
+  /** A log that passes all calls to {@code log} and measures them. */
   public SharedLog meteredLog(SharedLog log) {
     return new MeteredLog(log);
   }
 
-  /** A port that measures what is sent through {@code port}. */
+  /** A port that sends all messages through {@code port} and counts them. */
   public PeerPort meteredPort(PeerPort port) {
     return (address, message) -> {
       messagesSent++;
@@ -57,7 +57,7 @@
     };
   }
 
-  /** A receiver that measures what {@code receiver} is given. */
+  /** A receiver that passes all messages to {@code receiver} and counts them. */
   public Consumer<byte[]> meteredReceiver(Consumer<byte[]> receiver) {
     return message -> {
       messagesHeard++;
@@ -67,7 +67,10 @@
   }
 
   /**
-   * Counts a tick that came late by {@code stall}, and tells what was measured if it is time to.
+   * Records the delay of a tick of the event loop, and reports the measurements if a period has
+   * ended.
+   *
+   * @param stall the delay of the tick
    */
   public void tick(Duration stall) {
     longestStall = longer(longestStall, stall);
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/metrics/GatewayMetrics.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/metrics/GatewayMetrics.java
@@ -15,9 +15,10 @@
 import org.teaseldeal.gateway.event.GatewayEvent;
 
 /**
- * Counts events, all of them, also those whose lines are sampled out of the log.
+ * Derives metrics from all events, including those whose lines are sampled out of the log.
  *
- * <p>Names end in their unit: {@code _us} microseconds, {@code _tokens}; without one they count.
+ * <p>Names end in their unit, {@code _us} for microseconds or {@code _tokens}. A name without a
+ * unit is a count.
  */
 public final class GatewayMetrics implements EventSink {
   private final MetricRegistry registry;
@@ -30,7 +31,7 @@
   private final Map<String, GatewayEvent.AccountLevel> accounts = new ConcurrentHashMap<>();
   private final Map<String, String> counterNames = new HashMap<>();
 
-  /** Creates metrics that are kept in {@code registry}. */
+  /** Creates metrics that are registered in {@code registry}. */
   public GatewayMetrics(MetricRegistry registry) {
     this.registry = registry;
     duration = histogram("request_duration_us");
@@ -75,17 +76,17 @@
     }
   }
 
-  /** Counts a call of the platform's store. */
+  /** Counts a call to the platform's configuration store. */
   public void onStoreCall(String call, boolean succeeded) {
     count("store_" + call, succeeded ? "_done" : "_failed");
   }
 
-  /** Counts how late a tick of the event loop came. */
+  /** Records the delay of a tick of the event loop. */
   public void onTick(Duration late) {
     loopDelay.update(late.toNanos() / 1_000);
   }
 
-  /** Shows a value that is looked up when somebody asks. */
+  /** Registers a gauge whose value is computed whenever the metrics are read. */
   public void gauge(String name, Gauge<Long> value) {
     registry.gauge(name, () -> value);
   }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/metrics/package-info.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/metrics/package-info.java
@@ -1,4 +1,4 @@
-/** Counters and histograms of what an instance decides and believes. */
+/** Counters, gauges and histograms of an instance. */
 @NullMarked
 package org.teaseldeal.gateway.metrics;
 
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/metrics/FleetTrafficMeterTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/metrics/FleetTrafficMeterTests.java
@@ -23,7 +23,7 @@
   private final FakeSharedLog.Port port = new FakeSharedLog().port("writer");
 
   @Test
-  void tellsEachPeriodWhatWasExchangedInIt() {
+  void reportsTheTrafficOfEachPeriod() {
     SharedLog log = meter.meteredLog(port);
     append(log, 0, Duration.ofMillis(10));
     append(log, 1, Duration.ofMillis(30));
@@ -59,10 +59,10 @@
     assertEquals(List.of(first, second), events);
   }
 
-  private void append(SharedLog log, long sequence, Duration takes) {
+  private void append(SharedLog log, long sequence, Duration duration) {
     byte[] value = "note".getBytes(StandardCharsets.UTF_8);
     log.append(1, sequence, List.of(new KeyedRecord("key", value)), outcome -> {});
-    clock.advance(takes);
+    clock.advance(duration);
     port.answer();
   }
 }
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/metrics/package-info.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/metrics/package-info.java
@@ -1,4 +1,4 @@
-/** Tests of what an instance measures of itself. */
+/** Tests the metrics of an instance. */
 @NullMarked
 package org.teaseldeal.gateway.metrics;
 
