--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/fake/FakeDialect.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/fake/FakeDialect.java
@@ -13,9 +13,9 @@
 import org.teaseldeal.net.HttpCallRequest;
 import org.teaseldeal.net.HttpExchange;
 
-/** Takes every request for one host and every answer as genuine. */
+/** A dialect that accepts every request, for one host, and treats every answer as genuine. */
 public final class FakeDialect implements Dialect {
-  /** The status of a server that isn't the one that a request names. */
+  /** The status of an answer from a server other than the intended one. */
   private static final int OTHER_SERVER = 421;
 
   /** The host of all requests. */
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/fake/FakeExchange.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/fake/FakeExchange.java
@@ -7,7 +7,7 @@
 import org.teaseldeal.net.HttpExchange;
 import org.teaseldeal.net.ResponseStream;
 
-/** A caller's request, and its whole answer. */
+/** A caller's request that records its complete answer. */
 public final class FakeExchange implements HttpExchange {
   private final String path;
   private final byte[] body;
@@ -25,12 +25,12 @@
     this.body = body.clone();
   }
 
-  /** The answer's body; empty while there is none. */
+  /** The answer's body; empty until the request is answered. */
   public byte[] answer() {
     return answer.clone();
   }
 
-  /** The answer's status; 0 while there is none. */
+  /** The answer's status; 0 until the request is answered. */
   public int status() {
     return status;
   }
@@ -73,7 +73,8 @@
   @Override
   public void respond(int answerStatus, Map<String, String> headers, byte[] answerBody) {
     if (status != 0) {
-      throw new IllegalStateException("a second answer: " + answerStatus);
+      throw new IllegalStateException(
+          "the request was already answered; second status: " + answerStatus);
     }
     status = answerStatus;
     answer = answerBody.clone();
@@ -81,16 +82,16 @@
 
   @Override
   public ResponseStream startStream(int answerStatus, Map<String, String> headers) {
-    throw new UnsupportedOperationException("streams aren't played");
+    throw new UnsupportedOperationException("this fake supports no streams");
   }
 
   @Override
   public void abort() {
-    throw new UnsupportedOperationException("aborts aren't played");
+    throw new UnsupportedOperationException("this fake supports no aborts");
   }
 
   @Override
   public void onCallerGone(Runnable action) {
-    // Callers wait for their answers.
+    // Callers always wait for their answers.
   }
 }
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/fake/FakeSharedLog.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/fake/FakeSharedLog.java
@@ -13,18 +13,22 @@
 import org.teaseldeal.gateway.log.PositionedRecord;
 import org.teaseldeal.gateway.log.SharedLog;
 
-/** A log in memory that keeps the newest record of each key; calls answer when told to. */
+/**
+ * A shared log in memory that keeps the latest record of each key. Each writer's calls are answered
+ * when the test calls {@link Port#answer()}.
+ */
 public final class FakeSharedLog {
-  /** What becomes of a writer's calls. */
+  /** How the calls of a writer behave. */
   public enum Line {
+    /** Calls are carried out and answered. */
     OPEN,
     /** Calls don't reach the log and fail. */
     CUT,
-    /** Appends are done, and their answers lost. */
+    /** Appends are applied, but their answers are lost. */
     ANSWERS_LOST,
-    /** Appends are done only when their answers are given; reads overtake them. */
+    /** Appends are applied some rounds later, just before their answers, so reads overtake them. */
     SLOW_APPENDS,
-    /** Appends fail, and are done all the same some time later. */
+    /** Appends are reported as failed but are applied some time later. */
     DONE_LATE
   }
 
@@ -37,7 +41,7 @@
   private static final int ROUNDS_SLOW = 3;
   private static final int ROUNDS_LATE = 50;
 
-  /** Rounds of appends that may wait in line; the log refuses those that would wait longer. */
+  /** The longest queue of appends, in rounds. The log rejects appends beyond it. */
   private static final int LONGEST_LINE_ROUNDS = 200;
 
   private final List<PositionedRecord> records = new ArrayList<>();
@@ -47,29 +51,31 @@
   private int appends;
   private int appendsInRound;
 
-  /** Drops all history but the newest record of each key. */
+  /** Drops all records except the latest one of each key. */
   public void forgetHistory() {
     firstKept = records.size();
   }
 
-  /** From now on all writers' appends are done one after the other, {@code count} in a round. */
+  /**
+   * From now on the appends of all writers are queued, and a round applies {@code count} of them.
+   */
   public void appendsInRound(int count) {
     appendsInRound = count;
   }
 
-  /** Does the appends of one round. */
+  /** Applies the queued appends of one round. */
   public void round() {
     for (int i = 0; i < appendsInRound && !inLine.isEmpty(); i++) {
       inLine.remove().run();
     }
   }
 
-  /** Appends that were done. */
+  /** The number of appends that were applied. */
   public int appends() {
     return appends;
   }
 
-  /** The log as one writer sees it. */
+  /** The log as one writer accesses it. */
   public final class Port implements SharedLog {
     private final String producer;
     private final List<Runnable> answers = new ArrayList<>();
@@ -82,26 +88,29 @@
       this.producer = producer;
     }
 
-    /** Sets what becomes of calls from now on. */
+    /** Sets the behaviour of the following calls. */
     public void line(Line line) {
       this.line = line;
     }
 
-    /** Reads that were asked for, since they were last forgotten. */
+    /** The number of reads since the count was last reset. */
     public int reads() {
       return reads;
     }
 
-    /** Counts reads from zero. */
+    /** Resets the number of reads. */
     public void forgetReads() {
       reads = 0;
     }
 
-    /** Gives the answers of the calls made so far, and carries out what is late once in a while. */
+    /**
+     * Gives the answers of the calls made so far. Every fiftieth call also applies the delayed
+     * appends.
+     */
     public void answer() {
       if (++rounds % ROUNDS_LATE == 0) {
         for (Supplier<AppendOutcome> append : late) {
-          AppendOutcome unheard = append.get();
+          AppendOutcome ignored = append.get();
         }
         late.clear();
       }
@@ -173,7 +182,7 @@
     }
   }
 
-  /** A port for {@code producer}. */
+  /** Opens the log for the writer {@code producer}. */
   public Port port(String producer) {
     return new Port(producer);
   }
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/fake/ManualClock.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/fake/ManualClock.java
@@ -4,7 +4,7 @@
 import java.time.Instant;
 import java.time.InstantSource;
 
-/** A clock that only moves when told. */
+/** A clock that advances only when the test advances it. */
 public final class ManualClock implements InstantSource {
   private Instant now = Instant.EPOCH.plusSeconds(1_000_000);
 
@@ -13,7 +13,7 @@
     return now;
   }
 
-  /** Moves on by {@code step}. */
+  /** Advances the clock by {@code step}. */
   public void advance(Duration step) {
     now = now.plus(step);
   }
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/fake/package-info.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/fake/package-info.java
@@ -1,4 +1,4 @@
-/** Hand-written stand-ins for what the gateway works with. */
+/** Hand-written test doubles for the gateway's dependencies. */
 @NullMarked
 package org.teaseldeal.gateway.fake;
 
