--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/package-info.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/package-info.java
@@ -1,4 +1,6 @@
-/** Passes callers' requests through to backend servers, by route and within prepaid totals. */
+/**
+ * Forwards requests of callers to backend servers by route, within the customers' prepaid totals.
+ */
 @NullMarked
 package org.teaseldeal.gateway;
 
