--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/event/EventLog.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/event/EventLog.java
@@ -23,24 +23,24 @@
  * written as soon as there is room.
  *
  * <p>The lines of requests that were answered at the first attempt are written up to {@link
- * #ALL_KEPT} a second. Beyond that rate they are written for one in {@link #SAMPLED} requests only,
- * which are the same ones at every instance. The lines of all other requests and events are always
- * written.
+ * #UNSAMPLED_LINES_PER_SECOND} a second. Beyond that rate they are written for one in {@link
+ * #SAMPLING_DIVISOR} requests only, which are the same ones at every instance. The lines of all
+ * other requests and events are always written.
  */
 public final class EventLog implements EventSink {
   /** The number of buffered lines: about a second of a busy instance without sampling. */
-  private static final int CAPACITY = 2048;
+  private static final int BUFFERED_LINES = 2048;
 
   /**
    * The divisor of the sampling. One request in eight yields some two lines a second for the served
    * requests of a busy instance.
    */
-  private static final int SAMPLED = 8;
+  private static final int SAMPLING_DIVISOR = 8;
 
   /**
    * The rate in lines a second up to which no line is sampled out. A line has some hundred bytes.
    */
-  private static final int ALL_KEPT = 32;
+  private static final int UNSAMPLED_LINES_PER_SECOND = 32;
 
   private static final Duration IDLE_WAIT = Duration.ofMillis(500);
 
@@ -49,20 +49,20 @@
    * some hundred milliseconds, as classes are loaded for it. If the output is not read at all, a
    * longer wait doesn't help.
    */
-  private static final Duration LAST_WRITE = Duration.ofSeconds(1);
+  private static final Duration CLOSE_TIMEOUT = Duration.ofSeconds(1);
 
   private record Line(Instant time, GatewayEvent event) {}
 
-  private final BlockingQueue<Line> lines = new ArrayBlockingQueue<>(CAPACITY);
-  private final AtomicLong dropped = new AtomicLong();
+  private final BlockingQueue<Line> lines = new ArrayBlockingQueue<>(BUFFERED_LINES);
+  private final AtomicLong droppedLines = new AtomicLong();
   private final Map<Class<?>, RecordComponent[]> components = new ConcurrentHashMap<>();
   private final PrintStream out;
   private final InstantSource clock;
   private final String instance;
   private final Thread writer = new Thread(this::writeAll, "event-log");
   private volatile boolean closed;
-  private long second;
-  private int keptInSecond;
+  private long currentSecond;
+  private int linesInSecond;
 
   private EventLog(PrintStream out, InstantSource clock, String instance) {
     this.out = out;
@@ -86,11 +86,11 @@
   @Override
   public void accept(GatewayEvent event) {
     Instant now = clock.instant();
-    if (ofServedRequest(event) && beyondAllKept(now) && sampledOut(event)) {
+    if (isOfServedRequest(event) && exceedsUnsampledRate(now) && isSampledOut(event)) {
       return;
     }
     if (!lines.offer(new Line(now, event))) {
-      dropped.incrementAndGet();
+      droppedLines.incrementAndGet();
     }
   }
 
@@ -100,8 +100,8 @@
   }
 
   /** The number of lines that were dropped and not yet reported in the log. */
-  public long dropped() {
-    return dropped.get();
+  public long droppedLines() {
+    return droppedLines.get();
   }
 
   /**
@@ -125,13 +125,13 @@
     // Wakes the writer if it waits for a line.
     writer.interrupt();
     try {
-      writer.join(LAST_WRITE);
+      writer.join(CLOSE_TIMEOUT);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private static boolean ofServedRequest(GatewayEvent event) {
+  private static boolean isOfServedRequest(GatewayEvent event) {
     return switch (event) {
       case GatewayEvent.Placed placed -> placed.attempt() == 1;
       case GatewayEvent.RequestEnded ended ->
@@ -144,24 +144,24 @@
    * Counts a line of a served request. Returns whether the rate up to which all lines are written
    * is exceeded in the current second.
    */
-  private boolean beyondAllKept(Instant now) {
+  private boolean exceedsUnsampledRate(Instant now) {
     long current = now.getEpochSecond();
-    if (second != current) {
-      second = current;
-      keptInSecond = 0;
+    if (currentSecond != current) {
+      currentSecond = current;
+      linesInSecond = 0;
     }
-    keptInSecond++;
-    return keptInSecond > ALL_KEPT;
+    linesInSecond++;
+    return linesInSecond > UNSAMPLED_LINES_PER_SECOND;
   }
 
-  private static boolean sampledOut(GatewayEvent event) {
+  private static boolean isSampledOut(GatewayEvent event) {
     String request =
         switch (event) {
           case GatewayEvent.Placed placed -> placed.request();
           case GatewayEvent.RequestEnded ended -> ended.request();
           default -> "";
         };
-    return Math.floorMod(request.hashCode(), SAMPLED) != 0;
+    return Math.floorMod(request.hashCode(), SAMPLING_DIVISOR) != 0;
   }
 
   private void writeAll() {
@@ -171,7 +171,7 @@
         if (line != null) {
           write(line);
         }
-        long unreported = lines.isEmpty() ? dropped.getAndSet(0) : 0;
+        long unreported = lines.isEmpty() ? droppedLines.getAndSet(0) : 0;
         if (unreported > 0) {
           write(new Line(clock.instant(), new GatewayEvent.LinesDropped(unreported)));
         }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/Attempt.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/Attempt.java
@@ -26,17 +26,17 @@
   private final long uncachedTokens;
 
   private final boolean streamed;
-  private final Instant started;
+  private final Instant startedAt;
   private final ByteArrayOutputStream body = new ByteArrayOutputStream(0);
-  private final EventSplitter events = new EventSplitter();
+  private final EventSplitter eventSplitter = new EventSplitter();
 
   private @Nullable HttpCall call;
   private @Nullable AnswerVerdict verdict;
   private int status;
   private Map<String, String> headers = Map.of();
-  private Instant lastHeard;
-  private boolean promptRead;
-  private boolean over;
+  private Instant lastReceivedAt;
+  private boolean promptMarkedRead;
+  private boolean ended;
 
   Attempt(
       RequestFlow flow,
@@ -50,14 +50,14 @@
     this.uncachedTokens = uncachedTokens;
     this.streamed = streamed;
     this.promptTokens = flow.request().prompt().map(PromptTerms::unsharedTokens).orElse(0L);
-    this.started = parts.clock().instant();
-    this.lastHeard = started;
+    this.startedAt = parts.clock().instant();
+    this.lastReceivedAt = startedAt;
   }
 
   void start(Handover handover) {
     server.started(uncachedTokens);
     HttpCall sent = parts.backends().send(parts.dialect().forward(flow.request(), handover), this);
-    if (!over) {
+    if (!ended) {
       call = sent;
     }
   }
@@ -74,20 +74,20 @@
   }
 
   Duration age() {
-    return Duration.between(started, parts.clock().instant());
+    return Duration.between(startedAt, parts.clock().instant());
   }
 
   /** How long the server has sent nothing. */
   Duration silence() {
-    return Duration.between(lastHeard, parts.clock().instant());
+    return Duration.between(lastReceivedAt, parts.clock().instant());
   }
 
   /** Cancels the attempt by closing its connection, so that the server stops working on it. */
   void cancel() {
-    if (over) {
+    if (ended) {
       return;
     }
-    finish();
+    markEnded();
     if (call != null) {
       call.cancel();
     }
@@ -100,13 +100,13 @@
 
   @Override
   public void onHead(int answerStatus, Map<String, String> answerHeaders) {
-    heard();
+    markReceived();
     status = answerStatus;
     headers = parts.dialect().answerHeaders(answerHeaders);
     verdict = parts.dialect().verdict(answerStatus, answerHeaders);
     if (verdict == AnswerVerdict.DOUBTFUL) {
       HttpCall used = call;
-      fail(AttemptEnd.MAY_HAVE_RUN, "status %d is not the server's own".formatted(status));
+      fail(AttemptFailure.MAY_HAVE_RUN, "status %d is not the server's own".formatted(status));
       if (used != null) {
         used.cancel();
       }
@@ -115,39 +115,39 @@
 
   @Override
   public void onPart(byte[] part) {
-    if (over) {
+    if (ended) {
       return;
     }
-    heard();
+    markReceived();
     if (verdict != AnswerVerdict.GENUINE) {
       return;
     }
-    if (!eventStream()) {
+    if (!isEventStream()) {
       body.writeBytes(part);
       return;
     }
-    for (EventSplitter.Event event : events.add(part)) {
-      readPrompt();
+    for (EventSplitter.Event event : eventSplitter.add(part)) {
+      markPromptRead();
       flow.onEvent(status, headers, event);
     }
   }
 
   @Override
   public void onEnd() {
-    if (over) {
+    if (ended) {
       return;
     }
     switch (verdict) {
-      case GENUINE -> whole();
-      case NOT_RUN -> fail(AttemptEnd.NOT_RUN, "status %d, not run".formatted(status));
-      case OTHER_SERVER -> fail(AttemptEnd.OTHER_SERVER, "another server has the address");
-      case null, default -> fail(AttemptEnd.MAY_HAVE_RUN, "no genuine answer");
+      case GENUINE -> complete();
+      case NOT_RUN -> fail(AttemptFailure.NOT_RUN, "status %d, not run".formatted(status));
+      case OTHER_SERVER -> fail(AttemptFailure.OTHER_SERVER, "another server has the address");
+      case null, default -> fail(AttemptFailure.MAY_HAVE_RUN, "no genuine answer");
     }
   }
 
   @Override
   public void onFailure(HttpFailure failure, String detail) {
-    if (over) {
+    if (ended) {
       return;
     }
     if (verdict == AnswerVerdict.NOT_RUN || verdict == AnswerVerdict.OTHER_SERVER) {
@@ -155,42 +155,42 @@
       return;
     }
     fail(
-        failure == HttpFailure.NOT_SENT ? AttemptEnd.NOT_SENT : AttemptEnd.MAY_HAVE_RUN,
+        failure == HttpFailure.NOT_SENT ? AttemptFailure.NOT_SENT : AttemptFailure.MAY_HAVE_RUN,
         failure + ": " + detail);
   }
 
-  private void whole() {
-    finish();
-    if (eventStream()) {
-      flow.onStreamEnd(status, headers, events.rest());
+  private void complete() {
+    markEnded();
+    if (isEventStream()) {
+      flow.onStreamEnd(status, headers, eventSplitter.remainder());
     } else {
       flow.onWholeAnswer(status, headers, body.toByteArray());
     }
   }
 
-  private void fail(AttemptEnd end, String detail) {
-    finish();
+  private void fail(AttemptFailure end, String detail) {
+    markEnded();
     flow.onAttemptFailed(this, end, detail);
   }
 
-  private void finish() {
-    over = true;
-    readPrompt();
-    server.ended();
+  private void markEnded() {
+    ended = true;
+    markPromptRead();
+    server.onRequestEnded();
   }
 
-  private void readPrompt() {
-    if (!promptRead) {
-      promptRead = true;
-      server.promptRead(uncachedTokens);
+  private void markPromptRead() {
+    if (!promptMarkedRead) {
+      promptMarkedRead = true;
+      server.onPromptRead(uncachedTokens);
     }
   }
 
-  private void heard() {
-    lastHeard = parts.clock().instant();
+  private void markReceived() {
+    lastReceivedAt = parts.clock().instant();
   }
 
-  private boolean eventStream() {
+  private boolean isEventStream() {
     return streamed && status == OK;
   }
 }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/AttemptEnd.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/AttemptFailure.java
@@ -1,7 +1,7 @@
 package org.teaseldeal.gateway.flow;
 
 /** Why an attempt ended without a complete answer that can be passed on. */
-enum AttemptEnd {
+enum AttemptFailure {
   /** No part of the request was written to the server. */
   NOT_SENT,
   /** The server reported that it did not run the request. */
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/CallerAnswer.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/CallerAnswer.java
@@ -15,8 +15,8 @@
   private final HttpExchange exchange;
   private final InstantSource clock;
   private @Nullable ResponseStream stream;
-  private @Nullable Instant firstSent;
-  private Instant lastSent = Instant.MAX;
+  private @Nullable Instant firstSentAt;
+  private Instant lastSentAt = Instant.MAX;
   private Duration longestPause = Duration.ZERO;
   private long eventsSent;
   private String lastEventId = "";
@@ -27,8 +27,8 @@
   }
 
   /** When the first part of the answer was sent; empty if none was sent yet. */
-  Optional<Instant> firstSent() {
-    return Optional.ofNullable(firstSent);
+  Optional<Instant> firstSentAt() {
+    return Optional.ofNullable(firstSentAt);
   }
 
   /** The longest time between two consecutive parts of the answer. */
@@ -36,19 +36,19 @@
     return longestPause;
   }
 
-  private void onSent() {
+  private void recordSent() {
     Instant now = clock.instant();
-    if (firstSent == null) {
-      firstSent = now;
+    if (firstSentAt == null) {
+      firstSentAt = now;
     } else {
-      Duration pause = Duration.between(lastSent, now);
+      Duration pause = Duration.between(lastSentAt, now);
       longestPause = pause.compareTo(longestPause) > 0 ? pause : longestPause;
     }
-    lastSent = now;
+    lastSentAt = now;
   }
 
   /** Whether a part of a streamed answer was sent, after which no other answer can replace it. */
-  boolean begun() {
+  boolean hasBegun() {
     return stream != null;
   }
 
@@ -65,7 +65,7 @@
    * Sends an event. The first event also sends the status and headers of its server's answer, which
    * stay in place if later events come from another server.
    */
-  void event(int status, Map<String, String> headers, EventSplitter.Event event) {
+  void sendEvent(int status, Map<String, String> headers, EventSplitter.Event event) {
     ResponseStream open = stream;
     if (open == null) {
       open = exchange.startStream(status, headers);
@@ -76,7 +76,7 @@
       lastEventId = event.id();
     }
     open.write(event.bytes());
-    onSent();
+    recordSent();
   }
 
   /**
@@ -85,7 +85,7 @@
    * @param rest the bytes after the last complete event, or the complete body if no event was sent
    */
   void finish(int status, Map<String, String> headers, byte[] rest) {
-    onSent();
+    recordSent();
     if (stream == null) {
       exchange.respond(status, headers, rest);
     } else {
@@ -95,13 +95,13 @@
   }
 
   /** Sends a complete answer. No part of a streamed answer must have been sent before. */
-  void whole(HttpAnswer answer) {
-    onSent();
+  void respond(HttpAnswer answer) {
+    recordSent();
     exchange.respond(answer.status(), answer.headers(), answer.body());
   }
 
   /** Aborts the answer so that the caller can tell that it is incomplete. */
-  void breakOff() {
+  void abort() {
     if (stream != null) {
       stream.abort();
     }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/EventSplitter.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/EventSplitter.java
@@ -32,7 +32,7 @@
       event.write(next);
       if (next != '\n') {
         line.write(next);
-      } else if (endsLine()) {
+      } else if (completesEvent()) {
         complete.add(new Event(event.toByteArray(), id));
         event.reset();
         id = "";
@@ -42,12 +42,12 @@
   }
 
   /** The bytes of the last, incomplete event. */
-  byte[] rest() {
+  byte[] remainder() {
     return event.toByteArray();
   }
 
   /** Processes the end of a line and returns whether it was the blank line that ends an event. */
-  private boolean endsLine() {
+  private boolean completesEvent() {
     byte[] text = line.toByteArray();
     line.reset();
     int length = text.length > 0 && text[text.length - 1] == '\r' ? text.length - 1 : text.length;
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/InstanceDrain.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/InstanceDrain.java
@@ -28,11 +28,11 @@
   private static final Logger LOG = LoggerFactory.getLogger(InstanceDrain.class);
 
   /** The interval between two steps; short compared with the shortest phase, which takes 60 ms. */
-  private static final Duration STEP = Duration.ofMillis(20);
+  private static final Duration STEP_INTERVAL = Duration.ofMillis(20);
 
   private final ScheduledExecutorService loop;
   private final HttpServer callers;
-  private final RequestDesk desk;
+  private final RequestDesk dispatcher;
   private final AccountBook accounts;
   private final EventSink events;
   private final InstantSource clock;
@@ -40,7 +40,7 @@
   private final DrainPhases phases;
   private final CountDownLatch done = new CountDownLatch(1);
   private Phase phase = Phase.ACCEPTING;
-  private int brokenOff;
+  private int abortedRequests;
 
   /**
    * Starts the stop's clock now; {@link #run()} carries out the stop.
@@ -59,7 +59,7 @@
       Duration grace) {
     this.loop = loop;
     this.callers = callers;
-    this.desk = dispatcher;
+    this.dispatcher = dispatcher;
     this.accounts = accounts;
     this.events = events;
     this.clock = clock;
@@ -73,17 +73,17 @@
     loop.execute(this::begin);
     Future<?> steps =
         loop.scheduleAtFixedRate(
-            this::step, STEP.toMillis(), STEP.toMillis(), TimeUnit.MILLISECONDS);
+            this::step, STEP_INTERVAL.toMillis(), STEP_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
     if (!done.await(grace.toMillis(), TimeUnit.MILLISECONDS)) {
       LOG.warn("the drain did not finish within the shutdown grace of {}", grace);
     }
     steps.cancel(false);
-    events.accept(new GatewayEvent.InstanceState("stopped", brokenOff + " requests cut off"));
+    events.accept(new GatewayEvent.InstanceState("stopped", abortedRequests + " requests cut off"));
   }
 
   private void begin() {
-    events.accept(new GatewayEvent.InstanceState("draining", desk.open() + " requests"));
-    desk.drain(phases.admission());
+    events.accept(new GatewayEvent.InstanceState("draining", dispatcher.open() + " requests"));
+    dispatcher.drain(phases.admission());
     accounts.close();
   }
 
@@ -105,10 +105,10 @@
   private void enter(Phase next) {
     switch (next) {
       case ACCEPTING, SHORT_ONLY -> {}
-      case REFUSING -> desk.refuseAll();
+      case REFUSING -> dispatcher.refuseAll();
       case BREAKING_OFF -> {
-        brokenOff = desk.open();
-        desk.breakOffAll();
+        abortedRequests = dispatcher.open();
+        dispatcher.breakOffAll();
       }
       case CLOSING -> callers.beginToStopAccepting();
       case LEAVING -> callers.stopReading();
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/PromptTerms.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/PromptTerms.java
@@ -19,7 +19,7 @@
   }
 
   /** The largest number of tokens that the request can use, prompt and output together. */
-  public long atMost() {
+  public long maxTokens() {
     return inputTokens + maxOutputTokens;
   }
 
@@ -48,7 +48,7 @@
    * The id of the last part that other prompts may share, which stands for the longest shared
    * prefix; empty if the prompt has no shared part.
    */
-  public String sharedBeginning() {
+  public String lastSharedPartId() {
     return parts.size() < 2 ? "" : parts.get(parts.size() - 2).id();
   }
 }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/RequestDesk.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/RequestDesk.java
@@ -35,27 +35,27 @@
    * The suggested delay before a retry while the instance is starting: about the time that it takes
    * to become ready.
    */
-  private static final Duration COME_BACK_STARTING = Duration.ofMillis(500);
+  private static final Duration STARTING_RETRY_DELAY = Duration.ofMillis(500);
 
   /**
    * How long a request is held until the first configuration is read, which happens some tens of
    * milliseconds after callers can connect. If it takes longer than this, the configuration store
    * is unavailable, and another instance may be able to serve the request.
    */
-  private static final Duration LONGEST_WAIT_FOR_PLAN = Duration.ofMillis(800);
+  private static final Duration MAX_WAIT_FOR_PLAN = Duration.ofMillis(800);
 
   /**
    * A server counts as silent if it sends nothing for this many times its route's latency target.
    * Answers under load take up to twice the target; of the answers that are still missing after
    * three times the target, most never come.
    */
-  private static final int SILENT_AIMS = 3;
+  private static final int SILENCE_TARGET_MULTIPLE = 3;
 
   /**
    * The shortest silence after which a streaming server counts as silent. Callers abandon a stream
    * after two seconds of silence; the other half of that time remains for the failover.
    */
-  private static final Duration SHORTEST_STREAM_SILENCE = Duration.ofMillis(1000);
+  private static final Duration MIN_STREAM_SILENCE = Duration.ofMillis(1000);
 
   /** A request that was admitted and may be sent to a backend server. */
   record Admitted(
@@ -71,25 +71,25 @@
   private record EarlyRequest(HttpExchange exchange, Instant arrived) {}
 
   private final GatewayParts parts;
-  private final ServerChoice choice;
-  private final GuardedSteps guarded = new GuardedSteps();
-  private final List<EarlyRequest> early = new ArrayList<>();
+  private final ServerSelector selector;
+  private final GuardedSteps isolatedTasks = new GuardedSteps();
+  private final List<EarlyRequest> earlyRequests = new ArrayList<>();
   private final Set<RequestFlow> flows = new LinkedHashSet<>();
-  private final Map<String, RetryWindow> retries = new HashMap<>();
-  private final Map<String, RecentDurations> answersOfRoutes = new HashMap<>();
-  private @Nullable DrainAdmission draining;
-  private boolean refusing;
+  private final Map<String, RetryWindow> retryWindows = new HashMap<>();
+  private final Map<String, RecentDurations> answerTimesByRoute = new HashMap<>();
+  private @Nullable DrainAdmission drainAdmission;
+  private boolean refusingAll;
 
   public RequestDesk(GatewayParts parts) {
     this.parts = parts;
-    this.choice =
-        new ServerChoice(
+    this.selector =
+        new ServerSelector(
             parts.servers(), parts.othersLoad(), parts.cachedPrompts(), parts.random());
   }
 
   /** The number of requests that have no final answer yet. */
   public int open() {
-    return flows.size() + early.size();
+    return flows.size() + earlyRequests.size();
   }
 
   /**
@@ -97,12 +97,12 @@
    * the others.
    */
   public int serversLeftOut() {
-    return choice.leftOut(parts.clock().instant());
+    return selector.ejectedCount(parts.clock().instant());
   }
 
   /** From now on admits only the requests that {@code admission} allows. */
   public void drain(DrainAdmission admission) {
-    draining = admission;
+    drainAdmission = admission;
   }
 
   /**
@@ -111,9 +111,10 @@
    * them.
    */
   public void refuseAll() {
-    refusing = true;
-    handleEarly();
-    new ArrayList<>(flows).forEach(flow -> guarded.run(flow.request().id(), flow::refuseIfNotRun));
+    refusingAll = true;
+    handleDueEarlyRequests();
+    new ArrayList<>(flows)
+        .forEach(flow -> isolatedTasks.run(flow.request().id(), flow::refuseIfNotRun));
   }
 
   /**
@@ -121,16 +122,16 @@
    * request may have run, and answers that have begun are aborted.
    */
   public void breakOffAll() {
-    new ArrayList<>(flows).forEach(flow -> guarded.run(flow.request().id(), flow::breakOff));
+    new ArrayList<>(flows).forEach(flow -> isolatedTasks.run(flow.request().id(), flow::abort));
   }
 
   @Override
   public void handle(HttpExchange exchange) {
     Instant arrived = parts.clock().instant().minus(exchange.sinceHead());
-    if (parts.plan().get() == null && !refusing) {
+    if (parts.plan().get() == null && !refusingAll) {
       EarlyRequest request = new EarlyRequest(exchange, arrived);
-      early.add(request);
-      exchange.onCallerGone(() -> early.remove(request));
+      earlyRequests.add(request);
+      exchange.onCallerGone(() -> earlyRequests.remove(request));
     } else {
       handle(exchange, arrived);
     }
@@ -151,39 +152,41 @@
    * configuration. If these requests were refused, most callers would spend their only retry on the
    * refusal and fail, although the request could be served a moment later.
    */
-  private void handleEarly() {
+  private void handleDueEarlyRequests() {
     Instant now = parts.clock().instant();
     List<EarlyRequest> due =
-        early.stream()
-            .filter(each -> parts.plan().get() != null || refusing || waitedLong(each, now))
+        earlyRequests.stream()
+            .filter(
+                each -> parts.plan().get() != null || refusingAll || hasWaitedTooLong(each, now))
             .toList();
-    early.removeAll(due);
+    earlyRequests.removeAll(due);
     due.forEach(each -> handle(each.exchange(), each.arrived()));
   }
 
-  private static boolean waitedLong(EarlyRequest request, Instant now) {
-    return !now.isBefore(request.arrived().plus(LONGEST_WAIT_FOR_PLAN));
+  private static boolean hasWaitedTooLong(EarlyRequest request, Instant now) {
+    return !now.isBefore(request.arrived().plus(MAX_WAIT_FOR_PLAN));
   }
 
   /** Ends requests whose deadline has passed and retries those that wait. */
   public void tick() {
-    handleEarly();
-    choice.tick(parts.clock().instant());
+    handleDueEarlyRequests();
+    selector.tick(parts.clock().instant());
     parts.quarantine().tick();
-    new ArrayList<>(flows).forEach(flow -> guarded.run(flow.request().id(), flow::tick));
+    new ArrayList<>(flows).forEach(flow -> isolatedTasks.run(flow.request().id(), flow::tick));
   }
 
   private void start(HttpExchange exchange, Admitted admitted) {
     RequestFlow flow = new RequestFlow(parts, this, exchange, admitted);
     flows.add(flow);
-    window(admitted.service()).onFirst(admitted.arrived());
-    flow.begin();
+    retryWindow(admitted.service()).onFirst(admitted.arrived());
+    flow.start();
   }
 
   private Result<Admitted> admit(Result<RoutedRequest> request, Instant arrived) {
     GatewayPlan plan = parts.plan().get();
     if (plan == null) {
-      return refusal(ErrorKind.NOT_READY, "no configuration is known yet", COME_BACK_STARTING);
+      return retryableRefusal(
+          ErrorKind.NOT_READY, "no configuration is known yet", STARTING_RETRY_DELAY);
     }
     return switch (request) {
       case Result.Err<RoutedRequest> malformed -> Result.err(malformed.problem());
@@ -202,12 +205,12 @@
       return Result.err(
           Problem.of(ErrorKind.UNAUTHENTICATED, "key unknown in version " + plan.version()));
     }
-    if (parts.quarantine().active() && parts.quarantine().holds(request.fingerprint())) {
+    if (parts.quarantine().hasCounts() && parts.quarantine().isQuarantined(request.fingerprint())) {
       return Result.err(
           Problem.of(ErrorKind.QUARANTINED, "it has crashed several backend servers"));
     }
-    if (!takes(route.get(), arrived.plus(longest(request, route.get())))) {
-      return Result.err(stopping());
+    if (!admitsWhileDraining(route.get(), arrived.plus(maxDuration(request, route.get())))) {
+      return Result.err(drainingProblem());
     }
     String service = route.get().drawService(parts.random());
     int tokensPerEvent = plan.service(service).map(PlannedService::tokensPerEvent).orElse(0);
@@ -216,21 +219,21 @@
             request, route.get(), customer, service, tokensPerEvent, plan.version(), arrived));
   }
 
-  private boolean takes(Route route, Instant deadline) {
-    DrainAdmission drain = draining;
+  private boolean admitsWhileDraining(Route route, Instant deadline) {
+    DrainAdmission drain = drainAdmission;
     if (drain == null) {
       return true;
     }
-    Duration usualDuration = answersOf(route).ofNearlyAll();
-    return !refusing && drain.admits(parts.clock().instant(), deadline, usualDuration);
+    Duration usualDuration = answerTimes(route).ofNearlyAll();
+    return !refusingAll && drain.admits(parts.clock().instant(), deadline, usualDuration);
   }
 
-  private RecentDurations answersOf(Route route) {
-    return answersOfRoutes.computeIfAbsent(route.name(), name -> new RecentDurations());
+  private RecentDurations answerTimes(Route route) {
+    return answerTimesByRoute.computeIfAbsent(route.name(), name -> new RecentDurations());
   }
 
-  private Result<Admitted> refusal(ErrorKind kind, String detail, Duration retryAfter) {
-    return Result.err(Problem.retryable(kind, detail, spread(retryAfter)));
+  private Result<Admitted> retryableRefusal(ErrorKind kind, String detail, Duration retryAfter) {
+    return Result.err(Problem.retryable(kind, detail, withJitter(retryAfter)));
   }
 
   private void refuse(
@@ -269,54 +272,54 @@
    * The longest time that a request may take: the lesser of its caller's timeout and its route's
    * timeout.
    */
-  static Duration longest(RoutedRequest request, Route route) {
-    Duration callerTimeout = request.patience().orElse(route.timeout());
+  static Duration maxDuration(RoutedRequest request, Route route) {
+    Duration callerTimeout = request.callerTimeout().orElse(route.timeout());
     return callerTimeout.compareTo(route.timeout()) < 0 ? callerTimeout : route.timeout();
   }
 
   /** Whether requests that have not been sent to any server are refused. */
-  boolean refusing() {
-    return refusing;
+  boolean refusingAll() {
+    return refusingAll;
   }
 
   /** The error for a request that has not run when the instance stops. */
-  Problem stopping() {
-    DrainAdmission drain = draining;
-    Duration retryAfter = drain == null ? COME_BACK_STARTING : drain.comeBack();
-    return Problem.retryable(ErrorKind.DRAINING, "the instance stops", spread(retryAfter));
+  Problem drainingProblem() {
+    DrainAdmission drain = drainAdmission;
+    Duration retryAfter = drain == null ? STARTING_RETRY_DELAY : drain.comeBack();
+    return Problem.retryable(ErrorKind.DRAINING, "the instance stops", withJitter(retryAfter));
   }
 
   void onAnswered(Route route, Duration took) {
-    answersOf(route).add(took);
+    answerTimes(route).add(took);
   }
 
-  ServerChoice choice() {
-    return choice;
+  ServerSelector selector() {
+    return selector;
   }
 
-  boolean tryRepeat(String service) {
-    return window(service).tryRepeat(parts.clock().instant(), parts.instances().getAsInt());
+  boolean tryRetry(String service) {
+    return retryWindow(service).tryRepeat(parts.clock().instant(), parts.instances().getAsInt());
   }
 
   /** How long a server of {@code route} may send nothing before it counts as silent. */
-  Duration longestSilence(Route route) {
-    Duration silence = route.aim().multipliedBy(SILENT_AIMS);
-    boolean tooShort = silence.compareTo(SHORTEST_STREAM_SILENCE) < 0;
-    return route.kind().streamed() && tooShort ? SHORTEST_STREAM_SILENCE : silence;
+  Duration maxSilence(Route route) {
+    Duration silence = route.aim().multipliedBy(SILENCE_TARGET_MULTIPLE);
+    boolean tooShort = silence.compareTo(MIN_STREAM_SILENCE) < 0;
+    return route.kind().streamed() && tooShort ? MIN_STREAM_SILENCE : silence;
   }
 
   /** Adds jitter to a suggested retry delay, so that the callers don't all return at once. */
-  Duration spread(Duration retryAfter) {
+  Duration withJitter(Duration retryAfter) {
     return ComeBackTime.spread(retryAfter, parts.random());
   }
 
   void onEnded(RequestFlow flow) {
     flows.remove(flow);
-    guarded.forget(flow.request().id());
+    isolatedTasks.forget(flow.request().id());
   }
 
-  private RetryWindow window(String service) {
-    return retries.computeIfAbsent(
+  private RetryWindow retryWindow(String service) {
+    return retryWindows.computeIfAbsent(
         service,
         name ->
             new RetryWindow(
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/RequestFlow.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/RequestFlow.java
@@ -45,7 +45,7 @@
 
   private static final double MILLIS_PER_OUTPUT_TOKEN = 5;
 
-  private static final int FIRST_SERVER_ERROR = 500;
+  private static final int FIRST_SERVER_ERROR_STATUS = 500;
 
   /** The outcome of a request for which a backend server's answer was passed on. */
   private static final String ANSWERED = "answered";
@@ -54,10 +54,10 @@
    * How long a server is not chosen after a connection to it could not be opened: about the time
    * that a crashed server takes to restart.
    */
-  private static final Duration UNREACHABLE_PAUSE = Duration.ofSeconds(1);
+  private static final Duration UNREACHABLE_EXCLUSION = Duration.ofSeconds(1);
 
   /** How long a full server is not chosen: long enough for a few of its requests to end. */
-  private static final Duration FULL_PAUSE = Duration.ofMillis(100);
+  private static final Duration FULL_EXCLUSION = Duration.ofMillis(100);
 
   /**
    * How long a server is not chosen after another server answered at its address. The address may
@@ -67,55 +67,55 @@
    * change in its listing. If it stayed excluded, the load would be spread over fewer servers until
    * the list changes.
    */
-  private static final Duration OTHER_SERVER_PAUSE = Duration.ofSeconds(4);
+  private static final Duration ADDRESS_REUSED_EXCLUSION = Duration.ofSeconds(4);
 
   /**
    * How many connections may fail to open for one request. Each failure costs a connect timeout at
    * most.
    */
-  private static final int MAX_UNREACHABLE = 4;
+  private static final int MAX_CONNECT_FAILURES = 4;
 
   /** How long a request waits until a server of its service is listed. */
-  private static final Duration LONGEST_WAIT_FOR_SERVER = Duration.ofMillis(400);
+  private static final Duration MAX_WAIT_FOR_SERVER = Duration.ofMillis(400);
 
   /**
    * The suggested delay before a retry if no server can take the request. A server takes some
    * seconds to restart.
    */
-  private static final Duration COME_BACK_NO_SERVER = Duration.ofMillis(500);
+  private static final Duration NO_SERVER_RETRY_DELAY = Duration.ofMillis(500);
 
   /**
    * The suggested delay before a retry if a server was full: its queue drains within a few answers.
    */
-  private static final Duration COME_BACK_FULL = Duration.ofMillis(150);
+  private static final Duration FULL_RETRY_DELAY = Duration.ofMillis(150);
 
   /**
    * Tolerance when a call's timeout is compared with the request's deadline. The call's own timer
    * has a resolution of whole milliseconds and starts slightly after the request's.
    */
-  private static final Duration TIMER_GRAIN = Duration.ofMillis(2);
+  private static final Duration TIMER_TOLERANCE = Duration.ofMillis(2);
 
   private final GatewayParts parts;
-  private final RequestDesk desk;
+  private final RequestDesk dispatcher;
   private final HttpExchange exchange;
   private final CallerAnswer answer;
   private final RoutedRequest request;
   private final Route route;
   private final Optional<PrepaidCustomer> customer;
   private final String service;
-  private final TokenUse use;
+  private final TokenUsage tokenUsage;
   private final long planVersion;
-  private final Instant arrived;
+  private final Instant arrivedAt;
   private final Instant deadline;
-  private final Set<ServerIncarnation> tried = new HashSet<>();
+  private final Set<ServerIncarnation> failedIncarnations = new HashSet<>();
 
   private Stage stage = Stage.TOKENS;
   private Reservation reservation = Reservation.NONE;
-  private Duration waited = Duration.ZERO;
-  private Duration placed = Duration.ZERO;
+  private Duration tokenWait = Duration.ZERO;
+  private Duration placementDelay = Duration.ZERO;
   private @Nullable String fingerprint;
-  private int sends;
-  private int unreachable;
+  private int sendCount;
+  private int connectFailures;
   private boolean mayHaveRun;
   private @Nullable Attempt attempt;
   private Instant waitingForServerSince = Instant.MAX;
@@ -126,17 +126,17 @@
       HttpExchange exchange,
       RequestDesk.Admitted admitted) {
     this.parts = parts;
-    this.desk = dispatcher;
+    this.dispatcher = dispatcher;
     this.exchange = exchange;
     this.answer = new CallerAnswer(exchange, parts.clock());
     this.request = admitted.request();
     this.route = admitted.route();
     this.customer = admitted.customer();
     this.service = admitted.service();
-    this.use = new TokenUse(request.prompt(), admitted.tokensPerEvent());
+    this.tokenUsage = new TokenUsage(request.prompt(), admitted.tokensPerEvent());
     this.planVersion = admitted.planVersion();
-    this.arrived = admitted.arrived();
-    this.deadline = arrived.plus(RequestDesk.longest(request, route));
+    this.arrivedAt = admitted.arrived();
+    this.deadline = arrivedAt.plus(RequestDesk.maxDuration(request, route));
   }
 
   RoutedRequest request() {
@@ -151,14 +151,14 @@
     return service;
   }
 
-  boolean ended() {
+  boolean hasEnded() {
     return stage == Stage.ENDED;
   }
 
-  void begin() {
-    exchange.onCallerGone(this::callerGone);
+  void start() {
+    exchange.onCallerGone(this::onCallerGone);
     if (customer.isPresent() && request.prompt().isPresent()) {
-      reserve(customer.get().name(), request.prompt().get().atMost());
+      reserve(customer.get().name(), request.prompt().get().maxTokens());
     } else {
       onReserved(Reservation.NONE);
     }
@@ -166,7 +166,7 @@
 
   private void reserve(String name, long tokens) {
     TokenRequests requests = parts.tokens();
-    Instant abandonAt = arrived.plus(route.silenceBorne(Duration.between(arrived, deadline)));
+    Instant abandonAt = arrivedAt.plus(route.silenceBorne(Duration.between(arrivedAt, deadline)));
     requests.reserve(name, tokens, abandonAt, deadline, this);
     if (stage == Stage.TOKENS && requests.waitHere(name)) {
       parts
@@ -180,7 +180,7 @@
   @Override
   public void onReserved(Reservation granted) {
     reservation = granted;
-    waited = Duration.between(arrived, now());
+    tokenWait = Duration.between(arrivedAt, now());
     stage = Stage.SERVER;
     waitingForServerSince = now();
     send();
@@ -192,7 +192,9 @@
         problem.retryAfter().isEmpty()
             ? problem
             : Problem.retryable(
-                problem.kind(), problem.detail(), desk.spread(problem.retryAfter().get())));
+                problem.kind(),
+                problem.detail(),
+                dispatcher.withJitter(problem.retryAfter().get())));
   }
 
   /**
@@ -204,11 +206,11 @@
       return;
     }
     if (!now().isBefore(deadline)) {
-      deadlinePassed();
+      onDeadlinePassed();
     } else if (stage == Stage.SERVER) {
       send();
     } else if (stage == Stage.ANSWER) {
-      leaveSilentServer();
+      failOverIfSilent();
     }
   }
 
@@ -218,38 +220,40 @@
   void refuseIfNotRun() {
     boolean waiting = stage == Stage.TOKENS || stage == Stage.SERVER;
     if (waiting && !mayHaveRun) {
-      refuse(desk.stopping());
+      refuse(dispatcher.drainingProblem());
     }
   }
 
   /** Ends the request immediately because the process is about to exit. */
-  void breakOff() {
+  void abort() {
     refuseIfNotRun();
     if (stage == Stage.ENDED) {
       return;
     }
     if (attempt != null) {
-      giveUpAttempt(attempt);
+      cancelAttempt(attempt);
     }
     fail(Problem.of(ErrorKind.BACKEND_FAILED, "the instance ended while it ran"));
   }
 
   private void send() {
-    if (desk.refusing() && !mayHaveRun) {
-      refuse(desk.stopping());
+    if (dispatcher.refusingAll() && !mayHaveRun) {
+      refuse(dispatcher.drainingProblem());
       return;
     }
-    Optional<ServerChoice.Chosen> chosen =
-        desk.choice().choose(service, request.prompt(), route.aim(), tried, now());
+    Optional<ServerSelector.Selection> chosen =
+        dispatcher
+            .selector()
+            .select(service, request.prompt(), route.aim(), failedIncarnations, now());
     if (chosen.isEmpty()) {
       waitOrGiveUp();
       return;
     }
     BackendServer server = chosen.get().server();
     stage = Stage.ANSWER;
-    sends++;
-    placed = Duration.between(arrived, now());
-    parts.events().accept(placedAt(chosen.get()));
+    sendCount++;
+    placementDelay = Duration.between(arrivedAt, now());
+    parts.events().accept(placedEvent(chosen.get()));
     parts.cachedPrompts().onSent(server.incarnation(), sharedPartIds(), now());
     Attempt next =
         new Attempt(this, parts, server, chosen.get().uncachedTokens(), route.kind().streamed());
@@ -264,19 +268,19 @@
             answer.lastEventId().isEmpty() ? Optional.empty() : Optional.of(answer.lastEventId())));
   }
 
-  private GatewayEvent.Placed placedAt(ServerChoice.Chosen chosen) {
+  private GatewayEvent.Placed placedEvent(ServerSelector.Selection chosen) {
     BackendServer server = chosen.server();
     long unshared = request.prompt().map(PromptTerms::unsharedTokens).orElse(0L);
     return new GatewayEvent.Placed(
         request.id(),
         service,
         server.id().name(),
-        sends,
+        sendCount,
         server.running(),
-        chosen.others().running(),
-        Math.max(0, server.promptTokensAhead()) + chosen.others().promptTokensAhead(),
+        chosen.peerLoad().running(),
+        Math.max(0, server.promptTokensAhead()) + chosen.peerLoad().promptTokensAhead(),
         Math.max(0, chosen.uncachedTokens() - unshared),
-        chosen.heardAgo(),
+        chosen.loadAge(),
         chosen.candidates(),
         answer.lastEventId(),
         fingerprint());
@@ -301,7 +305,7 @@
 
   private void waitOrGiveUp() {
     Duration waiting = Duration.between(waitingForServerSince, now());
-    if (waiting.compareTo(LONGEST_WAIT_FOR_SERVER) > 0 || !tried.isEmpty()) {
+    if (waiting.compareTo(MAX_WAIT_FOR_SERVER) > 0 || !failedIncarnations.isEmpty()) {
       giveUp(ErrorKind.NO_BACKEND_SERVER, "no server of the service can be reached");
     }
   }
@@ -312,34 +316,34 @@
    * <p>A server that loses power doesn't close its connections. Without this check its callers
    * would wait until their deadlines.
    */
-  private void leaveSilentServer() {
+  private void failOverIfSilent() {
     Attempt silent = attempt;
-    if (silent == null || !route.repeatable() || sends >= route.maxAttempts()) {
+    if (silent == null || !route.repeatable() || sendCount >= route.maxAttempts()) {
       return;
     }
-    if (!overdue(silent)) {
+    if (!isOverdue(silent)) {
       return;
     }
     silent.cancel();
-    onAttemptFailed(silent, AttemptEnd.MAY_HAVE_RUN, "silent");
+    onAttemptFailed(silent, AttemptFailure.MAY_HAVE_RUN, "silent");
   }
 
-  private boolean overdue(Attempt waiting) {
-    return waiting.silence().compareTo(desk.longestSilence(route)) > 0;
+  private boolean isOverdue(Attempt waiting) {
+    return waiting.silence().compareTo(dispatcher.maxSilence(route)) > 0;
   }
 
   void onEvent(int status, Map<String, String> headers, EventSplitter.Event event) {
     if (stage == Stage.ENDED) {
       return;
     }
-    answer.event(status, headers, event);
+    answer.sendEvent(status, headers, event);
   }
 
   void onStreamEnd(int status, Map<String, String> headers, byte[] rest) {
     if (stage == Stage.ENDED) {
       return;
     }
-    answered();
+    recordAnswer();
     answer.finish(status, headers, rest);
     end(ANSWERED, status, "");
   }
@@ -348,32 +352,32 @@
     if (stage == Stage.ENDED) {
       return;
     }
-    if (answer.begun()) {
-      breakStream("a resumed stream was answered with status " + status);
+    if (answer.hasBegun()) {
+      abortStream("a resumed stream was answered with status " + status);
       return;
     }
-    if (status >= FIRST_SERVER_ERROR && route.repeatable() && mayRepeat()) {
+    if (status >= FIRST_SERVER_ERROR_STATUS && route.repeatable() && mayRetry()) {
       Attempt failed = attempt;
       if (failed != null) {
-        onAttemptFailed(failed, AttemptEnd.SERVER_ERROR, "status " + status);
+        onAttemptFailed(failed, AttemptFailure.SERVER_ERROR, "status " + status);
         return;
       }
     }
-    answered();
-    answer.whole(new HttpAnswer(status, headers, body));
+    recordAnswer();
+    answer.respond(new HttpAnswer(status, headers, body));
     end(ANSWERED, status, "");
   }
 
-  private void answered() {
+  private void recordAnswer() {
     mayHaveRun = true;
-    desk.onAnswered(route, Duration.between(arrived, now()));
-    if (parts.quarantine().active()) {
+    dispatcher.onAnswered(route, Duration.between(arrivedAt, now()));
+    if (parts.quarantine().hasCounts()) {
       parts.quarantine().onAnswered(fingerprint());
     }
     Attempt last = attempt;
     if (last != null) {
-      use.after(last);
-      desk.choice().onAnswered(last.server(), last.age(), expectedMillis());
+      tokenUsage.onAttemptEnded(last);
+      dispatcher.selector().onAnswered(last.server(), last.age(), expectedAnswerMillis());
     }
   }
 
@@ -381,49 +385,49 @@
    * The approximate time in milliseconds that an idle server needs for the answer. 1 for a request
    * without a prompt.
    */
-  private double expectedMillis() {
+  private double expectedAnswerMillis() {
     return 1
         + request.prompt().map(PromptTerms::unsharedTokens).orElse(0L) * MILLIS_PER_PROMPT_TOKEN
-        + use.outputTokens(answer.eventsSent()) * MILLIS_PER_OUTPUT_TOKEN;
+        + tokenUsage.outputTokensIn(answer.eventsSent()) * MILLIS_PER_OUTPUT_TOKEN;
   }
 
-  void onAttemptFailed(Attempt failed, AttemptEnd reason, String detail) {
+  void onAttemptFailed(Attempt failed, AttemptFailure reason, String detail) {
     if (stage == Stage.ENDED) {
       return;
     }
     attempt = null;
-    if (reason == AttemptEnd.SERVER_ERROR || reason == AttemptEnd.MAY_HAVE_RUN) {
+    if (reason == AttemptFailure.SERVER_ERROR || reason == AttemptFailure.MAY_HAVE_RUN) {
       mayHaveRun = true;
-      use.after(failed);
+      tokenUsage.onAttemptEnded(failed);
     }
     BackendServer server = failed.server();
     parts
         .events()
         .accept(
             new GatewayEvent.AttemptFailed(
-                request.id(), server.id().name(), sends, reason.name(), detail, failed.age()));
-    tried.add(server.incarnation());
+                request.id(), server.id().name(), sendCount, reason.name(), detail, failed.age()));
+    failedIncarnations.add(server.incarnation());
     if (reason.provesNotRun()) {
       parts.cachedPrompts().onNotRun(server.incarnation(), sharedPartIds());
     }
     stage = Stage.SERVER;
     switch (reason) {
       case NOT_SENT -> {
-        sends--;
-        unreachable++;
+        sendCount--;
+        connectFailures++;
         parts.quarantine().onUnreachable(server.incarnation());
-        server.avoidUntil(now().plus(UNREACHABLE_PAUSE));
-        sendAgainIf(unreachable < MAX_UNREACHABLE, ErrorKind.NO_BACKEND_SERVER, detail);
+        server.excludeUntil(now().plus(UNREACHABLE_EXCLUSION));
+        resendIf(connectFailures < MAX_CONNECT_FAILURES, ErrorKind.NO_BACKEND_SERVER, detail);
       }
       case OTHER_SERVER -> {
-        server.avoidUntil(now().plus(OTHER_SERVER_PAUSE));
-        sendAgainIf(mayRepeat(), ErrorKind.NO_BACKEND_SERVER, detail);
+        server.excludeUntil(now().plus(ADDRESS_REUSED_EXCLUSION));
+        resendIf(mayRetry(), ErrorKind.NO_BACKEND_SERVER, detail);
       }
       case NOT_RUN -> {
-        server.avoidUntil(now().plus(FULL_PAUSE));
-        sendAgainIf(mayRepeat(), ErrorKind.OVERLOADED, detail);
+        server.excludeUntil(now().plus(FULL_EXCLUSION));
+        resendIf(mayRetry(), ErrorKind.OVERLOADED, detail);
       }
-      case SERVER_ERROR -> sendAgainIf(true, ErrorKind.BACKEND_FAILED, detail);
+      case SERVER_ERROR -> resendIf(true, ErrorKind.BACKEND_FAILED, detail);
       case MAY_HAVE_RUN -> onMayHaveRun(failed, detail);
     }
   }
@@ -436,23 +440,23 @@
    * timeout is shorter than its requests take would get healthy servers ejected for all routes.
    */
   private void onMayHaveRun(Attempt failed, String detail) {
-    boolean outOfTime = !now().isBefore(deadline.minus(TIMER_GRAIN));
-    if (!outOfTime || overdue(failed)) {
-      desk.choice().onFailed(failed.server());
-      parts.quarantine().onBrokenOff(fingerprint(), failed.server().incarnation());
+    boolean outOfTime = !now().isBefore(deadline.minus(TIMER_TOLERANCE));
+    if (!outOfTime || isOverdue(failed)) {
+      dispatcher.selector().onFailed(failed.server());
+      parts.quarantine().onConnectionLost(fingerprint(), failed.server().incarnation());
     }
     if (outOfTime) {
       fail(Problem.of(ErrorKind.DEADLINE_PASSED, detail));
     } else {
-      sendAgainIf(route.repeatable() && mayRepeat(), ErrorKind.BACKEND_FAILED, detail);
+      resendIf(route.repeatable() && mayRetry(), ErrorKind.BACKEND_FAILED, detail);
     }
   }
 
-  private boolean mayRepeat() {
-    return sends < route.maxAttempts() && desk.tryRepeat(service);
+  private boolean mayRetry() {
+    return sendCount < route.maxAttempts() && dispatcher.tryRetry(service);
   }
 
-  private void sendAgainIf(boolean allowed, ErrorKind otherwise, String detail) {
+  private void resendIf(boolean allowed, ErrorKind otherwise, String detail) {
     if (allowed && now().isBefore(deadline)) {
       waitingForServerSince = now();
       send();
@@ -469,16 +473,16 @@
     if (mayHaveRun) {
       fail(Problem.of(ErrorKind.BACKEND_FAILED, detail));
     } else if (kind.retryable()) {
-      Duration retryAfter = kind == ErrorKind.OVERLOADED ? COME_BACK_FULL : COME_BACK_NO_SERVER;
-      refuse(Problem.retryable(kind, detail, desk.spread(retryAfter)));
+      Duration retryAfter = kind == ErrorKind.OVERLOADED ? FULL_RETRY_DELAY : NO_SERVER_RETRY_DELAY;
+      refuse(Problem.retryable(kind, detail, dispatcher.withJitter(retryAfter)));
     } else {
       refuse(Problem.of(kind, detail));
     }
   }
 
-  private void deadlinePassed() {
+  private void onDeadlinePassed() {
     if (attempt != null) {
-      giveUpAttempt(attempt);
+      cancelAttempt(attempt);
       fail(Problem.of(ErrorKind.DEADLINE_PASSED, "no whole answer by the deadline"));
     } else if (mayHaveRun) {
       fail(Problem.of(ErrorKind.DEADLINE_PASSED, "no server was found in time"));
@@ -488,8 +492,8 @@
   }
 
   private void fail(Problem problem) {
-    if (answer.begun()) {
-      breakStream(problem.detail());
+    if (answer.hasBegun()) {
+      abortStream(problem.detail());
     } else {
       refuse(problem);
     }
@@ -497,29 +501,29 @@
 
   private void refuse(Problem problem) {
     HttpAnswer refusal = parts.dialect().refuse(problem);
-    answer.whole(refusal);
+    answer.respond(refusal);
     end(problem.kind().label(), refusal.status(), problem.detail());
   }
 
   /** Aborts the connection so that the caller can tell that the answer is incomplete. */
-  private void breakStream(String detail) {
-    answer.breakOff();
+  private void abortStream(String detail) {
+    answer.abort();
     end(ErrorKind.STREAM_BROKEN.label(), 0, detail);
   }
 
-  private void callerGone() {
+  private void onCallerGone() {
     if (stage == Stage.ENDED) {
       return;
     }
     if (attempt != null) {
-      giveUpAttempt(attempt);
+      cancelAttempt(attempt);
     }
     end("caller-gone", 0, "");
   }
 
-  private void giveUpAttempt(Attempt running) {
+  private void cancelAttempt(Attempt running) {
     mayHaveRun = true;
-    use.after(running);
+    tokenUsage.onAttemptEnded(running);
     running.cancel();
   }
 
@@ -529,11 +533,11 @@
     }
     stage = Stage.ENDED;
     attempt = null;
-    long used = use.tokens(answer.eventsSent());
+    long used = tokenUsage.usedTokens(answer.eventsSent());
     parts.tokens().settle(reservation, used);
-    desk.onEnded(this);
+    dispatcher.onEnded(this);
     if (outcome.equals(ANSWERED)) {
-      tellIfLate();
+      reportIfLate();
     }
     parts
         .events()
@@ -545,18 +549,18 @@
                 outcome,
                 status,
                 detail,
-                sends,
+                sendCount,
                 reservation.tokens() == 0 ? 0 : used,
                 planVersion,
-                waited,
-                Duration.between(arrived, now()),
+                tokenWait,
+                Duration.between(arrivedAt, now()),
                 route.kind().label(),
                 route.aim(),
                 fingerprint()));
   }
 
-  private void tellIfLate() {
-    Duration toFirst = Duration.between(arrived, answer.firstSent().orElse(now()));
+  private void reportIfLate() {
+    Duration toFirst = Duration.between(arrivedAt, answer.firstSentAt().orElse(now()));
     boolean paused =
         route.kind().streamed() && answer.longestPause().compareTo(route.pauseAim()) > 0;
     if (paused || toFirst.compareTo(route.aim()) > 0) {
@@ -564,7 +568,12 @@
           .events()
           .accept(
               new GatewayEvent.AnsweredLate(
-                  request.id(), waited, placed, toFirst, answer.longestPause(), route.pauseAim()));
+                  request.id(),
+                  tokenWait,
+                  placementDelay,
+                  toFirst,
+                  answer.longestPause(),
+                  route.pauseAim()));
     }
   }
 
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/RoutedRequest.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/RoutedRequest.java
@@ -14,7 +14,7 @@
  * @param id the caller's identifier of this attempt, which is passed on unchanged
  * @param target the path and query as sent
  * @param headers the headers to pass on, in order
- * @param patience how long the caller waits for an answer, if it said so
+ * @param callerTimeout how long the caller waits for an answer, if it said so
  * @param key the API key that identifies the customer, if there is one
  * @param prompt the caller's description of its prompt, if the request has one
  */
@@ -25,7 +25,7 @@
     String target,
     List<Map.Entry<String, String>> headers,
     byte[] body,
-    Optional<Duration> patience,
+    Optional<Duration> callerTimeout,
     Optional<String> key,
     Optional<PromptTerms> prompt) {
   public RoutedRequest {
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/ServerChoice.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/ServerSelector.java
@@ -14,7 +14,7 @@
 import org.teaseldeal.decisions.PromptPlacement;
 import org.teaseldeal.decisions.ServerHealth;
 import org.teaseldeal.gateway.peer.FleetLoad;
-import org.teaseldeal.gateway.peer.OthersLoad;
+import org.teaseldeal.gateway.peer.PeerLoad;
 import org.teaseldeal.gateway.server.BackendServer;
 import org.teaseldeal.gateway.server.CachedPrompts;
 import org.teaseldeal.gateway.server.ServerDirectory;
@@ -24,12 +24,12 @@
  * Chooses the backend server for each attempt, based on the server list, the load of all instances,
  * the presumed cache contents and the results of this instance's own attempts.
  */
-final class ServerChoice {
+final class ServerSelector {
   /** The first ejection of an unhealthy server, the longest one, and the ramp-up after each. */
-  private static final Duration FIRST_EJECTION = Duration.ofSeconds(1);
+  private static final Duration MIN_EJECTION = Duration.ofSeconds(1);
 
-  private static final Duration LONGEST_EJECTION = Duration.ofSeconds(8);
-  private static final Duration RAMP = Duration.ofSeconds(1);
+  private static final Duration MAX_EJECTION = Duration.ofSeconds(8);
+  private static final Duration RAMP_UP = Duration.ofSeconds(1);
 
   /**
    * The interval between two updates of the servers' health while no server fails; short compared
@@ -41,40 +41,40 @@
    * The chosen server and the data that led to the choice.
    *
    * @param candidates the number of servers that the choice was made from
-   * @param others the load that the other instances were presumed to have at the server
+   * @param peerLoad the load that the other instances were presumed to have at the server
    * @param uncachedTokens the number of prompt tokens that the server has to read
-   * @param heardAgo the age of the other instances' load figures
+   * @param loadAge the age of the other instances' load figures
    */
-  record Chosen(
+  record Selection(
       BackendServer server,
       int candidates,
-      OthersLoad others,
+      PeerLoad peerLoad,
       long uncachedTokens,
-      Duration heardAgo) {}
+      Duration loadAge) {}
 
   private final ServerDirectory servers;
-  private final Supplier<FleetLoad> load;
-  private final CachedPrompts cached;
+  private final Supplier<FleetLoad> peerLoads;
+  private final CachedPrompts cachedPrompts;
   private final RandomGenerator random;
   private final Map<String, ServerHealth> healthByService = new HashMap<>();
-  private final Map<BackendServerId, ServerIncarnation> followed = new HashMap<>();
-  private long seenChanges = -1;
+  private final Map<BackendServerId, ServerIncarnation> knownIncarnations = new HashMap<>();
+  private long lastSeenChanges = -1;
   private Instant nextUpdate = Instant.MIN;
 
-  ServerChoice(
+  ServerSelector(
       ServerDirectory servers,
-      Supplier<FleetLoad> load,
-      CachedPrompts cached,
+      Supplier<FleetLoad> peerLoads,
+      CachedPrompts cachedPrompts,
       RandomGenerator random) {
     this.servers = servers;
-    this.load = load;
-    this.cached = cached;
+    this.peerLoads = peerLoads;
+    this.cachedPrompts = cachedPrompts;
     this.random = random;
   }
 
   /** Takes changes of the server list into account and ejects servers that became unhealthy. */
   void tick(Instant now) {
-    followList(now);
+    refreshFromList(now);
     if (!now.isBefore(nextUpdate)) {
       nextUpdate = now.plus(UPDATE_INTERVAL);
       healthByService.values().forEach(health -> health.update(now));
@@ -82,12 +82,12 @@
   }
 
   /** The number of servers that are ejected as unhealthy. */
-  int leftOut(Instant now) {
+  int ejectedCount(Instant now) {
     return healthByService.values().stream().mapToInt(health -> health.ejected(now).size()).sum();
   }
 
-  private void followList(Instant now) {
-    if (seenChanges == servers.changes()) {
+  private void refreshFromList(Instant now) {
+    if (lastSeenChanges == servers.changes()) {
       return;
     }
     Map<String, Set<BackendServerId>> listedByService = new HashMap<>();
@@ -98,9 +98,10 @@
     listedByService.keySet().forEach(this::health);
     healthByService.forEach(
         (service, health) ->
-            health.onListed(listedByService.getOrDefault(service, Set.of()), now, seenChanges < 0));
-    followed.keySet().removeIf(id -> servers.find(id).isEmpty());
-    seenChanges = servers.changes();
+            health.onListed(
+                listedByService.getOrDefault(service, Set.of()), now, lastSeenChanges < 0));
+    knownIncarnations.keySet().removeIf(id -> servers.find(id).isEmpty());
+    lastSeenChanges = servers.changes();
   }
 
   /**
@@ -110,7 +111,7 @@
    * the ejection of its predecessor ends, or few because its predecessor was slow.
    */
   private void forgetEarlierIncarnation(BackendServer server) {
-    if (!server.incarnation().equals(followed.put(server.id(), server.incarnation()))) {
+    if (!server.incarnation().equals(knownIncarnations.put(server.id(), server.incarnation()))) {
       health(server.service()).forget(server.id());
     }
   }
@@ -118,7 +119,7 @@
   /** The health of the servers of a service, which are compared only with each other. */
   private ServerHealth health(String service) {
     return healthByService.computeIfAbsent(
-        service, name -> new ServerHealth(FIRST_EJECTION, LONGEST_EJECTION, RAMP));
+        service, name -> new ServerHealth(MIN_EJECTION, MAX_EJECTION, RAMP_UP));
   }
 
   /**
@@ -129,47 +130,49 @@
    * @param tried the incarnations that failed this request before; a server that has restarted
    *     since may be chosen again
    */
-  Optional<Chosen> choose(
+  Optional<Selection> select(
       String service,
       Optional<PromptTerms> prompt,
       Duration aim,
       Set<ServerIncarnation> tried,
       Instant now) {
-    followList(now);
+    refreshFromList(now);
     ServerHealth health = health(service);
     List<BackendServer> ready = servers.ready(service);
     List<BackendServer> untried =
         ready.stream().filter(server -> !tried.contains(server.incarnation())).toList();
     List<BackendServer> healthy =
         untried.stream()
-            .filter(server -> !server.avoided(now) && health.isIn(server.id(), now))
+            .filter(server -> !server.isExcluded(now) && health.isIn(server.id(), now))
             .toList();
     List<BackendServer> candidates = healthy.isEmpty() ? untried : healthy;
-    FleetLoad fleet = load.get();
+    FleetLoad fleet = peerLoads.get();
     List<PromptPlacement.Candidate> views =
-        candidates.stream().map(server -> view(server, fleet.at(server.id()), prompt)).toList();
-    String prefix = prompt.map(PromptTerms::sharedBeginning).orElse("");
+        candidates.stream()
+            .map(server -> candidate(server, fleet.at(server.id()), prompt))
+            .toList();
+    String prefix = prompt.map(PromptTerms::lastSharedPartId).orElse("");
     return PromptPlacement.choose(views, new PromptPlacement.Prompt(prefix, aim), random)
         .flatMap(servers::find)
         .map(
             server ->
-                new Chosen(
+                new Selection(
                     server,
                     candidates.size(),
                     fleet.at(server.id()),
-                    uncached(server, prompt),
-                    fleet.heardAgo()));
+                    uncachedTokens(server, prompt),
+                    fleet.age()));
   }
 
-  private PromptPlacement.Candidate view(
-      BackendServer server, OthersLoad others, Optional<PromptTerms> prompt) {
-    long uncached = uncached(server, prompt);
+  private PromptPlacement.Candidate candidate(
+      BackendServer server, PeerLoad others, Optional<PromptTerms> prompt) {
+    long tokensToRead = uncachedTokens(server, prompt);
     return new PromptPlacement.Candidate(
         server.id(),
         server.running() + others.running(),
         Math.max(0, server.promptTokensAhead()) + others.promptTokensAhead(),
-        uncached,
-        prompt.map(terms -> uncached == terms.unsharedTokens()).orElse(false),
+        tokensToRead,
+        prompt.map(terms -> tokensToRead == terms.unsharedTokens()).orElse(false),
         health(server.service()).slowness(server.id()));
   }
 
@@ -177,13 +180,13 @@
    * The number of prompt tokens that a server has to read: all tokens after the longest prefix that
    * is in its cache.
    */
-  private long uncached(BackendServer server, Optional<PromptTerms> prompt) {
+  private long uncachedTokens(BackendServer server, Optional<PromptTerms> prompt) {
     if (prompt.isEmpty()) {
       return 0;
     }
     long tokens = prompt.get().inputTokens();
     for (PromptPart part : prompt.get().sharedParts()) {
-      if (!cached.holds(server.incarnation(), part.id())) {
+      if (!cachedPrompts.contains(server.incarnation(), part.id())) {
         return tokens;
       }
       tokens = Math.max(prompt.get().unsharedTokens(), tokens - part.tokens());
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/TokenUse.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/TokenUsage.java
@@ -8,34 +8,34 @@
  * <p>The prompt counts once, from the time at which a backend server may have read it. Output
  * counts as far as it was sent to the caller.
  */
-final class TokenUse {
+final class TokenUsage {
   private final Optional<PromptTerms> prompt;
   private final int tokensPerEvent;
   private boolean promptRead;
 
-  TokenUse(Optional<PromptTerms> prompt, int tokensPerEvent) {
+  TokenUsage(Optional<PromptTerms> prompt, int tokensPerEvent) {
     this.prompt = prompt;
     this.tokensPerEvent = tokensPerEvent;
   }
 
   /** Takes into account an attempt that was answered, aborted or given up. */
-  void after(Attempt attempt) {
+  void onAttemptEnded(Attempt attempt) {
     promptRead |= attempt.mayHaveReadPrompt();
   }
 
   /** The largest number of tokens used if {@code events} events were sent to the caller. */
-  long tokens(long events) {
+  long usedTokens(long events) {
     return promptRead || events > 0
-        ? prompt.map(terms -> terms.inputTokens() + output(terms, events)).orElse(0L)
+        ? prompt.map(terms -> terms.inputTokens() + usedOutputTokens(terms, events)).orElse(0L)
         : 0;
   }
 
-  private long output(PromptTerms terms, long events) {
-    return Math.min(terms.maxOutputTokens(), outputTokens(events));
+  private long usedOutputTokens(PromptTerms terms, long events) {
+    return Math.min(terms.maxOutputTokens(), outputTokensIn(events));
   }
 
   /** The largest number of output tokens in {@code events} events. */
-  long outputTokens(long events) {
+  long outputTokensIn(long events) {
     return events * tokensPerEvent;
   }
 }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/metrics/FleetTrafficMeter.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/metrics/FleetTrafficMeter.java
@@ -9,7 +9,7 @@
 import org.teaseldeal.gateway.event.GatewayEvent;
 import org.teaseldeal.gateway.log.KeyedRecord;
 import org.teaseldeal.gateway.log.SharedLog;
-import org.teaseldeal.gateway.peer.PeerPort;
+import org.teaseldeal.gateway.peer.PeerTransport;
 
 /**
  * Measures the traffic of an instance with the shared log and with other instances, and reports it
@@ -26,14 +26,14 @@
   private Instant periodEnd;
   private long appends;
   private long notesWritten;
-  private Duration appending = Duration.ZERO;
+  private Duration totalAppendTime = Duration.ZERO;
   private Duration slowestAppend = Duration.ZERO;
   private long reads;
-  private long notesHeard;
+  private long notesRead;
   private long messagesSent;
-  private long octetsSent;
-  private long messagesHeard;
-  private long octetsHeard;
+  private long bytesSent;
+  private long messagesReceived;
+  private long bytesReceived;
   private Duration longestStall = Duration.ZERO;
 
   /** Creates a meter whose first period begins now. */
@@ -48,20 +48,20 @@
     return new MeteredLog(log);
   }
 
-  /** A port that sends all messages through {@code port} and counts them. */
-  public PeerPort meteredPort(PeerPort port) {
+  /** A transport that sends all messages through {@code transport} and counts them. */
+  public PeerTransport meteredPort(PeerTransport transport) {
     return (address, message) -> {
       messagesSent++;
-      octetsSent += message.length;
-      port.send(address, message);
+      bytesSent += message.length;
+      transport.send(address, message);
     };
   }
 
   /** A receiver that passes all messages to {@code receiver} and counts them. */
   public Consumer<byte[]> meteredReceiver(Consumer<byte[]> receiver) {
     return message -> {
-      messagesHeard++;
-      octetsHeard += message.length;
+      messagesReceived++;
+      bytesReceived += message.length;
       receiver.accept(message);
     };
   }
@@ -73,13 +73,13 @@
    * @param stall the delay of the tick
    */
   public void tick(Duration stall) {
-    longestStall = longer(longestStall, stall);
+    longestStall = longerOf(longestStall, stall);
     Instant now = clock.instant();
     if (now.isBefore(periodEnd)) {
       return;
     }
     periodEnd = now.plus(PERIOD);
-    Duration meanAppend = appends == 0 ? Duration.ZERO : appending.dividedBy(appends);
+    Duration meanAppend = appends == 0 ? Duration.ZERO : totalAppendTime.dividedBy(appends);
     events.accept(
         new GatewayEvent.FleetTraffic(
             appends,
@@ -87,11 +87,11 @@
             meanAppend,
             slowestAppend,
             reads,
-            notesHeard,
+            notesRead,
             messagesSent,
-            octetsSent,
-            messagesHeard,
-            octetsHeard,
+            bytesSent,
+            messagesReceived,
+            bytesReceived,
             longestStall));
     reset();
   }
@@ -99,32 +99,32 @@
   private void reset() {
     appends = 0;
     notesWritten = 0;
-    appending = Duration.ZERO;
+    totalAppendTime = Duration.ZERO;
     slowestAppend = Duration.ZERO;
     reads = 0;
-    notesHeard = 0;
+    notesRead = 0;
     messagesSent = 0;
-    octetsSent = 0;
-    messagesHeard = 0;
-    octetsHeard = 0;
+    bytesSent = 0;
+    messagesReceived = 0;
+    bytesReceived = 0;
     longestStall = Duration.ZERO;
   }
 
   private void onAppend(int notes, Duration took) {
     appends++;
     notesWritten += notes;
-    appending = appending.plus(took);
-    slowestAppend = longer(slowestAppend, took);
+    totalAppendTime = totalAppendTime.plus(took);
+    slowestAppend = longerOf(slowestAppend, took);
   }
 
   private void onRead(SharedLog.ReadOutcome outcome) {
     reads++;
     if (outcome instanceof SharedLog.ReadOutcome.Records records) {
-      notesHeard += records.records().size();
+      notesRead += records.records().size();
     }
   }
 
-  private static Duration longer(Duration one, Duration other) {
+  private static Duration longerOf(Duration one, Duration other) {
     return one.compareTo(other) >= 0 ? one : other;
   }
 
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/metrics/GatewayMetrics.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/metrics/GatewayMetrics.java
@@ -22,7 +22,7 @@
  */
 public final class GatewayMetrics implements EventSink {
   private final MetricRegistry registry;
-  private final Histogram duration;
+  private final Histogram requestDuration;
   private final Histogram tokenWait;
   private final Histogram loopDelay;
   private final Histogram appendDuration;
@@ -34,7 +34,7 @@
   /** Creates metrics that are registered in {@code registry}. */
   public GatewayMetrics(MetricRegistry registry) {
     this.registry = registry;
-    duration = histogram("request_duration_us");
+    requestDuration = histogram("request_duration_us");
     tokenWait = histogram("request_token_wait_us");
     loopDelay = histogram("loop_delay_us");
     appendDuration = histogram("slowest_append_us");
@@ -93,7 +93,7 @@
 
   private void onEnded(GatewayEvent.RequestEnded ended) {
     count("requests_ended_", ended.outcome());
-    duration.update(ended.took().toNanos() / 1_000);
+    requestDuration.update(ended.took().toNanos() / 1_000);
     tokenWait.update(ended.waited().toNanos() / 1_000);
   }
 
@@ -109,7 +109,7 @@
 
   private void onDependency(GatewayEvent.Dependency dependency) {
     if (reachable.put(dependency.name(), dependency.reachable()) == null) {
-      String name = "reachable_" + plain(dependency.name());
+      String name = "reachable_" + toMetricName(dependency.name());
       gauge(name, () -> reachable.getOrDefault(dependency.name(), true) ? 1L : 0L);
     }
     count(dependency.reachable() ? "dependencies_regained" : "dependencies_lost");
@@ -129,10 +129,10 @@
   }
 
   private void count(String name, String part) {
-    registry.counter(counterNames.computeIfAbsent(name + part, GatewayMetrics::plain)).inc();
+    registry.counter(counterNames.computeIfAbsent(name + part, GatewayMetrics::toMetricName)).inc();
   }
 
-  private static String plain(String name) {
+  private static String toMetricName(String name) {
     return name.toLowerCase(Locale.ROOT).replaceAll("[^a-z0-9]+", "_");
   }
 }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/CachedPromptsCalls.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/CachedPromptsCalls.java
@@ -31,36 +31,36 @@
   private static final Duration TIMEOUT = Duration.ofMillis(500);
 
   /** After this time an instance has observed most of the cache contents itself. */
-  private static final Duration LONGEST_TRY = Duration.ofSeconds(3);
+  private static final Duration MAX_TRY_TIME = Duration.ofSeconds(3);
 
   private static final int OK = 200;
 
-  private final LoadExchange loads;
+  private final LoadExchange loadExchange;
   private final Supplier<List<String>> others;
   private final RelayedCalls.Caller caller;
   private final InstantSource clock;
   private final Instant giveUpAt;
-  private int turn;
+  private int nextIndex;
   private boolean asking;
-  private boolean done;
+  private boolean finished;
 
   /**
    * Creates the calls of an instance.
    *
-   * @param turn determines which of the other instances is asked first
+   * @param nextIndex determines which of the other instances is asked first
    */
   public CachedPromptsCalls(
-      LoadExchange loads,
+      LoadExchange loadExchange,
       Supplier<List<String>> others,
       RelayedCalls.Caller caller,
       InstantSource clock,
-      int turn) {
-    this.loads = loads;
+      int nextIndex) {
+    this.loadExchange = loadExchange;
     this.others = others;
     this.caller = caller;
     this.clock = clock;
-    this.giveUpAt = clock.instant().plus(LONGEST_TRY);
-    this.turn = turn;
+    this.giveUpAt = clock.instant().plus(MAX_TRY_TIME);
+    this.nextIndex = nextIndex;
   }
 
   /**
@@ -70,15 +70,15 @@
    */
   public void tick(boolean ready) {
     List<String> addresses = others.get();
-    if (done || asking || !ready || addresses.isEmpty()) {
+    if (finished || asking || !ready || addresses.isEmpty()) {
       return;
     }
     if (clock.instant().isAfter(giveUpAt)) {
-      done = true;
+      finished = true;
       return;
     }
     asking = true;
-    String address = addresses.get(Math.floorMod(turn++, addresses.size()));
+    String address = addresses.get(Math.floorMod(nextIndex++, addresses.size()));
     caller
         .call(new HttpCallRequest(address, "GET", PATH, Map.of(), new byte[0], TIMEOUT))
         .whenComplete(this::onAnswer);
@@ -90,8 +90,8 @@
       return;
     }
     try {
-      loads.learnCachedPrompts(answer.body());
-      done = true;
+      loadExchange.mergeCachedPrompts(answer.body());
+      finished = true;
     } catch (IllegalArgumentException e) {
       LOG.warn(
           "could not decode the cache contents that another instance sent; asking the next: {}",
@@ -101,6 +101,6 @@
 
   @Override
   public void handle(HttpExchange exchange) {
-    exchange.respond(OK, Map.of(), loads.cachedPrompts());
+    exchange.respond(OK, Map.of(), loadExchange.cachedPrompts());
   }
 }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/DrawCalls.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/DrawCalls.java
@@ -71,10 +71,10 @@
     byte[] body = new Draw(customer, tokens).encode();
     caller
         .call(new HttpCallRequest(address.get(), "POST", PATH, Map.of(), body, TIMEOUT))
-        .whenComplete((answer, failure) -> given.accept(read(answer, failure, tokens)));
+        .whenComplete((answer, failure) -> given.accept(decode(answer, failure, tokens)));
   }
 
-  private static OptionalLong read(
+  private static OptionalLong decode(
       @Nullable HttpAnswer answer, @Nullable Throwable failure, long requested) {
     if (failure != null || answer == null || answer.status() != OK) {
       return OptionalLong.empty();
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/FleetLoad.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/FleetLoad.java
@@ -8,9 +8,9 @@
  * The load that the other instances have outstanding at the backend servers, as far as it is known.
  *
  * @param byServer the loads by server, without servers that have no load
- * @param heardAgo the time since the last message of another instance; zero if none has arrived
+ * @param age the time since the last message of another instance; zero if none has arrived
  */
-public record FleetLoad(Map<BackendServerId, OthersLoad> byServer, Duration heardAgo) {
+public record FleetLoad(Map<BackendServerId, PeerLoad> byServer, Duration age) {
   /** The value if nothing is known of other instances. */
   public static final FleetLoad NONE = new FleetLoad(Map.of(), Duration.ZERO);
 
@@ -19,7 +19,7 @@
   }
 
   /** The load that other instances have at {@code server}. */
-  public OthersLoad at(BackendServerId server) {
-    return byServer.getOrDefault(server, OthersLoad.NONE);
+  public PeerLoad at(BackendServerId server) {
+    return byServer.getOrDefault(server, PeerLoad.NONE);
   }
 }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/HolderCalls.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/HolderCalls.java
@@ -28,7 +28,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(HolderCalls.class);
 
   /** The time allowed for the round trip to the holder, in addition to the wait there. */
-  private static final Duration WAY = Duration.ofMillis(150);
+  private static final Duration ROUND_TRIP_ALLOWANCE = Duration.ofMillis(150);
 
   private static final int OK = 200;
   private static final int BAD_REQUEST = 400;
@@ -63,10 +63,10 @@
       return;
     }
     byte[] body = HolderMessages.encode(ask);
-    Duration timeout = ask.patience().plus(WAY);
+    Duration timeout = ask.patience().plus(ROUND_TRIP_ALLOWANCE);
     caller
         .call(new HttpCallRequest(address.get(), "POST", PATH, Map.of(), body, timeout))
-        .whenComplete((response, failure) -> answer.accept(read(response, failure)));
+        .whenComplete((response, failure) -> answer.accept(decode(response, failure)));
   }
 
   @Override
@@ -77,18 +77,20 @@
         .ifPresent(
             address ->
                 caller
-                    .call(new HttpCallRequest(address, "POST", RETURNS, Map.of(), body, WAY))
-                    .whenComplete((response, failure) -> tellLost(holder, tokens, failure)));
+                    .call(
+                        new HttpCallRequest(
+                            address, "POST", RETURNS, Map.of(), body, ROUND_TRIP_ALLOWANCE))
+                    .whenComplete((response, failure) -> logFailedReturn(holder, tokens, failure)));
   }
 
-  private static void tellLost(String holder, long tokens, @Nullable Throwable failure) {
+  private static void logFailedReturn(String holder, long tokens, @Nullable Throwable failure) {
     if (failure != null) {
       LOG.info(
           "{} tokens may not have been returned to {}: {}", tokens, holder, failure.getMessage());
     }
   }
 
-  private static Answer read(@Nullable HttpAnswer answer, @Nullable Throwable failure) {
+  private static Answer decode(@Nullable HttpAnswer answer, @Nullable Throwable failure) {
     if (failure != null || answer == null) {
       return new Answer.Unreachable(failure == null ? "" : String.valueOf(failure.getMessage()));
     }
@@ -96,7 +98,7 @@
       return new Answer.Unreachable("status " + answer.status());
     }
     try {
-      return HolderMessages.answer(answer.body());
+      return HolderMessages.decodeAnswer(answer.body());
     } catch (IllegalArgumentException e) {
       return new Answer.Unreachable(String.valueOf(e.getMessage()));
     }
@@ -118,13 +120,13 @@
       return;
     }
     exchange.onCallerGone(
-        answers.answer(ask, answer -> exchange.respond(OK, Map.of(), encoded(answer))));
+        answers.answer(ask, answer -> exchange.respond(OK, Map.of(), encode(answer))));
   }
 
-  private static byte[] encoded(Answer answer) {
+  private static byte[] encode(Answer answer) {
     return switch (answer) {
-      case Answer.Granted granted -> HolderMessages.granted();
-      case Answer.Refused refused -> HolderMessages.refused(refused.problem());
+      case Answer.Granted granted -> HolderMessages.encodeGranted();
+      case Answer.Refused refused -> HolderMessages.encodeRefused(refused.problem());
       case Answer.Unreachable lost ->
           throw new IllegalArgumentException("a holder can't send the answer " + lost);
     };
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/HolderMessages.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/HolderMessages.java
@@ -21,12 +21,12 @@
   private static final byte LAYOUT = 1;
   private static final byte GRANTED = 0;
   private static final byte REFUSED = 1;
-  private static final long NO_RETRY = -1;
+  private static final long NO_RETRY_DELAY = -1;
 
   private HolderMessages() {}
 
   static byte[] encode(HolderPort.Ask ask) {
-    return written(
+    return encodeWith(
         out -> {
           out.writeUTF(ask.customer());
           out.writeLong(ask.tokens());
@@ -41,7 +41,7 @@
    * @throws IllegalArgumentException if {@code message} doesn't have this layout
    */
   static HolderPort.Ask decodeAsk(byte[] message) {
-    return read(
+    return decodeWith(
         message,
         in ->
             new HolderPort.Ask(
@@ -60,7 +60,7 @@
     }
 
     byte[] encode() {
-      return written(
+      return encodeWith(
           out -> {
             out.writeUTF(customer);
             out.writeLong(tokens);
@@ -73,21 +73,21 @@
      * @throws IllegalArgumentException if {@code message} doesn't have this layout
      */
     static Return decode(byte[] message) {
-      return read(message, in -> new Return(in.readUTF(), in.readLong()));
+      return decodeWith(message, in -> new Return(in.readUTF(), in.readLong()));
     }
   }
 
-  static byte[] granted() {
-    return written(out -> out.writeByte(GRANTED));
+  static byte[] encodeGranted() {
+    return encodeWith(out -> out.writeByte(GRANTED));
   }
 
-  static byte[] refused(Problem problem) {
-    return written(
+  static byte[] encodeRefused(Problem problem) {
+    return encodeWith(
         out -> {
           out.writeByte(REFUSED);
           out.writeUTF(problem.kind().name());
           out.writeUTF(problem.detail());
-          out.writeLong(problem.retryAfter().map(Duration::toMillis).orElse(NO_RETRY));
+          out.writeLong(problem.retryAfter().map(Duration::toMillis).orElse(NO_RETRY_DELAY));
         });
   }
 
@@ -96,16 +96,16 @@
    *
    * @throws IllegalArgumentException if {@code message} doesn't have this layout
    */
-  static HolderPort.Answer answer(byte[] message) {
-    return read(
+  static HolderPort.Answer decodeAnswer(byte[] message) {
+    return decodeWith(
         message,
         in ->
             in.readByte() == GRANTED
                 ? new HolderPort.Answer.Granted()
-                : new HolderPort.Answer.Refused(problem(in)));
+                : new HolderPort.Answer.Refused(decodeProblem(in)));
   }
 
-  private static Problem problem(DataInputStream in) throws IOException {
+  private static Problem decodeProblem(DataInputStream in) throws IOException {
     ErrorKind kind = ErrorKind.valueOf(in.readUTF());
     String detail = in.readUTF();
     long retryMillis = in.readLong();
@@ -122,7 +122,7 @@
     T read(DataInputStream in) throws IOException;
   }
 
-  private static byte[] written(Writer writer) {
+  private static byte[] encodeWith(Writer writer) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (DataOutputStream out = new DataOutputStream(bytes)) {
       out.writeByte(LAYOUT);
@@ -133,7 +133,7 @@
     return bytes.toByteArray();
   }
 
-  private static <T> T read(byte[] message, Reader<T> reader) {
+  private static <T> T decodeWith(byte[] message, Reader<T> reader) {
     try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(message))) {
       byte layout = in.readByte();
       if (layout != LAYOUT) {
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/ChangedLoads.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/LoadChanges.java
@@ -9,54 +9,54 @@
 import java.util.Set;
 
 /** Tracks when the load of each server last changed, so that only changes need to be sent. */
-final class ChangedLoads {
-  private record Known(OthersLoad load, Instant changed) {}
+final class LoadChanges {
+  private record TrackedLoad(PeerLoad load, Instant changedAt) {}
 
-  private final Map<Integer, Known> byServer = new HashMap<>();
+  private final Map<Integer, TrackedLoad> byServer = new HashMap<>();
 
   /** Records the present loads; a server that {@code loads} doesn't contain has no load. */
-  void update(Map<Integer, OthersLoad> loads, Instant now) {
+  void update(Map<Integer, PeerLoad> loads, Instant now) {
     loads.forEach(
         (server, load) -> {
-          Known known = byServer.get(server);
+          TrackedLoad known = byServer.get(server);
           if (known == null || !known.load().equals(load)) {
-            byServer.put(server, new Known(load, now));
+            byServer.put(server, new TrackedLoad(load, now));
           }
         });
     byServer.replaceAll(
         (server, known) ->
-            loads.containsKey(server) || known.load().equals(OthersLoad.NONE)
+            loads.containsKey(server) || known.load().equals(PeerLoad.NONE)
                 ? known
-                : new Known(OthersLoad.NONE, now));
+                : new TrackedLoad(PeerLoad.NONE, now));
   }
 
   /**
    * The servers whose load has changed since {@code earliest}. Servers that have had no load since
    * before that time are forgotten.
    */
-  Set<Integer> since(Instant earliest) {
+  Set<Integer> changedSince(Instant earliest) {
     Set<Integer> changed = new HashSet<>();
     byServer
         .entrySet()
         .removeIf(
             entry -> {
-              Known known = entry.getValue();
-              boolean recent = !known.changed().isBefore(earliest);
+              TrackedLoad known = entry.getValue();
+              boolean recent = !known.changedAt().isBefore(earliest);
               if (recent) {
                 changed.add(entry.getKey());
               }
-              return !recent && known.load().equals(OthersLoad.NONE);
+              return !recent && known.load().equals(PeerLoad.NONE);
             });
     return changed;
   }
 
   /** The loads of {@code servers}, including loads of zero. */
-  List<LoadNews.ServerLoad> loadsOf(Set<Integer> servers) {
-    List<LoadNews.ServerLoad> loads = new ArrayList<>();
+  List<LoadMessage.ServerLoad> loadsOf(Set<Integer> servers) {
+    List<LoadMessage.ServerLoad> loads = new ArrayList<>();
     for (int server : servers) {
-      Known known = byServer.get(server);
-      OthersLoad load = known == null ? OthersLoad.NONE : known.load();
-      loads.add(new LoadNews.ServerLoad(server, load.running(), load.promptTokensAhead()));
+      TrackedLoad known = byServer.get(server);
+      PeerLoad load = known == null ? PeerLoad.NONE : known.load();
+      loads.add(new LoadMessage.ServerLoad(server, load.running(), load.promptTokensAhead()));
     }
     return loads;
   }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/LoadCollectors.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/LoadCollectors.java
@@ -29,16 +29,16 @@
   private static final Duration REPORT_INTERVAL = Duration.ofMillis(20);
 
   /** The time of several consecutive messages, more than are lost by chance. */
-  private static final Duration SILENCE = Duration.ofMillis(300);
+  private static final Duration SILENCE_TIMEOUT = Duration.ofMillis(300);
 
   private final String instance;
   private final Supplier<Set<String>> fleet;
-  private Set<String> known = Set.of();
-  private List<String> order = List.of();
-  private boolean own = true;
-  private boolean direct = true;
+  private Set<String> knownFleet = Set.of();
+  private List<String> preferenceOrder = List.of();
+  private boolean isCollector = true;
+  private boolean allCollect = true;
   private String collector = "";
-  private Instant heardAt = Instant.MIN;
+  private Instant lastReceivedAt = Instant.MIN;
 
   LoadCollectors(String instance, Supplier<Set<String>> fleet) {
     this.instance = instance;
@@ -46,41 +46,43 @@
   }
 
   /** Takes changes of the fleet into account, and switches from a silent collector to the next. */
-  void follow(Instant now) {
+  void update(Instant now) {
     Set<String> present = fleet.get();
-    if (present != known) {
-      known = present;
+    if (present != knownFleet) {
+      knownFleet = present;
       Set<String> collecting = LoadCollectorChoice.of(present);
-      own = collecting.contains(instance) || collecting.isEmpty();
-      direct = collecting.size() == present.size();
-      order =
+      isCollector = collecting.contains(instance) || collecting.isEmpty();
+      allCollect = collecting.size() == present.size();
+      preferenceOrder =
           LoadCollectorChoice.order(instance, collecting).stream()
               .filter(name -> !name.equals(instance))
               .toList();
     }
-    if (own || order.isEmpty()) {
+    if (isCollector || preferenceOrder.isEmpty()) {
       return;
     }
-    if (!order.contains(collector)) {
-      turnTo(order.getFirst(), now);
-    } else if (heardAt.plus(SILENCE).isBefore(now)) {
-      turnTo(order.get((order.indexOf(collector) + 1) % order.size()), now);
+    if (!preferenceOrder.contains(collector)) {
+      switchTo(preferenceOrder.getFirst(), now);
+    } else if (lastReceivedAt.plus(SILENCE_TIMEOUT).isBefore(now)) {
+      switchTo(
+          preferenceOrder.get((preferenceOrder.indexOf(collector) + 1) % preferenceOrder.size()),
+          now);
     }
   }
 
-  private void turnTo(String name, Instant now) {
+  private void switchTo(String name, Instant now) {
     collector = name;
-    heardAt = now;
+    lastReceivedAt = now;
   }
 
   /** Whether this instance is a collector. */
-  boolean own() {
-    return own;
+  boolean isCollector() {
+    return isCollector;
   }
 
   /** The other collectors, in this instance's order of preference. */
-  List<String> others() {
-    return order;
+  List<String> otherCollectors() {
+    return preferenceOrder;
   }
 
   /** The collector that this instance reports to; not used if it is a collector itself. */
@@ -89,17 +91,17 @@
   }
 
   /** Records the arrival of a message with the loads of all other instances. */
-  void heard(String sender, Instant now) {
+  void onReceived(String sender, Instant now) {
     if (sender.equals(collector)) {
-      heardAt = now;
+      lastReceivedAt = now;
     }
   }
 
   /** The interval between two messages of this instance. */
   Duration interval() {
-    if (direct) {
+    if (allCollect) {
       return DIRECT_INTERVAL;
     }
-    return own ? COLLECTED_INTERVAL : REPORT_INTERVAL;
+    return isCollector ? COLLECTED_INTERVAL : REPORT_INTERVAL;
   }
 }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/LoadExchange.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/LoadExchange.java
@@ -53,48 +53,48 @@
   private static final Duration COMPLETE_PERIOD = Duration.ofMillis(500);
 
   /** The age from which loads are ignored, as most of the prompts were read since. */
-  private static final Duration STALE = Duration.ofSeconds(1);
+  private static final Duration MAX_AGE = Duration.ofSeconds(1);
 
   /** How long a collector sends messages to an instance after the instance's last report. */
-  private static final Duration MEMBER_KEPT = Duration.ofSeconds(2);
+  private static final Duration MEMBER_RETENTION = Duration.ofSeconds(2);
 
   /** The longest time after which the sums are computed again, without loads that became stale. */
-  private static final Duration SUMS_KEPT = Duration.ofMillis(100);
+  private static final Duration SUMS_MAX_AGE = Duration.ofMillis(100);
 
   /** How long reports are sent after a change; each change is repeated in several reports. */
-  private static final Duration REPORT_KEPT = Duration.ofMillis(100);
+  private static final Duration REPORTING_TIME = Duration.ofMillis(100);
 
   /** Limits the cache contents that a starting instance is sent to some tens of kilobytes. */
-  private static final int MOST_COPIES = 4_096;
+  private static final int MAX_CACHED_PARTS = 4_096;
 
   private final String instance;
   private final ServerDirectory servers;
-  private final CachedPrompts cached;
+  private final CachedPrompts cachedPrompts;
   private final LoadCollectors collectors;
   private final Function<String, Optional<String>> addresses;
-  private final PeerPort port;
+  private final PeerTransport transport;
   private final InstantSource clock;
 
-  private final HeardLoads reports = new HeardLoads(STALE);
-  private final HeardLoads groups = new HeardLoads(STALE);
-  private final HeardLoads others = new HeardLoads(STALE);
-  private final RecentParts groupParts = new RecentParts();
-  private final RecentParts othersParts = new RecentParts();
-  private final ChangedLoads ownChanges = new ChangedLoads();
-  private final ChangedLoads groupChanges = new ChangedLoads();
-  private final ChangedLoads allChanges = new ChangedLoads();
-  private final Map<Integer, BackendServer> byHash = new HashMap<>();
+  private final ReceivedLoads memberLoads = new ReceivedLoads(MAX_AGE);
+  private final ReceivedLoads groupLoads = new ReceivedLoads(MAX_AGE);
+  private final ReceivedLoads others = new ReceivedLoads(MAX_AGE);
+  private final RecentSentParts groupParts = new RecentSentParts();
+  private final RecentSentParts otherGroupsParts = new RecentSentParts();
+  private final LoadChanges ownChanges = new LoadChanges();
+  private final LoadChanges groupChanges = new LoadChanges();
+  private final LoadChanges allChanges = new LoadChanges();
+  private final Map<Integer, BackendServer> serversByHash = new HashMap<>();
   private long hashedChanges = -1;
-  private Map<BackendServerId, OthersLoad> sums = Map.of();
+  private Map<BackendServerId, PeerLoad> sums = Map.of();
   private Instant sumsUntil = Instant.MIN;
-  private @Nullable Instant heardAt;
-  private Instant next = Instant.MIN;
-  private Instant nextToGroup = Instant.MIN;
-  private Instant groupToldAt = Instant.MIN;
-  private Instant nextComplete = Instant.MIN;
+  private @Nullable Instant lastReceivedAt;
+  private Instant nextMessageAt = Instant.MIN;
+  private Instant nextToGroupAt = Instant.MIN;
+  private Instant lastToGroupAt = Instant.MIN;
+  private Instant nextCompleteAt = Instant.MIN;
   private long sequence;
-  private long reportedWork = -1;
-  private long reportedServers = -1;
+  private long lastLoadChanges = -1;
+  private long lastServerChanges = -1;
   private Instant reportUntil = Instant.MIN;
   private long messagesDropped;
 
@@ -108,17 +108,17 @@
   public LoadExchange(
       String instance,
       ServerDirectory servers,
-      CachedPrompts cached,
+      CachedPrompts cachedPrompts,
       Supplier<Set<String>> fleet,
       Function<String, Optional<String>> addresses,
-      PeerPort port,
+      PeerTransport transport,
       InstantSource clock) {
     this.instance = instance;
     this.servers = servers;
-    this.cached = cached;
+    this.cachedPrompts = cachedPrompts;
     this.collectors = new LoadCollectors(instance, fleet);
     this.addresses = addresses;
-    this.port = port;
+    this.transport = transport;
     this.clock = clock;
     // The time of day in the upper bits makes a restarted process continue above its predecessor.
     this.sequence = clock.instant().toEpochMilli() << 16;
@@ -130,10 +130,10 @@
    * collector, both at least every half second.
    */
   public boolean othersHeard() {
-    Instant last = heardAt;
-    return collectors.others().isEmpty()
+    Instant last = lastReceivedAt;
+    return collectors.otherCollectors().isEmpty()
         || last == null
-        || !last.isBefore(clock.instant().minus(STALE));
+        || !last.isBefore(clock.instant().minus(MAX_AGE));
   }
 
   /** The number of messages since the start that could not be decoded. */
@@ -144,24 +144,24 @@
   /** Sends the messages that are due. */
   public void tick() {
     Instant now = clock.instant();
-    if (now.isBefore(next)) {
+    if (now.isBefore(nextMessageAt)) {
       return;
     }
-    collectors.follow(now);
-    next = now.plus(collectors.interval());
-    followServers();
-    boolean complete = !now.isBefore(nextComplete);
+    collectors.update(now);
+    nextMessageAt = now.plus(collectors.interval());
+    refreshServerHashes();
+    boolean complete = !now.isBefore(nextCompleteAt);
     if (complete) {
-      nextComplete = now.plus(COMPLETE_PERIOD);
+      nextCompleteAt = now.plus(COMPLETE_PERIOD);
     }
-    if (!collectors.own()) {
-      report(complete, now);
+    if (!collectors.isCollector()) {
+      reportToCollector(complete, now);
       return;
     }
-    tellCollectors(complete, now);
-    if (complete || !now.isBefore(nextToGroup)) {
-      nextToGroup = now.plus(GROUP_INTERVAL);
-      tellGroup(complete, now);
+    sendToCollectors(complete, now);
+    if (complete || !now.isBefore(nextToGroupAt)) {
+      nextToGroupAt = now.plus(GROUP_INTERVAL);
+      sendToGroup(complete, now);
     }
   }
 
@@ -170,8 +170,8 @@
     return now.minus(interval.multipliedBy(REPEATED_INTERVALS));
   }
 
-  private List<LoadNews.SentPart> ownParts(Instant since) {
-    return sentParts(cached.sentSince(since));
+  private List<LoadMessage.SentPart> ownParts(Instant since) {
+    return sentParts(cachedPrompts.sentSince(since));
   }
 
   /**
@@ -181,11 +181,11 @@
    * <p>The servers are examined only for a while after a change. Most of the time nothing changes,
    * and examining all servers would be most of the work of an idle instance.
    */
-  private void report(boolean complete, Instant now) {
-    if (reportedWork != servers.workChanges() || hashedChanges != reportedServers) {
-      reportedWork = servers.workChanges();
-      reportedServers = hashedChanges;
-      reportUntil = now.plus(REPORT_KEPT);
+  private void reportToCollector(boolean complete, Instant now) {
+    if (lastLoadChanges != servers.loadChanges() || hashedChanges != lastServerChanges) {
+      lastLoadChanges = servers.loadChanges();
+      lastServerChanges = hashedChanges;
+      reportUntil = now.plus(REPORTING_TIME);
     }
     if (!complete && now.isAfter(reportUntil)) {
       return;
@@ -193,89 +193,93 @@
     LoadSums own = ownLoads();
     ownChanges.update(own.asMap(), now);
     Instant since = repeatedSince(now, collectors.interval());
-    Set<Integer> changed = ownChanges.since(since);
-    List<LoadNews.SentPart> parts = ownParts(since);
+    Set<Integer> changed = ownChanges.changedSince(since);
+    List<LoadMessage.SentPart> parts = ownParts(since);
     if (complete || !changed.isEmpty() || !parts.isEmpty()) {
-      List<LoadNews.ServerLoad> loads = complete ? own.toList() : ownChanges.loadsOf(changed);
-      send(collectors.collector(), news(LoadNews.Scope.INSTANCE, complete, loads, parts));
+      List<LoadMessage.ServerLoad> loads = complete ? own.toList() : ownChanges.loadsOf(changed);
+      send(
+          collectors.collector(),
+          encodeMessage(LoadMessage.Scope.INSTANCE, complete, loads, parts));
     }
   }
 
-  private void tellCollectors(boolean complete, Instant now) {
+  private void sendToCollectors(boolean complete, Instant now) {
     LoadSums group = ownLoads();
-    reports.addTo(group, now);
+    memberLoads.addTo(group, now);
     groupChanges.update(group.asMap(), now);
     Instant since = repeatedSince(now, collectors.interval());
-    Set<Integer> changed = groupChanges.since(since);
-    List<LoadNews.SentPart> parts = new ArrayList<>(ownParts(since));
+    Set<Integer> changed = groupChanges.changedSince(since);
+    List<LoadMessage.SentPart> parts = new ArrayList<>(ownParts(since));
     parts.addAll(groupParts.since(since));
     if (!complete && changed.isEmpty() && parts.isEmpty()) {
       return;
     }
-    List<LoadNews.ServerLoad> loads = complete ? group.toList() : groupChanges.loadsOf(changed);
-    byte[] message = news(LoadNews.Scope.GROUP, complete, loads, parts);
-    collectors.others().forEach(name -> send(name, message));
+    List<LoadMessage.ServerLoad> loads = complete ? group.toList() : groupChanges.loadsOf(changed);
+    byte[] message = encodeMessage(LoadMessage.Scope.GROUP, complete, loads, parts);
+    collectors.otherCollectors().forEach(name -> send(name, message));
   }
 
-  private void tellGroup(boolean complete, Instant now) {
-    List<String> members = reports.heardSince(now.minus(MEMBER_KEPT));
+  private void sendToGroup(boolean complete, Instant now) {
+    List<String> members = memberLoads.sendersSince(now.minus(MEMBER_RETENTION));
     if (members.isEmpty()) {
       return;
     }
     LoadSums all = ownLoads();
-    reports.addTo(all, now);
-    groups.addTo(all, now);
+    memberLoads.addTo(all, now);
+    groupLoads.addTo(all, now);
     allChanges.update(all.asMap(), now);
-    Set<Integer> changed = allChanges.since(repeatedSince(now, GROUP_INTERVAL));
-    List<LoadNews.SentPart> parts = new ArrayList<>(ownParts(groupToldAt));
-    parts.addAll(groupParts.since(groupToldAt));
-    parts.addAll(othersParts.since(groupToldAt));
-    groupToldAt = now;
+    Set<Integer> changed = allChanges.changedSince(repeatedSince(now, GROUP_INTERVAL));
+    List<LoadMessage.SentPart> parts = new ArrayList<>(ownParts(lastToGroupAt));
+    parts.addAll(groupParts.since(lastToGroupAt));
+    parts.addAll(otherGroupsParts.since(lastToGroupAt));
+    lastToGroupAt = now;
     Set<Integer> included = complete ? all.asMap().keySet() : changed;
     for (String member : members) {
-      Map<Integer, LoadNews.ServerLoad> reported = reports.of(member, now);
-      List<LoadNews.ServerLoad> loads =
-          included.stream().map(server -> without(reported.get(server), server, all)).toList();
-      send(member, news(LoadNews.Scope.OTHERS, complete, loads, parts));
+      Map<Integer, LoadMessage.ServerLoad> reported = memberLoads.loadsOf(member, now);
+      List<LoadMessage.ServerLoad> loads =
+          included.stream()
+              .map(server -> subtractReported(reported.get(server), server, all))
+              .toList();
+      send(member, encodeMessage(LoadMessage.Scope.OTHERS, complete, loads, parts));
     }
   }
 
   /** The sum of all instances' loads at a server, without the load that one instance reported. */
-  private static LoadNews.ServerLoad without(
-      LoadNews.@Nullable ServerLoad reported, int server, LoadSums all) {
-    OthersLoad sum = all.of(server);
+  private static LoadMessage.ServerLoad subtractReported(
+      LoadMessage.@Nullable ServerLoad reported, int server, LoadSums all) {
+    PeerLoad sum = all.of(server);
     if (reported == null) {
-      return new LoadNews.ServerLoad(server, sum.running(), sum.promptTokensAhead());
+      return new LoadMessage.ServerLoad(server, sum.running(), sum.promptTokensAhead());
     }
-    return new LoadNews.ServerLoad(
+    return new LoadMessage.ServerLoad(
         server,
         Math.max(0, sum.running() - reported.running()),
         Math.max(0, sum.promptTokensAhead() - reported.promptTokensAhead()));
   }
 
-  private byte[] news(
-      LoadNews.Scope scope,
+  private byte[] encodeMessage(
+      LoadMessage.Scope scope,
       boolean complete,
-      List<LoadNews.ServerLoad> loads,
-      List<LoadNews.SentPart> parts) {
-    return new LoadNews(scope, instance, ++sequence, complete, loads, parts).encode();
+      List<LoadMessage.ServerLoad> loads,
+      List<LoadMessage.SentPart> parts) {
+    return new LoadMessage(scope, instance, ++sequence, complete, loads, parts).encode();
   }
 
   private void send(String name, byte[] message) {
-    addresses.apply(name).ifPresent(address -> port.send(address, message));
+    addresses.apply(name).ifPresent(address -> transport.send(address, message));
   }
 
   /**
    * Encodes what is known of the servers' cache contents, for an instance that has just started.
    */
   byte[] cachedPrompts() {
-    return new LoadNews(
-            LoadNews.Scope.INSTANCE,
+    return new LoadMessage(
+            LoadMessage.Scope.INSTANCE,
             instance,
             sequence,
             false,
             List.of(),
-            sentParts(cached.newest(MOST_COPIES)))
+            sentParts(cachedPrompts.mostRecentlyUsed(MAX_CACHED_PARTS)))
         .encode();
   }
 
@@ -284,15 +288,15 @@
    *
    * @throws IllegalArgumentException if {@code message} can't be decoded
    */
-  void learnCachedPrompts(byte[] message) {
-    noteCached(LoadNews.decode(message).sentParts());
+  void mergeCachedPrompts(byte[] message) {
+    recordCachedParts(LoadMessage.decode(message).sentParts());
   }
 
   /** Processes a load message of another instance. */
   public void receive(byte[] message) {
-    LoadNews received;
+    LoadMessage received;
     try {
-      received = LoadNews.decode(message);
+      received = LoadMessage.decode(message);
     } catch (IllegalArgumentException e) {
       messagesDropped++;
       LOG.debug("dropped a load message that could not be decoded: {}", e.getMessage());
@@ -301,53 +305,56 @@
     Instant now = clock.instant();
     boolean accepted =
         switch (received.scope()) {
-          case INSTANCE -> reports.hear(received, now);
-          case GROUP -> groups.hear(received, now);
-          case OTHERS -> others.hear(received, now);
+          case INSTANCE -> memberLoads.receive(received, now);
+          case GROUP -> groupLoads.receive(received, now);
+          case OTHERS -> others.receive(received, now);
         };
     if (accepted) {
-      heardAt = now;
+      lastReceivedAt = now;
       sumsUntil = Instant.MIN;
-      if (received.scope() == LoadNews.Scope.OTHERS) {
-        collectors.heard(received.sender(), now);
+      if (received.scope() == LoadMessage.Scope.OTHERS) {
+        collectors.onReceived(received.sender(), now);
       }
     }
-    noteCached(received.sentParts());
-    passOn(received, now);
+    recordCachedParts(received.sentParts());
+    keepForForwarding(received, now);
   }
 
-  private void passOn(LoadNews received, Instant now) {
+  private void keepForForwarding(LoadMessage received, Instant now) {
     switch (received.scope()) {
       case INSTANCE -> received.sentParts().forEach(part -> groupParts.add(part, now));
-      case GROUP -> received.sentParts().forEach(part -> othersParts.add(part, now));
+      case GROUP -> received.sentParts().forEach(part -> otherGroupsParts.add(part, now));
       case OTHERS -> {}
     }
   }
 
-  private List<LoadNews.SentPart> sentParts(List<CachedPrompts.Copy> copies) {
+  private List<LoadMessage.SentPart> sentParts(List<CachedPrompts.CachedPart> copies) {
     return copies.stream()
-        .map(copy -> new LoadNews.SentPart(hash(copy.server()), copy.part()))
+        .map(
+            cachedPart ->
+                new LoadMessage.SentPart(hash(cachedPart.server()), cachedPart.partHash()))
         .toList();
   }
 
-  private void noteCached(List<LoadNews.SentPart> sent) {
+  private void recordCachedParts(List<LoadMessage.SentPart> sent) {
     if (sent.isEmpty()) {
       return;
     }
-    followServers();
-    for (LoadNews.SentPart each : sent) {
-      BackendServer server = byHash.get(each.server());
+    refreshServerHashes();
+    for (LoadMessage.SentPart each : sent) {
+      BackendServer server = serversByHash.get(each.serverHash());
       if (server != null) {
-        cached.onHeard(new CachedPrompts.Copy(server.incarnation(), each.part()));
+        cachedPrompts.onReceived(
+            new CachedPrompts.CachedPart(server.incarnation(), each.partHash()));
       }
     }
   }
 
-  private void followServers() {
+  private void refreshServerHashes() {
     if (hashedChanges != servers.changes()) {
       hashedChanges = servers.changes();
-      byHash.clear();
-      servers.all().forEach(each -> byHash.put(hash(each.incarnation()), each));
+      serversByHash.clear();
+      servers.all().forEach(each -> serversByHash.put(hash(each.incarnation()), each));
       sumsUntil = Instant.MIN;
     }
   }
@@ -355,29 +362,31 @@
   /** The load that the other instances have outstanding at the servers. */
   public FleetLoad others() {
     Instant now = clock.instant();
-    followServers();
+    refreshServerHashes();
     if (!now.isBefore(sumsUntil)) {
-      sums = addUp(now);
-      sumsUntil = now.plus(SUMS_KEPT);
+      sums = sumByServer(now);
+      sumsUntil = now.plus(SUMS_MAX_AGE);
     }
-    return new FleetLoad(sums, heardAt == null ? Duration.ZERO : Duration.between(heardAt, now));
+    return new FleetLoad(
+        sums, lastReceivedAt == null ? Duration.ZERO : Duration.between(lastReceivedAt, now));
   }
 
-  private Map<BackendServerId, OthersLoad> addUp(Instant now) {
+  private Map<BackendServerId, PeerLoad> sumByServer(Instant now) {
     LoadSums total = new LoadSums();
-    boolean collected = !collectors.own() && !others.of(collectors.collector(), now).isEmpty();
+    boolean collected =
+        !collectors.isCollector() && !others.loadsOf(collectors.collector(), now).isEmpty();
     if (collected) {
-      total.add(others.of(collectors.collector(), now).values());
+      total.add(others.loadsOf(collectors.collector(), now).values());
     } else {
-      reports.addTo(total, now);
-      groups.addTo(total, now);
+      memberLoads.addTo(total, now);
+      groupLoads.addTo(total, now);
     }
-    Map<BackendServerId, OthersLoad> byServer = new HashMap<>();
+    Map<BackendServerId, PeerLoad> byServer = new HashMap<>();
     total
         .asMap()
         .forEach(
             (hash, load) -> {
-              BackendServer server = byHash.get(hash);
+              BackendServer server = serversByHash.get(hash);
               if (server != null) {
                 byServer.put(server.id(), load);
               }
@@ -387,11 +396,11 @@
 
   private LoadSums ownLoads() {
     LoadSums own = new LoadSums();
-    byHash.forEach(
+    serversByHash.forEach(
         (hash, server) -> {
           if (server.running() > 0) {
             long ahead = Math.max(0, server.promptTokensAhead());
-            own.add(List.of(new LoadNews.ServerLoad(hash, server.running(), ahead)));
+            own.add(List.of(new LoadMessage.ServerLoad(hash, server.running(), ahead)));
           }
         });
     return own;
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/LoadNews.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/LoadMessage.java
@@ -21,7 +21,7 @@
  *     loads are unchanged
  * @param loads the loads by server; a load of zero cancels the one of an earlier message
  */
-record LoadNews(
+record LoadMessage(
     Scope scope,
     String sender,
     long sequence,
@@ -41,31 +41,31 @@
   /**
    * The load at one server.
    *
-   * @param server a hash of the server's id and start time; the id itself would make the frequent
-   *     messages too long
+   * @param serverHash a hash of the server's id and start time; the id itself would make the
+   *     frequent messages too long
    */
-  record ServerLoad(int server, int running, long promptTokensAhead) {}
+  record ServerLoad(int serverHash, int running, long promptTokensAhead) {}
 
   /**
    * A part of a prompt that was sent to a server for the first time.
    *
-   * @param server the same hash as in {@link ServerLoad}
-   * @param part a hash of the part's id
+   * @param serverHash the same hash as in {@link ServerLoad}
+   * @param partHash a hash of the part's id
    */
-  record SentPart(int server, long part) {}
+  record SentPart(int serverHash, long partHash) {}
 
-  private static final byte LAYOUT = 3;
+  private static final byte LAYOUT_VERSION = 3;
 
   /**
    * The number of value bits in each byte of a variable-length number. The highest bit of a byte
    * says that more bytes follow.
    */
-  private static final int NUMBER_BITS = 7;
+  private static final int VALUE_BITS_PER_BYTE = 7;
 
-  private static final int MORE = 1 << NUMBER_BITS;
-  private static final int LONGEST_NUMBER_BITS = 56;
+  private static final int CONTINUATION_BIT = 1 << VALUE_BITS_PER_BYTE;
+  private static final int MAX_NUMBER_BITS = 56;
 
-  LoadNews {
+  LoadMessage {
     loads = List.copyOf(loads);
     sentParts = List.copyOf(sentParts);
   }
@@ -73,21 +73,21 @@
   byte[] encode() {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (DataOutputStream out = new DataOutputStream(bytes)) {
-      out.writeByte(LAYOUT);
+      out.writeByte(LAYOUT_VERSION);
       out.writeByte(scope.ordinal());
       out.writeUTF(sender);
       out.writeLong(sequence);
       out.writeBoolean(complete);
       writeNumber(out, loads.size());
       for (ServerLoad load : loads) {
-        out.writeInt(load.server());
+        out.writeInt(load.serverHash());
         writeNumber(out, load.running());
         writeNumber(out, load.promptTokensAhead());
       }
       writeNumber(out, sentParts.size());
       for (SentPart sent : sentParts) {
-        out.writeInt(sent.server());
-        out.writeLong(sent.part());
+        out.writeInt(sent.serverHash());
+        out.writeLong(sent.partHash());
       }
     } catch (IOException e) {
       throw new UncheckedIOException(e);
@@ -100,12 +100,12 @@
    *
    * @throws IllegalArgumentException if {@code message} doesn't have this layout
    */
-  static LoadNews decode(byte[] message) {
+  static LoadMessage decode(byte[] message) {
     try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(message))) {
       byte layout = in.readByte();
-      if (layout != LAYOUT) {
+      if (layout != LAYOUT_VERSION) {
         throw new IllegalArgumentException(
-            "layout of the load message was %d, expected %d".formatted(layout, LAYOUT));
+            "layout of the load message was %d, expected %d".formatted(layout, LAYOUT_VERSION));
       }
       Scope scope = scope(in.readUnsignedByte());
       String sender = in.readUTF();
@@ -122,7 +122,7 @@
       if (in.available() > 0) {
         throw new IllegalArgumentException(in.available() + " bytes follow the load message");
       }
-      return new LoadNews(scope, sender, sequence, complete, loads, sentParts);
+      return new LoadMessage(scope, sender, sequence, complete, loads, sentParts);
     } catch (IOException e) {
       throw new IllegalArgumentException("the load message is truncated", e);
     } catch (ArithmeticException e) {
@@ -139,19 +139,19 @@
 
   private static void writeNumber(DataOutputStream out, long number) throws IOException {
     long remaining = number;
-    while (remaining >= MORE) {
-      out.writeByte((int) (remaining % MORE) | MORE);
-      remaining /= MORE;
+    while (remaining >= CONTINUATION_BIT) {
+      out.writeByte((int) (remaining % CONTINUATION_BIT) | CONTINUATION_BIT);
+      remaining /= CONTINUATION_BIT;
     }
     out.writeByte((int) remaining);
   }
 
   private static long readNumber(DataInputStream in) throws IOException {
     long number = 0;
-    for (int shift = 0; shift < LONGEST_NUMBER_BITS; shift += NUMBER_BITS) {
+    for (int shift = 0; shift < MAX_NUMBER_BITS; shift += VALUE_BITS_PER_BYTE) {
       int next = in.readUnsignedByte();
-      number |= (long) (next % MORE) << shift;
-      if (next < MORE) {
+      number |= (long) (next % CONTINUATION_BIT) << shift;
+      if (next < CONTINUATION_BIT) {
         return number;
       }
     }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/LoadSums.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/LoadSums.java
@@ -6,34 +6,34 @@
 
 /** Sums of loads by server. */
 final class LoadSums {
-  private final Map<Integer, OthersLoad> byServer = new HashMap<>();
+  private final Map<Integer, PeerLoad> byServer = new HashMap<>();
 
-  void add(Iterable<LoadNews.ServerLoad> loads) {
-    for (LoadNews.ServerLoad load : loads) {
+  void add(Iterable<LoadMessage.ServerLoad> loads) {
+    for (LoadMessage.ServerLoad load : loads) {
       byServer.merge(
-          load.server(),
-          new OthersLoad(load.running(), load.promptTokensAhead()),
-          OthersLoad::plus);
+          load.serverHash(),
+          new PeerLoad(load.running(), load.promptTokensAhead()),
+          PeerLoad::plus);
     }
   }
 
-  OthersLoad of(int server) {
-    return byServer.getOrDefault(server, OthersLoad.NONE);
+  PeerLoad of(int server) {
+    return byServer.getOrDefault(server, PeerLoad.NONE);
   }
 
   /** The sum for each server that has any load. */
-  List<LoadNews.ServerLoad> toList() {
+  List<LoadMessage.ServerLoad> toList() {
     return byServer.entrySet().stream()
         .map(
             entry ->
-                new LoadNews.ServerLoad(
+                new LoadMessage.ServerLoad(
                     entry.getKey(),
                     entry.getValue().running(),
                     entry.getValue().promptTokensAhead()))
         .toList();
   }
 
-  Map<Integer, OthersLoad> asMap() {
+  Map<Integer, PeerLoad> asMap() {
     return byServer;
   }
 }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/PeerCalls.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/PeerCalls.java
@@ -8,9 +8,9 @@
  * Dispatches the calls of other instances to their handlers by path.
  *
  * @param byPath the handlers of the gateway's own calls
- * @param others the handler of all other calls
+ * @param fallback the handler of all other calls
  */
-public record PeerCalls(Map<String, HttpHandler> byPath, HttpHandler others)
+public record PeerCalls(Map<String, HttpHandler> byPath, HttpHandler fallback)
     implements HttpHandler {
   public PeerCalls {
     byPath = Map.copyOf(byPath);
@@ -18,6 +18,6 @@
 
   @Override
   public void handle(HttpExchange exchange) {
-    byPath.getOrDefault(exchange.path(), others).handle(exchange);
+    byPath.getOrDefault(exchange.path(), fallback).handle(exchange);
   }
 }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/OthersLoad.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/PeerLoad.java
@@ -6,11 +6,11 @@
  * @param running the number of requests
  * @param promptTokensAhead the number of prompt tokens that the server presumably has yet to read
  */
-public record OthersLoad(int running, long promptTokensAhead) {
+public record PeerLoad(int running, long promptTokensAhead) {
   /** No load. Also stands for a load that is unknown. */
-  public static final OthersLoad NONE = new OthersLoad(0, 0);
+  public static final PeerLoad NONE = new PeerLoad(0, 0);
 
-  OthersLoad plus(OthersLoad other) {
-    return new OthersLoad(running + other.running, promptTokensAhead + other.promptTokensAhead);
+  PeerLoad plus(PeerLoad other) {
+    return new PeerLoad(running + other.running, promptTokensAhead + other.promptTokensAhead);
   }
 }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/PeerPort.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/PeerTransport.java
@@ -2,7 +2,7 @@
 
 /** Sends messages to other instances. A message may be lost, duplicated or delayed. */
 @FunctionalInterface
-public interface PeerPort {
+public interface PeerTransport {
   /**
    * Sends a message.
    *
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/HeardLoads.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/ReceivedLoads.java
@@ -8,22 +8,22 @@
 import java.util.Map;
 
 /** The loads that other instances sent in messages of one scope, each until it becomes stale. */
-final class HeardLoads {
+final class ReceivedLoads {
   private static final class Sender {
-    private final Map<Integer, LoadNews.ServerLoad> loads = new HashMap<>();
+    private final Map<Integer, LoadMessage.ServerLoad> loads = new HashMap<>();
     private long sequence = Long.MIN_VALUE;
-    private Instant at = Instant.MIN;
+    private Instant receivedAt = Instant.MIN;
   }
 
   /** Limits memory use whatever is received; more than the number of instances in a fleet. */
-  private static final int MOST_SENDERS = 2_048;
+  private static final int MAX_SENDERS = 2_048;
 
-  private final Duration stale;
+  private final Duration maxAge;
   private final Map<String, Sender> senders = new HashMap<>();
 
-  /** Creates an empty set of loads; those older than {@code stale} are ignored. */
-  HeardLoads(Duration stale) {
-    this.stale = stale;
+  /** Creates an empty set of loads; those older than {@code maxAge} are ignored. */
+  ReceivedLoads(Duration maxAge) {
+    this.maxAge = maxAge;
   }
 
   /**
@@ -33,8 +33,8 @@
    * <p>The sequence number is not compared if the sender's last message is stale. A restarted
    * process may count from below its predecessor if its clock was set back.
    */
-  boolean hear(LoadNews message, Instant now) {
-    makeRoom(now);
+  boolean receive(LoadMessage message, Instant now) {
+    evictIfFull(now);
     Sender sender = senders.computeIfAbsent(message.sender(), name -> new Sender());
     boolean silent = isStale(sender, now);
     if (!silent && message.sequence() <= sender.sequence) {
@@ -43,15 +43,15 @@
     if (message.complete() || silent) {
       sender.loads.clear();
     }
-    for (LoadNews.ServerLoad load : message.loads()) {
+    for (LoadMessage.ServerLoad load : message.loads()) {
       if (load.running() == 0 && load.promptTokensAhead() == 0) {
-        sender.loads.remove(load.server());
+        sender.loads.remove(load.serverHash());
       } else {
-        sender.loads.put(load.server(), load);
+        sender.loads.put(load.serverHash(), load);
       }
     }
     sender.sequence = message.sequence();
-    sender.at = now;
+    sender.receivedAt = now;
     return true;
   }
 
@@ -63,39 +63,39 @@
   }
 
   /** The loads that one sender sent; empty if they are stale. */
-  Map<Integer, LoadNews.ServerLoad> of(String name, Instant now) {
+  Map<Integer, LoadMessage.ServerLoad> loadsOf(String name, Instant now) {
     Sender sender = senders.get(name);
     return sender == null || isStale(sender, now) ? Map.of() : sender.loads;
   }
 
   /** When the last message of a sender arrived; {@link Instant#MIN} if none did. */
-  Instant heardAt(String name) {
+  Instant lastReceivedAt(String name) {
     Sender sender = senders.get(name);
-    return sender == null ? Instant.MIN : sender.at;
+    return sender == null ? Instant.MIN : sender.receivedAt;
   }
 
   /** The names of the senders whose last message arrived at or after {@code earliest}. */
-  List<String> heardSince(Instant earliest) {
+  List<String> sendersSince(Instant earliest) {
     List<String> names = new ArrayList<>();
     senders.forEach(
         (name, sender) -> {
-          if (!sender.at.isBefore(earliest)) {
+          if (!sender.receivedAt.isBefore(earliest)) {
             names.add(name);
           }
         });
     return names;
   }
 
-  private void makeRoom(Instant now) {
-    if (senders.size() >= MOST_SENDERS) {
+  private void evictIfFull(Instant now) {
+    if (senders.size() >= MAX_SENDERS) {
       senders.values().removeIf(sender -> isStale(sender, now));
     }
-    if (senders.size() >= MOST_SENDERS) {
+    if (senders.size() >= MAX_SENDERS) {
       senders.clear();
     }
   }
 
   private boolean isStale(Sender sender, Instant now) {
-    return sender.at.isBefore(now.minus(stale));
+    return sender.receivedAt.isBefore(now.minus(maxAge));
   }
 }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/RecentParts.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/RecentSentParts.java
@@ -9,39 +9,39 @@
 import java.util.Set;
 
 /** The prompt parts that were recently received and are to be forwarded, each once. */
-final class RecentParts {
+final class RecentSentParts {
   /** As many parts as fit into a datagram in addition to the loads. */
-  private static final int MOST = 128;
+  private static final int MAX_PARTS = 128;
 
   /** Longer than a sender repeats a part, so that no part is forwarded twice. */
-  private static final Duration KEPT = Duration.ofMillis(500);
+  private static final Duration RETENTION = Duration.ofMillis(500);
 
-  private record Entry(LoadNews.SentPart part, Instant at) {}
+  private record Entry(LoadMessage.SentPart part, Instant addedAt) {}
 
   private final Deque<Entry> entries = new ArrayDeque<>();
-  private final Set<LoadNews.SentPart> known = new HashSet<>();
+  private final Set<LoadMessage.SentPart> known = new HashSet<>();
 
   /** Adds a part unless it is present; the oldest part is evicted if there are too many. */
-  void add(LoadNews.SentPart part, Instant now) {
-    forgetBefore(now.minus(KEPT));
+  void add(LoadMessage.SentPart part, Instant now) {
+    forgetBefore(now.minus(RETENTION));
     if (known.add(part)) {
       entries.addLast(new Entry(part, now));
     }
-    if (entries.size() > MOST) {
+    if (entries.size() > MAX_PARTS) {
       known.remove(entries.removeFirst().part());
     }
   }
 
   private void forgetBefore(Instant earliest) {
-    while (!entries.isEmpty() && entries.getFirst().at().isBefore(earliest)) {
+    while (!entries.isEmpty() && entries.getFirst().addedAt().isBefore(earliest)) {
       known.remove(entries.removeFirst().part());
     }
   }
 
   /** The parts that were added at or after {@code earliest}. */
-  List<LoadNews.SentPart> since(Instant earliest) {
+  List<LoadMessage.SentPart> since(Instant earliest) {
     return entries.stream()
-        .filter(entry -> !entry.at().isBefore(earliest))
+        .filter(entry -> !entry.addedAt().isBefore(earliest))
         .map(Entry::part)
         .toList();
   }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/RelayedCalls.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/RelayedCalls.java
@@ -27,7 +27,7 @@
   }
 
   /** The statuses with which a service rejects an instance's calls. */
-  private static final int TOO_MANY_CALLS = 429;
+  private static final int TOO_MANY_REQUESTS = 429;
 
   private static final int UNAVAILABLE = 503;
 
@@ -83,7 +83,7 @@
       return direct.call(request).whenComplete(this::onDirect);
     }
     return direct
-        .call(readdressed(request, relay.get()))
+        .call(withAddress(request, relay.get()))
         .whenComplete(
             (answer, failure) ->
                 choice.onRelayed(reached(answer, failure), present.size(), clock.instant()))
@@ -107,7 +107,7 @@
     return failure == null
         && answer != null
         && answer.status() != UNAVAILABLE
-        && answer.status() != TOO_MANY_CALLS;
+        && answer.status() != TOO_MANY_REQUESTS;
   }
 
   private static String reason(@Nullable HttpAnswer answer, @Nullable Throwable failure) {
@@ -117,7 +117,7 @@
     return answer == null ? "" : "status " + answer.status();
   }
 
-  private static HttpCallRequest readdressed(HttpCallRequest request, String address) {
+  private static HttpCallRequest withAddress(HttpCallRequest request, String address) {
     return new HttpCallRequest(
         address,
         request.method(),
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/quarantine/RequestQuarantine.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/quarantine/RequestQuarantine.java
@@ -27,45 +27,45 @@
  * <p>A broken connection alone doesn't prove a crash, as an answer may have been lost in the
  * network. It counts only once the server refuses connections, is gone from the list, or is listed
  * with a later start time. A request that ran beside the crashing one is counted too. That this
- * happens to the same request {@link #LIMIT} times without an answer in between is too unlikely to
- * matter.
+ * happens to the same request {@link #CRASH_LIMIT} times without an answer in between is too
+ * unlikely to matter.
  */
 public final class RequestQuarantine implements LogParticipant {
   /**
    * The number of crashes from which on a request is not sent any more. Two crashes may be a
    * coincidence when a rack fails.
    */
-  static final int LIMIT = 3;
+  static final int CRASH_LIMIT = 3;
 
   /** A crashed server refuses connections or is removed from the list within this time. */
-  private static final Duration PROOF_WITHIN = Duration.ofSeconds(6);
+  private static final Duration PROOF_TIMEOUT = Duration.ofSeconds(6);
 
   /**
    * How long this instance keeps its count of a request. Callers repeat a request within minutes,
    * so the shared log need not keep it for longer.
    */
-  private static final Duration FORGET_AFTER = Duration.ofMinutes(3);
+  private static final Duration RETENTION = Duration.ofMinutes(3);
 
   /**
    * How long the count of another instance is kept. An instance cancels its count after {@link
-   * #FORGET_AFTER}. A count that is still there later is from an instance that is gone or from
-   * another writer, and would block a request forever.
+   * #RETENTION}. A count that is still there later is from an instance that is gone or from another
+   * writer, and would block a request forever.
    */
-  private static final Duration FORGET_OTHERS_AFTER = FORGET_AFTER.plusMinutes(1);
+  private static final Duration PEER_RETENTION = RETENTION.plusMinutes(1);
 
   /** Limits memory use when many servers crash at once; some thirty requests run at each server. */
-  private static final int MOST_TRACKED = 2_000;
+  private static final int MAX_TRACKED = 2_000;
 
   /** A request whose connection to a server broke. */
-  private record Suspect(String fingerprint, ServerIncarnation server, Instant at) {}
+  private record Suspect(String fingerprint, ServerIncarnation server, Instant lostAt) {}
 
   /** Another instance's count of a request, and when this value was first received. */
-  private record Heard(int crashes, Instant at) {}
+  private record PeerCount(int crashes, Instant receivedAt) {}
 
   /** This instance's count of a request, and whether it has yet to be written to the shared log. */
   private static final class Count {
     private int crashes;
-    private Instant last = Instant.MIN;
+    private Instant lastCrashAt = Instant.MIN;
     private boolean noteDue;
   }
 
@@ -74,8 +74,8 @@
   private final EventSink events;
   private final InstantSource clock;
   private final List<Suspect> suspects = new ArrayList<>();
-  private final Map<String, Count> own = new LinkedHashMap<>();
-  private final Map<String, Map<String, Heard>> others = new HashMap<>();
+  private final Map<String, Count> ownCounts = new LinkedHashMap<>();
+  private final Map<String, Map<String, PeerCount>> peerCounts = new HashMap<>();
 
   /**
    * Creates the quarantine of {@code instance}.
@@ -91,18 +91,18 @@
   }
 
   /** Whether there is any count. If not, no request's fingerprint needs to be computed. */
-  public boolean active() {
-    return !own.isEmpty() || !others.isEmpty();
+  public boolean hasCounts() {
+    return !ownCounts.isEmpty() || !peerCounts.isEmpty();
   }
 
   /** Whether the request has crashed too many servers to be sent again. */
-  public boolean holds(String fingerprint) {
-    return crashes(fingerprint) >= LIMIT;
+  public boolean isQuarantined(String fingerprint) {
+    return crashes(fingerprint) >= CRASH_LIMIT;
   }
 
   /** Records that the connection of a request broke before its answer was complete. */
-  public void onBrokenOff(String fingerprint, ServerIncarnation server) {
-    if (suspects.size() < MOST_TRACKED) {
+  public void onConnectionLost(String fingerprint, ServerIncarnation server) {
+    if (suspects.size() < MAX_TRACKED) {
       suspects.add(new Suspect(fingerprint, server, clock.instant()));
     }
   }
@@ -114,7 +114,7 @@
 
   /** Resets this instance's count of a request that a server has answered. */
   public void onAnswered(String fingerprint) {
-    Count count = own.get(fingerprint);
+    Count count = ownCounts.get(fingerprint);
     if (count != null && count.crashes > 0) {
       count.crashes = 0;
       count.noteDue = true;
@@ -126,47 +126,47 @@
    * suspected requests that have expired.
    */
   public void tick() {
-    if (suspects.isEmpty() && !active()) {
+    if (suspects.isEmpty() && !hasCounts()) {
       return;
     }
     confirm(suspect -> !listed.test(suspect.server()));
     Instant now = clock.instant();
-    forgetOthers(now);
-    suspects.removeIf(suspect -> suspect.at().plus(PROOF_WITHIN).isBefore(now));
-    for (Count count : own.values()) {
-      if (count.crashes > 0 && count.last.plus(FORGET_AFTER).isBefore(now)) {
+    expirePeerCounts(now);
+    suspects.removeIf(suspect -> suspect.lostAt().plus(PROOF_TIMEOUT).isBefore(now));
+    for (Count count : ownCounts.values()) {
+      if (count.crashes > 0 && count.lastCrashAt.plus(RETENTION).isBefore(now)) {
         count.crashes = 0;
         count.noteDue = true;
       }
     }
   }
 
-  private void forgetOthers(Instant now) {
-    for (Map<String, Heard> byInstance : others.values()) {
-      byInstance.values().removeIf(each -> each.at().plus(FORGET_OTHERS_AFTER).isBefore(now));
+  private void expirePeerCounts(Instant now) {
+    for (Map<String, PeerCount> byInstance : peerCounts.values()) {
+      byInstance.values().removeIf(each -> each.receivedAt().plus(PEER_RETENTION).isBefore(now));
     }
-    others.values().removeIf(Map::isEmpty);
+    peerCounts.values().removeIf(Map::isEmpty);
   }
 
   @Override
   public void onNote(SharedNote note, boolean ownNote) {
     if (note instanceof SharedNote.Crash crash && !ownNote) {
-      hear(crash, others);
+      applyPeerCount(crash, peerCounts);
     }
   }
 
   @Override
   public void onLoaded(List<SharedNote> notes, boolean first) {
-    Map<String, Map<String, Heard>> known = new HashMap<>(others);
-    others.clear();
+    Map<String, Map<String, PeerCount>> known = new HashMap<>(peerCounts);
+    peerCounts.clear();
     for (SharedNote note : notes) {
       if (!(note instanceof SharedNote.Crash crash)) {
         continue;
       }
       if (!crash.instance().equals(instance)) {
-        hear(crash, known);
+        applyPeerCount(crash, known);
       } else if (first) {
-        goOn(crash);
+        adoptCount(crash);
       }
     }
   }
@@ -179,7 +179,7 @@
   @Override
   public List<SharedNote> notesToWrite(Instant now) {
     List<SharedNote> notes = new ArrayList<>();
-    Iterator<Map.Entry<String, Count>> counts = own.entrySet().iterator();
+    Iterator<Map.Entry<String, Count>> counts = ownCounts.entrySet().iterator();
     while (counts.hasNext()) {
       Map.Entry<String, Count> each = counts.next();
       Count count = each.getValue();
@@ -195,10 +195,10 @@
   }
 
   /** Adopts the count of an earlier process of this instance. */
-  private void goOn(SharedNote.Crash crash) {
-    Count count = own.computeIfAbsent(crash.fingerprint(), fingerprint -> new Count());
+  private void adoptCount(SharedNote.Crash crash) {
+    Count count = ownCounts.computeIfAbsent(crash.fingerprint(), fingerprint -> new Count());
     count.crashes += crash.count();
-    count.last = clock.instant();
+    count.lastCrashAt = clock.instant();
   }
 
   /**
@@ -206,21 +206,21 @@
    *
    * @param before the counts known before; a count with an unchanged value keeps its age
    */
-  private void hear(SharedNote.Crash crash, Map<String, Map<String, Heard>> before) {
+  private void applyPeerCount(SharedNote.Crash crash, Map<String, Map<String, PeerCount>> before) {
     if (crash.count() == 0) {
-      Map<String, Heard> byInstance = others.get(crash.fingerprint());
+      Map<String, PeerCount> byInstance = peerCounts.get(crash.fingerprint());
       if (byInstance != null) {
         byInstance.remove(crash.instance());
-        others.remove(crash.fingerprint(), Map.of());
+        peerCounts.remove(crash.fingerprint(), Map.of());
       }
       return;
     }
-    Heard known = before.getOrDefault(crash.fingerprint(), Map.of()).get(crash.instance());
-    Heard current =
+    PeerCount known = before.getOrDefault(crash.fingerprint(), Map.of()).get(crash.instance());
+    PeerCount current =
         known != null && known.crashes() == crash.count()
             ? known
-            : new Heard(crash.count(), clock.instant());
-    others
+            : new PeerCount(crash.count(), clock.instant());
+    peerCounts
         .computeIfAbsent(crash.fingerprint(), fingerprint -> new HashMap<>())
         .put(crash.instance(), current);
   }
@@ -237,24 +237,24 @@
   }
 
   private void count(Suspect suspect) {
-    Count known = own.get(suspect.fingerprint());
-    if (known == null && own.size() >= MOST_TRACKED) {
+    Count known = ownCounts.get(suspect.fingerprint());
+    if (known == null && ownCounts.size() >= MAX_TRACKED) {
       return;
     }
-    Count count = own.computeIfAbsent(suspect.fingerprint(), fingerprint -> new Count());
+    Count count = ownCounts.computeIfAbsent(suspect.fingerprint(), fingerprint -> new Count());
     count.crashes++;
-    count.last = clock.instant();
+    count.lastCrashAt = clock.instant();
     count.noteDue = true;
-    if (crashes(suspect.fingerprint()) == LIMIT) {
+    if (crashes(suspect.fingerprint()) == CRASH_LIMIT) {
       events.accept(
           new GatewayEvent.RequestQuarantined(suspect.fingerprint(), suspect.server().id().name()));
     }
   }
 
   private int crashes(String fingerprint) {
-    Count count = own.get(fingerprint);
+    Count count = ownCounts.get(fingerprint);
     int sum = count == null ? 0 : count.crashes;
-    for (Heard each : others.getOrDefault(fingerprint, Map.of()).values()) {
+    for (PeerCount each : peerCounts.getOrDefault(fingerprint, Map.of()).values()) {
       sum += each.crashes();
     }
     return sum;
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/server/BackendServer.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/server/BackendServer.java
@@ -16,19 +16,19 @@
   private final String address;
   private final String dataCentre;
   private final int places;
-  private final Runnable onWork;
+  private final Runnable onLoadChange;
   private boolean leaving;
   private int running;
   private long promptTokensAhead;
-  private Instant avoidUntil = Instant.MIN;
+  private Instant excludeUntil = Instant.MIN;
 
   /**
    * Creates a server.
    *
-   * @param onWork runs after each change of the load that this instance has outstanding there
+   * @param onLoadChange runs after each change of the load that this instance has outstanding there
    */
-  BackendServer(ServerListing listing, Runnable onWork) {
-    this.onWork = onWork;
+  BackendServer(ServerListing listing, Runnable onLoadChange) {
+    this.onLoadChange = onLoadChange;
     this.incarnation = listing.incarnation();
     this.service = listing.service();
     this.address = listing.address();
@@ -83,13 +83,13 @@
   }
 
   /** Whether the server gets no requests because of a recent failure that would probably recur. */
-  public boolean avoided(Instant now) {
-    return now.isBefore(avoidUntil);
+  public boolean isExcluded(Instant now) {
+    return now.isBefore(excludeUntil);
   }
 
   /** Sends no requests to the server until {@code until}. */
-  public void avoidUntil(Instant until) {
-    avoidUntil = until;
+  public void excludeUntil(Instant until) {
+    excludeUntil = until;
   }
 
   /**
@@ -104,18 +104,18 @@
   public void started(long promptTokens) {
     running++;
     promptTokensAhead += promptTokens;
-    onWork.run();
+    onLoadChange.run();
   }
 
   /** Counts a prompt as read, because the answer has begun or the request has ended. */
-  public void promptRead(long promptTokens) {
+  public void onPromptRead(long promptTokens) {
     promptTokensAhead -= promptTokens;
-    onWork.run();
+    onLoadChange.run();
   }
 
   /** Counts a request as ended. */
-  public void ended() {
+  public void onRequestEnded() {
     running--;
-    onWork.run();
+    onLoadChange.run();
   }
 }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/server/CachedPrompts.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/server/CachedPrompts.java
@@ -20,71 +20,74 @@
    * Limits memory use to some megabytes. The servers of a fleet of a hundred servers cache fewer
    * parts than this.
    */
-  private static final int MOST_COPIES = 16_384;
+  private static final int MAX_PARTS = 16_384;
 
   /** As many parts as fit into a datagram in addition to the loads. */
-  private static final int MOST_NEWS = 48;
+  private static final int MAX_RECENT = 48;
 
   /**
    * One part in the cache of one server.
    *
-   * @param part a hash of the part's id, which is longer
+   * @param partHash a hash of the part's id, which is longer
    */
-  public record Copy(ServerIncarnation server, long part) {}
+  public record CachedPart(ServerIncarnation server, long partHash) {}
 
-  private record News(Copy copy, Instant since) {}
+  private record RecentPart(CachedPart part, Instant sentAt) {}
 
-  private final Map<Copy, Boolean> copies =
+  private final Map<CachedPart, Boolean> cachedParts =
       new LinkedHashMap<>(64, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<Copy, Boolean> eldest) {
-          return size() > MOST_COPIES;
+        protected boolean removeEldestEntry(Map.Entry<CachedPart, Boolean> eldest) {
+          return size() > MAX_PARTS;
         }
       };
 
-  private final Deque<News> news = new ArrayDeque<>();
+  private final Deque<RecentPart> recentlySent = new ArrayDeque<>();
 
   /** Records that a prompt with {@code parts} was sent to {@code server}. */
   public void onSent(ServerIncarnation server, List<String> parts, Instant now) {
     for (String part : parts) {
-      Copy copy = new Copy(server, hash(part));
-      if (copies.put(copy, true) == null) {
-        news.addLast(new News(copy, now));
+      CachedPart cachedPart = new CachedPart(server, hash(part));
+      if (cachedParts.put(cachedPart, true) == null) {
+        recentlySent.addLast(new RecentPart(cachedPart, now));
       }
     }
-    while (news.size() > MOST_NEWS) {
-      news.removeFirst();
+    while (recentlySent.size() > MAX_RECENT) {
+      recentlySent.removeFirst();
     }
   }
 
   /** Records a part that another instance has sent to a server. */
-  public void onHeard(Copy copy) {
-    copies.put(copy, true);
+  public void onReceived(CachedPart cachedPart) {
+    cachedParts.put(cachedPart, true);
   }
 
   /** Removes the parts of a prompt that was sent to {@code server} but not run. */
   public void onNotRun(ServerIncarnation server, List<String> parts) {
-    parts.forEach(part -> copies.remove(new Copy(server, hash(part))));
+    parts.forEach(part -> cachedParts.remove(new CachedPart(server, hash(part))));
   }
 
   /** Whether {@code part} is presumably in the cache of {@code server}. */
-  public boolean holds(ServerIncarnation server, String part) {
-    return copies.containsKey(new Copy(server, hash(part)));
+  public boolean contains(ServerIncarnation server, String part) {
+    return cachedParts.containsKey(new CachedPart(server, hash(part)));
   }
 
   /**
    * The parts that this instance has sent to a server for the first time at or after {@code
    * earliest}.
    */
-  public List<Copy> sentSince(Instant earliest) {
-    return news.stream().filter(each -> !each.since().isBefore(earliest)).map(News::copy).toList();
+  public List<CachedPart> sentSince(Instant earliest) {
+    return recentlySent.stream()
+        .filter(each -> !each.sentAt().isBefore(earliest))
+        .map(RecentPart::part)
+        .toList();
   }
 
   /** The {@code limit} most recently used parts. */
-  public List<Copy> newest(int limit) {
-    return copies.keySet().stream().skip(Math.max(0, copies.size() - limit)).toList();
+  public List<CachedPart> mostRecentlyUsed(int limit) {
+    return cachedParts.keySet().stream().skip(Math.max(0, cachedParts.size() - limit)).toList();
   }
 
   private static long hash(String part) {
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/server/DepartedServers.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/server/DepartedServers.java
@@ -18,21 +18,22 @@
    * The size of some tens of fleets: a listing isn't delayed for so many departures. An entry takes
    * about 200 bytes.
    */
-  private static final int MOST = 4_096;
+  private static final int MAX_ENTRIES = 4_096;
 
   /**
    * Longer than a listing is delayed, as the store is unavailable for some ten seconds at most. The
    * time is limited because a server restarts with an earlier start time if its clock was set back.
    */
-  private static final Duration KEPT = Duration.ofMinutes(2);
+  private static final Duration RETENTION = Duration.ofMinutes(2);
 
-  private record Departed(ServerIncarnation incarnation, boolean left, Instant at) {}
+  private record Departed(
+      ServerIncarnation incarnation, boolean announcedLeave, Instant removedAt) {}
 
   private final Map<BackendServerId, Departed> departed =
       new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<BackendServerId, Departed> eldest) {
-          return size() > MOST;
+          return size() > MAX_ENTRIES;
         }
       };
   private Instant now = Instant.MIN;
@@ -40,7 +41,7 @@
   /** Forgets the servers that left longer ago than the retention time. */
   void tick(Instant time) {
     now = time;
-    departed.values().removeIf(each -> !each.at().plus(KEPT).isAfter(time));
+    departed.values().removeIf(each -> !each.removedAt().plus(RETENTION).isAfter(time));
   }
 
   /**
@@ -49,12 +50,12 @@
    * <p>A server without a start time isn't recorded: a later listing might be of another process,
    * and a server that returns must be used.
    *
-   * @param left whether the server had announced that it leaves
+   * @param announcedLeave whether the server had announced that it leaves
    */
-  void add(ServerIncarnation incarnation, boolean left) {
+  void add(ServerIncarnation incarnation, boolean announcedLeave) {
     if (incarnation.startedAt().isPresent()) {
       departed.remove(incarnation.id());
-      departed.put(incarnation.id(), new Departed(incarnation, left, now));
+      departed.put(incarnation.id(), new Departed(incarnation, announcedLeave, now));
     }
   }
 
@@ -66,12 +67,12 @@
    * If this is a delayed listing after all, it costs a refused connection, whereas ignoring a
    * running server would cost its capacity until it restarts.
    */
-  boolean shutsOut(ServerIncarnation listed) {
+  boolean rejects(ServerIncarnation listed) {
     Departed known = departed.get(listed.id());
     if (known == null || listed.startedAfter(known.incarnation())) {
       return false;
     }
-    return known.left() || !listed.equals(known.incarnation());
+    return known.announcedLeave() || !listed.equals(known.incarnation());
   }
 
   /** Forgets a server that is listed again. */
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/server/ServerDirectory.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/server/ServerDirectory.java
@@ -17,19 +17,19 @@
 /** The backend servers that are listed, by id and by service. */
 public final class ServerDirectory {
   private final Map<BackendServerId, BackendServer> servers = new HashMap<>();
-  private final Map<BackendServerId, Instant> lapsed = new HashMap<>();
+  private final Map<BackendServerId, Instant> graceEnds = new HashMap<>();
   private final Map<String, Map<BackendServerId, BackendServer>> byService = new HashMap<>();
   private final Set<BackendServerId> unusable = new HashSet<>();
   private final DepartedServers departed = new DepartedServers();
   private Consumer<BackendServer> replacedListener = earlier -> {};
   private long changes;
-  private long workChanges;
+  private long loadChanges;
 
   /**
    * Whether listings without a start time are ignored. Once set it stays set, as the listings with
    * a start time may all be missing for a moment while those of another writer remain.
    */
-  private boolean startsTold;
+  private boolean startTimesRequired;
 
   /** Sets the listener that is called with each incarnation that a later one has replaced. */
   public void onReplaced(Consumer<BackendServer> listener) {
@@ -44,7 +44,7 @@
    * it is final.
    */
   public ListChange put(ServerListing listing) {
-    if (startsTold && listing.startedAt().isEmpty()) {
+    if (startTimesRequired && listing.startedAt().isEmpty()) {
       unusable(listing.id());
       return ListChange.NONE;
     }
@@ -58,7 +58,7 @@
     if (!listing.incarnation().equals(known.incarnation())) {
       return ListChange.NONE;
     }
-    boolean hadExpired = lapsed.remove(listing.id()) != null;
+    boolean hadExpired = graceEnds.remove(listing.id()) != null;
     boolean back = unusable.remove(listing.id()) || hadExpired;
     if (!known.listedAsReady()) {
       return ListChange.NONE;
@@ -70,7 +70,7 @@
   }
 
   private ListChange putUnlisted(ServerListing listing) {
-    if (departed.shutsOut(listing.incarnation())) {
+    if (departed.rejects(listing.incarnation())) {
       return ListChange.NONE;
     }
     departed.remove(listing.id());
@@ -93,7 +93,7 @@
 
   private void add(ServerListing listing) {
     changes++;
-    BackendServer added = new BackendServer(listing, () -> workChanges++);
+    BackendServer added = new BackendServer(listing, () -> loadChanges++);
     servers.put(listing.id(), added);
     byService
         .computeIfAbsent(listing.service(), name -> new LinkedHashMap<>())
@@ -103,7 +103,7 @@
   private void drop(BackendServer server) {
     changes++;
     unusable.remove(server.id());
-    lapsed.remove(server.id());
+    graceEnds.remove(server.id());
     servers.remove(server.id());
     server.markLeaving();
     Map<BackendServerId, BackendServer> ofService = byService.get(server.service());
@@ -147,7 +147,7 @@
     if (server == null || !server.listedAsReady()) {
       remove(id);
     } else {
-      lapsed.putIfAbsent(id, until);
+      graceEnds.putIfAbsent(id, until);
     }
   }
 
@@ -158,15 +158,15 @@
   public List<BackendServer> tick(Instant now) {
     departed.tick(now);
     Set<BackendServer> removed = new LinkedHashSet<>();
-    lapsed.forEach(
+    graceEnds.forEach(
         (id, until) -> {
           if (!now.isBefore(until)) {
             find(id).ifPresent(removed::add);
           }
         });
-    if (!startsTold && mostTellStarts()) {
-      startsTold = true;
-      removed.addAll(servers.values().stream().filter(server -> !tellsStart(server)).toList());
+    if (!startTimesRequired && mostHaveStartTimes()) {
+      startTimesRequired = true;
+      removed.addAll(servers.values().stream().filter(server -> !hasStartTime(server)).toList());
     }
     removed.forEach(server -> remove(server.id()));
     return List.copyOf(removed);
@@ -181,26 +181,26 @@
    * none does. At least half must have one so that a single entry of another writer can't remove a
    * whole fleet.
    */
-  private boolean mostTellStarts() {
-    long withStartTime = servers.values().stream().filter(ServerDirectory::tellsStart).count();
+  private boolean mostHaveStartTimes() {
+    long withStartTime = servers.values().stream().filter(ServerDirectory::hasStartTime).count();
     return withStartTime > 0 && 2 * withStartTime >= servers.size();
   }
 
-  private static boolean tellsStart(BackendServer server) {
+  private static boolean hasStartTime(BackendServer server) {
     return server.incarnation().startedAt().isPresent();
   }
 
   /** Removes all servers that {@code listed} doesn't contain, after the list was read again. */
   public void retain(Set<BackendServerId> listed) {
-    missing(listed).forEach(this::remove);
+    unlisted(listed).forEach(this::remove);
   }
 
   /** Applies {@link #lapse} to all servers that {@code listed} doesn't contain. */
   public void lapseOthers(Set<BackendServerId> listed, Instant until) {
-    missing(listed).forEach(id -> lapse(id, until));
+    unlisted(listed).forEach(id -> lapse(id, until));
   }
 
-  private List<BackendServerId> missing(Set<BackendServerId> listed) {
+  private List<BackendServerId> unlisted(Set<BackendServerId> listed) {
     List<BackendServerId> unlisted = new ArrayList<>(servers.keySet());
     unlisted.removeAll(listed);
     return unlisted;
@@ -242,7 +242,7 @@
   }
 
   /** A counter that increases whenever the load of this instance at any server changes. */
-  public long workChanges() {
-    return workChanges;
+  public long loadChanges() {
+    return loadChanges;
   }
 }
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/fake/FakeSharedLog.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/fake/FakeSharedLog.java
@@ -38,22 +38,22 @@
     private long lastOffset;
   }
 
-  private static final int ROUNDS_SLOW = 3;
-  private static final int ROUNDS_LATE = 50;
+  private static final int SLOW_APPEND_ROUNDS = 3;
+  private static final int LATE_APPEND_ROUNDS = 50;
 
   /** The longest queue of appends, in rounds. The log rejects appends beyond it. */
-  private static final int LONGEST_LINE_ROUNDS = 200;
+  private static final int MAX_QUEUED_ROUNDS = 200;
 
   private final List<PositionedRecord> records = new ArrayList<>();
   private final Map<String, Writer> writers = new HashMap<>();
-  private final Queue<Runnable> inLine = new ArrayDeque<>();
-  private long firstKept;
+  private final Queue<Runnable> queuedAppends = new ArrayDeque<>();
+  private long firstRetainedOffset;
   private int appends;
   private int appendsInRound;
 
   /** Drops all records except the latest one of each key. */
   public void forgetHistory() {
-    firstKept = records.size();
+    firstRetainedOffset = records.size();
   }
 
   /**
@@ -65,8 +65,8 @@
 
   /** Applies the queued appends of one round. */
   public void round() {
-    for (int i = 0; i < appendsInRound && !inLine.isEmpty(); i++) {
-      inLine.remove().run();
+    for (int i = 0; i < appendsInRound && !queuedAppends.isEmpty(); i++) {
+      queuedAppends.remove().run();
     }
   }
 
@@ -79,7 +79,7 @@
   public final class Port implements SharedLog {
     private final String producer;
     private final List<Runnable> answers = new ArrayList<>();
-    private final List<Supplier<AppendOutcome>> late = new ArrayList<>();
+    private final List<Supplier<AppendOutcome>> lateAppends = new ArrayList<>();
     private int rounds;
     private int reads;
     private Line line = Line.OPEN;
@@ -108,11 +108,11 @@
      * appends.
      */
     public void answer() {
-      if (++rounds % ROUNDS_LATE == 0) {
-        for (Supplier<AppendOutcome> append : late) {
+      if (++rounds % LATE_APPEND_ROUNDS == 0) {
+        for (Supplier<AppendOutcome> append : lateAppends) {
           AppendOutcome ignored = append.get();
         }
-        late.clear();
+        lateAppends.clear();
       }
       List<Runnable> due = List.copyOf(answers);
       answers.clear();
@@ -125,22 +125,22 @@
       Supplier<AppendOutcome> append = () -> appendNow(producer, epoch, sequence, batch);
       AppendOutcome unknown = new AppendOutcome.Unknown(line.name());
       switch (line) {
-        case OPEN -> open(append, outcome);
+        case OPEN -> appendNormally(append, outcome);
         case CUT -> answers.add(() -> outcome.accept(unknown));
         case ANSWERS_LOST -> {
           AppendOutcome lost = append.get();
           answers.add(
               () -> outcome.accept(lost instanceof AppendOutcome.Appended ? unknown : lost));
         }
-        case SLOW_APPENDS -> answerAfter(ROUNDS_SLOW, () -> outcome.accept(append.get()));
+        case SLOW_APPENDS -> answerAfter(SLOW_APPEND_ROUNDS, () -> outcome.accept(append.get()));
         case DONE_LATE -> {
           answers.add(() -> outcome.accept(unknown));
-          late.add(append);
+          lateAppends.add(append);
         }
       }
     }
 
-    private void open(Supplier<AppendOutcome> append, Consumer<AppendOutcome> outcome) {
+    private void appendNormally(Supplier<AppendOutcome> append, Consumer<AppendOutcome> outcome) {
       Runnable take =
           () -> {
             AppendOutcome done = append.get();
@@ -148,8 +148,8 @@
           };
       if (appendsInRound == 0) {
         take.run();
-      } else if (inLine.size() < LONGEST_LINE_ROUNDS * appendsInRound) {
-        inLine.add(take);
+      } else if (queuedAppends.size() < MAX_QUEUED_ROUNDS * appendsInRound) {
+        queuedAppends.add(take);
       } else {
         answers.add(() -> outcome.accept(new AppendOutcome.Unknown("busy")));
       }
@@ -165,7 +165,7 @@
     @Override
     public void readNewest(Consumer<ReadOutcome> outcome) {
       reads++;
-      ReadOutcome result = readable() ? newest() : failed();
+      ReadOutcome result = readable() ? latestByKey() : failed();
       answers.add(() -> outcome.accept(result));
     }
 
@@ -207,14 +207,14 @@
   }
 
   private SharedLog.ReadOutcome readNow(long offset) {
-    if (offset < firstKept) {
+    if (offset < firstRetainedOffset) {
       return new SharedLog.ReadOutcome.Expired();
     }
     return new SharedLog.ReadOutcome.Records(
         records.subList((int) offset, records.size()), records.size());
   }
 
-  private SharedLog.ReadOutcome newest() {
+  private SharedLog.ReadOutcome latestByKey() {
     Map<String, PositionedRecord> byKey = new LinkedHashMap<>();
     for (PositionedRecord record : records) {
       byKey.put(record.record().key(), record);
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/EarlyRequestTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/EarlyRequestTests.java
@@ -24,15 +24,15 @@
    */
   @Test
   void servesARequestOnceTheConfigurationIsKnown() {
-    FakeExchange early = gateway.call(GatewayFixture.ONCE);
-    gateway.desk.tick();
+    FakeExchange early = gateway.call(GatewayFixture.ONCE_PATH);
+    gateway.dispatcher.tick();
     assertEquals(0, early.status());
-    assertEquals(1, gateway.desk.open());
+    assertEquals(1, gateway.dispatcher.open());
     gateway.configured = true;
-    gateway.desk.tick();
+    gateway.dispatcher.tick();
     gateway.sent.getFirst().answer();
     assertEquals(200, early.status());
-    assertEquals(0, gateway.desk.open());
+    assertEquals(0, gateway.dispatcher.open());
   }
 
   /**
@@ -41,18 +41,18 @@
    */
   @Test
   void refusesARequestIfTheConfigurationIsNotReadInTime() {
-    FakeExchange early = gateway.call(GatewayFixture.ONCE);
+    FakeExchange early = gateway.call(GatewayFixture.ONCE_PATH);
     gateway.clock.advance(Duration.ofSeconds(1));
-    gateway.desk.tick();
+    gateway.dispatcher.tick();
     assertEquals(503, early.status());
   }
 
   /** The process is stopped while it starts. The caller is refused at once. */
   @Test
   void refusesARequestWhenTheInstanceStops() {
-    FakeExchange early = gateway.call(GatewayFixture.ONCE);
-    gateway.desk.refuseAll();
+    FakeExchange early = gateway.call(GatewayFixture.ONCE_PATH);
+    gateway.dispatcher.refuseAll();
     assertEquals(503, early.status());
-    assertEquals(0, gateway.desk.open());
+    assertEquals(0, gateway.dispatcher.open());
   }
 }
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/EventSplitterTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/EventSplitterTests.java
@@ -26,7 +26,7 @@
       }
       assertEquals(List.of("id: 0\ndata: a\n\n", "id: 1\r\ndata: b\r\n\r\n"), events);
       assertEquals(List.of("0", "1"), ids);
-      assertEquals("id: 2\nda", new String(each.rest(), StandardCharsets.UTF_8));
+      assertEquals("id: 2\nda", new String(each.remainder(), StandardCharsets.UTF_8));
     }
   }
 
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/GatewayFixture.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/GatewayFixture.java
@@ -41,12 +41,12 @@
   static final String SERVICE = "register";
 
   /** The path prefixes of the two routes: requests run at most once, and repeatable requests. */
-  static final String ONCE = "/bid/";
+  static final String ONCE_PATH = "/bid/";
 
-  static final String REPEATABLE = "/hold/";
+  static final String REPEATABLE_PATH = "/hold/";
 
   /** A request that the gateway sent to a server's address. */
-  record Sent(HttpCallRequest request, HttpListener listener) {
+  record SentRequest(HttpCallRequest request, HttpListener listener) {
     String address() {
       return request.address();
     }
@@ -67,27 +67,27 @@
 
   final ManualClock clock = new ManualClock();
   final ServerDirectory servers = new ServerDirectory();
-  final List<Sent> sent = new ArrayList<>();
+  final List<SentRequest> sent = new ArrayList<>();
   final List<GatewayEvent> events = new ArrayList<>();
-  final RequestDesk desk;
+  final RequestDesk dispatcher;
 
   /** Whether the configuration has been read. */
   boolean configured = true;
 
-  private static final Set<String> ALONE = Set.of("instance-1");
+  private static final Set<String> ONLY_INSTANCE = Set.of("instance-1");
 
   GatewayFixture() {
     GatewayPlan plan =
         new GatewayPlan(
             1,
             List.of(
-                route("bid", ONCE, RouteKind.AT_MOST_ONCE, 1),
-                route("hold", REPEATABLE, RouteKind.IDEMPOTENT, 2)),
+                route("bid", ONCE_PATH, RouteKind.AT_MOST_ONCE, 1),
+                route("hold", REPEATABLE_PATH, RouteKind.IDEMPOTENT, 2)),
             List.of(new PlannedService(SERVICE, 100, 0)),
             List.of(),
             CallerLimits.untilPublished());
     ClockReading reading = new ClockReading(0, 0);
-    TokenHolders holders = new TokenHolders("instance-1", () -> ALONE);
+    TokenHolders holders = new TokenHolders("instance-1", () -> ONLY_INSTANCE);
     AccountBook accounts =
         new AccountBook(
             "instance-1",
@@ -100,17 +100,16 @@
             Optional::empty);
     RequestQuarantine quarantine =
         new RequestQuarantine("instance-1", servers::lists, events::add, clock);
-    desk =
+    dispatcher =
         new RequestDesk(
             new GatewayParts(
                 () -> configured ? plan : null,
                 servers,
-                new TokenRequests(
-                    accounts, holders, new NoHolders(), () -> true, events::add, clock),
+                new TokenRequests(accounts, holders, new NoPeers(), () -> true, events::add, clock),
                 quarantine,
                 new FakeDialect(),
                 (request, listener) -> {
-                  sent.add(new Sent(request, listener));
+                  sent.add(new SentRequest(request, listener));
                   return () -> {};
                 },
                 () -> FleetLoad.NONE,
@@ -126,7 +125,7 @@
     servers.put(
         new ServerListing(
             new BackendServerId(id), SERVICE, address, "hall-a", 6, false, Optional.of(start)));
-    desk.tick();
+    dispatcher.tick();
   }
 
   BackendServer server(String id) {
@@ -136,7 +135,7 @@
   /** Sends a caller's request and returns its exchange, which receives the answer. */
   FakeExchange call(String path) {
     FakeExchange exchange = new FakeExchange(path);
-    desk.handle(exchange);
+    dispatcher.handle(exchange);
     return exchange;
   }
 
@@ -157,7 +156,7 @@
   }
 
   /** A port without peers, for a single instance that holds every customer itself. */
-  private static final class NoHolders implements HolderPort {
+  private static final class NoPeers implements HolderPort {
     @Override
     public void ask(String holder, Ask ask, Consumer<Answer> answer) {
       throw new AssertionError("unexpected request to holder " + holder);
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/RestartedServerTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/RestartedServerTests.java
@@ -25,9 +25,9 @@
   @Test
   void countsALostAnswerForTheIncarnationThatHadTheRequest() {
     gateway.list("i-1", OLD_ADDRESS, FIRST);
-    FakeExchange lost = gateway.call(GatewayFixture.ONCE);
+    FakeExchange lost = gateway.call(GatewayFixture.ONCE_PATH);
     gateway.list("i-1", NEW_ADDRESS, FIRST.plusMillis(1));
-    FakeExchange served = gateway.call(GatewayFixture.ONCE);
+    FakeExchange served = gateway.call(GatewayFixture.ONCE_PATH);
     assertEquals(1, gateway.server("i-1").running());
     gateway.sent.get(0).loseAnswer();
     assertEquals(502, lost.status());
@@ -45,7 +45,7 @@
   @Test
   void sendsARepeatableRequestAgainToTheNextIncarnation() {
     gateway.list("i-1", OLD_ADDRESS, FIRST);
-    FakeExchange exchange = gateway.call(GatewayFixture.REPEATABLE);
+    FakeExchange exchange = gateway.call(GatewayFixture.REPEATABLE_PATH);
     gateway.list("i-1", NEW_ADDRESS, FIRST.plusMillis(1));
     gateway.sent.get(0).loseAnswer();
     gateway.sent.get(1).answer();
@@ -62,12 +62,12 @@
   void quarantinesARequestThatCrashedAServerWhichRestartsUnderItsId() {
     for (int crash = 0; crash < 3; crash++) {
       gateway.list("i-1", NEW_ADDRESS, FIRST.plusMillis(crash));
-      FakeExchange exchange = gateway.call(GatewayFixture.ONCE);
+      FakeExchange exchange = gateway.call(GatewayFixture.ONCE_PATH);
       gateway.sent.getLast().loseAnswer();
       assertEquals(502, exchange.status());
     }
     gateway.list("i-1", NEW_ADDRESS, FIRST.plusMillis(3));
-    assertEquals(422, gateway.call(GatewayFixture.ONCE).status());
+    assertEquals(422, gateway.call(GatewayFixture.ONCE_PATH).status());
   }
 
   /**
@@ -79,14 +79,14 @@
   void usesAServerAgainSomeTimeAfterAnotherAnsweredAtItsAddress() {
     gateway.list("i-1", OLD_ADDRESS, FIRST);
     gateway.list("i-2", NEW_ADDRESS, FIRST);
-    FakeExchange moved = gateway.call(GatewayFixture.REPEATABLE);
+    FakeExchange moved = gateway.call(GatewayFixture.REPEATABLE_PATH);
     String address = gateway.sent.get(0).address();
     gateway.sent.get(0).answer(421);
     gateway.sent.get(1).answer();
     assertEquals(200, moved.status());
     gateway.clock.advance(Duration.ofSeconds(5));
     for (int i = 0; i < 6; i++) {
-      gateway.call(GatewayFixture.ONCE);
+      gateway.call(GatewayFixture.ONCE_PATH);
     }
     assertTrue(
         gateway.sent.stream().skip(2).anyMatch(sent -> sent.address().equals(address)),
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/ServerChoiceTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/ServerSelectorTests.java
@@ -16,15 +16,15 @@
 import org.teaseldeal.gateway.server.ServerDirectory;
 import org.teaseldeal.gateway.server.ServerListing;
 
-class ServerChoiceTests {
+class ServerSelectorTests {
   private static final Instant NOW = Instant.ofEpochMilli(1_700_000_000_000L);
 
   /** More consecutive failures than chance explains, so that the server is ejected. */
   private static final int MANY_FAILURES = 6;
 
   private final ServerDirectory servers = new ServerDirectory();
-  private final ServerChoice choice =
-      new ServerChoice(servers, () -> FleetLoad.NONE, new CachedPrompts(), new Random(1));
+  private final ServerSelector choice =
+      new ServerSelector(servers, () -> FleetLoad.NONE, new CachedPrompts(), new Random(1));
 
   @BeforeEach
   void list() {
@@ -82,7 +82,7 @@
 
   private int candidates() {
     return choice
-        .choose("models", Optional.empty(), Duration.ofSeconds(1), Set.of(), NOW)
+        .select("models", Optional.empty(), Duration.ofSeconds(1), Set.of(), NOW)
         .orElseThrow()
         .candidates();
   }
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/peer/HolderCallsTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/peer/HolderCallsTests.java
@@ -36,7 +36,7 @@
 
   private final ManualClock clock = new ManualClock();
   private final FakeSharedLog.Port log = new FakeSharedLog().port(HOLDER);
-  private final AccountBook book =
+  private final AccountBook accounts =
       new AccountBook(
           HOLDER,
           customer -> customer.equals(CUSTOMER) ? OptionalLong.of(TOTAL) : OptionalLong.empty(),
@@ -47,7 +47,7 @@
           () -> new ClockReading(0, 0),
           () -> Optional.of(new HeartbeatCount(0, 1)));
   private final FleetLog fleetLog =
-      new FleetLog(log, HOLDER, 1, clock, Duration.ofMillis(300), List.of(book));
+      new FleetLog(log, HOLDER, 1, clock, Duration.ofMillis(300), List.of(accounts));
   private final List<FakeExchange> exchanges = new ArrayList<>();
   private final List<CompletableFuture<HttpAnswer>> calls = new ArrayList<>();
   private final HolderCalls holder = calls();
@@ -87,7 +87,7 @@
    */
   @Test
   void isUnreachableAsAHolderWhileTheInstanceStops() {
-    book.close();
+    accounts.close();
     ask(CUSTOMER, 10);
     run(Duration.ofSeconds(1));
     assertInstanceOf(HolderPort.Answer.Unreachable.class, answers.getFirst());
@@ -127,7 +127,7 @@
   }
 
   private HolderCalls calls() {
-    return new HolderCalls(name -> Optional.of("10.0.0.1:7000"), this::call, book, clock);
+    return new HolderCalls(name -> Optional.of("10.0.0.1:7000"), this::call, accounts, clock);
   }
 
   /** Delivers a call at once. Its answer is passed on when time advances. */
@@ -153,12 +153,12 @@
       clock.advance(Duration.ofMillis(10));
       log.answer();
       fleetLog.tick();
-      book.tick();
-      passOnAnswers();
+      accounts.tick();
+      deliverAnswers();
     }
   }
 
-  private void passOnAnswers() {
+  private void deliverAnswers() {
     for (int i = 0; i < calls.size(); i++) {
       FakeExchange exchange = exchanges.get(i);
       if (exchange.status() != 0) {
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/peer/LargeLoadExchangeTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/peer/LargeLoadExchangeTests.java
@@ -16,10 +16,10 @@
   private static final double PROMPTS_PER_INSTANCE = 3.6;
 
   /** The traffic of control messages allowed per instance at the largest planned fleet size. */
-  private static final long MOST_OCTETS_PER_SECOND = 26_000;
+  private static final long MAX_BYTES_PER_SECOND = 26_000;
 
   /** The time in which a server reads a large prompt: 12,000 tokens at 66 tokens a millisecond. */
-  private static final Duration LARGE_PROMPT = Duration.ofMillis(180);
+  private static final Duration LARGE_PROMPT_READ_TIME = Duration.ofMillis(180);
 
   /** The hops that a load passes from one instance to another; each takes a whole step here. */
   private static final int HOPS = 3;
@@ -37,12 +37,12 @@
   void staysWithinTheControlTrafficLimitOfAnInstance(int size) {
     LoadFleet fleet = new LoadFleet(size, SERVERS);
     fleet.run(WARM_UP, size * PROMPTS_PER_INSTANCE);
-    fleet.forgetCounts();
+    fleet.resetCounts();
     fleet.run(TIME, size * PROMPTS_PER_INSTANCE);
-    long bytes = fleet.instances.stream().mapToLong(each -> each.octets).sum();
+    long bytes = fleet.instances.stream().mapToLong(each -> each.byteCount).sum();
     long each = bytes / size / TIME.toSeconds();
     assertTrue(
-        each <= MOST_OCTETS_PER_SECOND,
+        each <= MAX_BYTES_PER_SECOND,
         "%d bytes a second at each of %d instances".formatted(each, size));
   }
 
@@ -52,22 +52,22 @@
    */
   @Test
   void exchangesNoMoreMessagesPerInstanceInALargerFleet() {
-    long at95 = messagesOfAMember(95);
-    long at300 = messagesOfAMember(300);
+    long at95 = medianMessagesOfAMember(95);
+    long at300 = medianMessagesOfAMember(300);
     assertTrue(
         10 * at300 <= 11 * at95, "%d messages at 95 instances, %d at 300".formatted(at95, at300));
   }
 
   /** The median number of messages of the instances that aren't collectors. */
-  private static long messagesOfAMember(int size) {
+  private static long medianMessagesOfAMember(int size) {
     LoadFleet fleet = new LoadFleet(size, SERVERS);
-    fleet.forgetCounts();
+    fleet.resetCounts();
     fleet.run(TIME, size * PROMPTS_PER_INSTANCE);
     Set<String> collectors = fleet.collectors();
     List<Long> counts =
         fleet.instances.stream()
             .filter(each -> !collectors.contains(each.name))
-            .map(each -> each.messages)
+            .map(each -> each.messageCount)
             .sorted()
             .toList();
     return counts.get(counts.size() / 2);
@@ -81,11 +81,11 @@
   void reachesAllInstancesWithinTheTimeOfALargePrompt() {
     LoadFleet fleet = new LoadFleet(95, SERVERS);
     fleet.instances.getFirst().start(7, PART);
-    fleet.run(LARGE_PROMPT.plus(LoadFleet.STEP.multipliedBy(HOPS)));
+    fleet.run(LARGE_PROMPT_READ_TIME.plus(LoadFleet.STEP.multipliedBy(HOPS)));
     for (LoadFleet.Instance each : fleet.instances.subList(1, 95)) {
-      assertEquals(1, each.othersAt(7), each.name);
+      assertEquals(1, each.peerRequestsAt(7), each.name);
     }
-    assertEquals(0, fleet.instances.getFirst().othersAt(7));
+    assertEquals(0, fleet.instances.getFirst().peerRequestsAt(7));
   }
 
   /** A load must disappear at the other instances after its request has ended. */
@@ -98,7 +98,7 @@
     fleet.run(Duration.ofMillis(100));
     first.endOldest();
     fleet.run(Duration.ofMillis(400));
-    assertEquals(0, fleet.instances.get(50).othersAt(7));
+    assertEquals(0, fleet.instances.get(50).peerRequestsAt(7));
   }
 
   /**
@@ -123,7 +123,7 @@
     fleet.run(Duration.ofMillis(300));
     for (LoadFleet.Instance each : fleet.instances) {
       if (!each.down && each != reporter) {
-        assertEquals(1, each.othersAt(7), each.name);
+        assertEquals(1, each.peerRequestsAt(7), each.name);
       }
     }
   }
@@ -136,7 +136,7 @@
     first.start(7, PART);
     fleet.run(Duration.ofMillis(300));
     for (LoadFleet.Instance each : fleet.instances) {
-      assertTrue(each.cached.holds(first.server(7).incarnation(), PART), each.name);
+      assertTrue(each.cached.contains(first.server(7).incarnation(), PART), each.name);
     }
   }
 }
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/peer/LoadExchangeTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/peer/LoadExchangeTests.java
@@ -20,61 +20,61 @@
 
 class LoadExchangeTests {
   private static final BackendServerId ENGINE = new BackendServerId("i-1");
-  private static final Set<String> BOTH = Set.of("a", "b");
+  private static final Set<String> FLEET = Set.of("a", "b");
   private static final Instant FIRST = Instant.ofEpochMilli(1_700_000_000_000L);
 
   private final ManualClock clock = new ManualClock();
   private final List<byte[]> sent = new ArrayList<>();
-  private final CachedPrompts told = new CachedPrompts();
-  private final CachedPrompts heard = new CachedPrompts();
-  private final ServerDirectory teller = directory();
-  private final LoadExchange telling =
+  private final CachedPrompts senderPrompts = new CachedPrompts();
+  private final CachedPrompts receiverPrompts = new CachedPrompts();
+  private final ServerDirectory senderServers = directory();
+  private final LoadExchange sender =
       new LoadExchange(
           "a",
-          teller,
-          told,
-          () -> BOTH,
+          senderServers,
+          senderPrompts,
+          () -> FLEET,
           name -> Optional.of(name + ":7"),
           (to, message) -> sent.add(message),
           clock);
-  private final ServerDirectory listener = directory();
-  private final LoadExchange hearing =
+  private final ServerDirectory receiverServers = directory();
+  private final LoadExchange receiver =
       new LoadExchange(
           "b",
-          listener,
-          heard,
-          () -> BOTH,
+          receiverServers,
+          receiverPrompts,
+          () -> FLEET,
           name -> Optional.of(name + ":7"),
           (to, message) -> {},
           clock);
 
   @Test
   void sumsUpTheLoadsOfOtherInstances() {
-    teller.find(ENGINE).orElseThrow().started(700);
-    telling.tick();
-    hearing.receive(sent.getFirst());
-    assertEquals(Map.of(ENGINE, new OthersLoad(1, 700)), hearing.others().byServer());
+    senderServers.find(ENGINE).orElseThrow().started(700);
+    sender.tick();
+    receiver.receive(sent.getFirst());
+    assertEquals(Map.of(ENGINE, new PeerLoad(1, 700)), receiver.others().byServer());
   }
 
   @Test
   void ignoresStaleLoads() {
-    teller.find(ENGINE).orElseThrow().started(700);
-    telling.tick();
-    hearing.receive(sent.getFirst());
+    senderServers.find(ENGINE).orElseThrow().started(700);
+    sender.tick();
+    receiver.receive(sent.getFirst());
     clock.advance(Duration.ofSeconds(2));
-    assertEquals(Map.of(), hearing.others().byServer());
+    assertEquals(Map.of(), receiver.others().byServer());
   }
 
   @Test
   void dropsAMessageThatArrivesAfterALaterOne() {
-    teller.find(ENGINE).orElseThrow().started(700);
-    telling.tick();
-    teller.find(ENGINE).orElseThrow().started(300);
+    senderServers.find(ENGINE).orElseThrow().started(700);
+    sender.tick();
+    senderServers.find(ENGINE).orElseThrow().started(300);
     clock.advance(Duration.ofMillis(200));
-    telling.tick();
-    hearing.receive(sent.get(1));
-    hearing.receive(sent.get(0));
-    assertEquals(Map.of(ENGINE, new OthersLoad(2, 1000)), hearing.others().byServer());
+    sender.tick();
+    receiver.receive(sent.get(1));
+    receiver.receive(sent.get(0));
+    assertEquals(Map.of(ENGINE, new PeerLoad(2, 1000)), receiver.others().byServer());
   }
 
   /**
@@ -84,47 +84,52 @@
    */
   @Test
   void ignoresLoadAtAnEarlierIncarnationOfAServer() {
-    teller.put(listing(Optional.of(FIRST)));
-    listener.put(listing(Optional.of(FIRST.plusMillis(1))));
-    teller.find(ENGINE).orElseThrow().started(700);
-    telling.tick();
-    hearing.receive(sent.getFirst());
-    assertEquals(Map.of(), hearing.others().byServer());
+    senderServers.put(listing(Optional.of(FIRST)));
+    receiverServers.put(listing(Optional.of(FIRST.plusMillis(1))));
+    senderServers.find(ENGINE).orElseThrow().started(700);
+    sender.tick();
+    receiver.receive(sent.getFirst());
+    assertEquals(Map.of(), receiver.others().byServer());
 
-    teller.put(listing(Optional.of(FIRST.plusMillis(1))));
-    teller.find(ENGINE).orElseThrow().started(300);
+    senderServers.put(listing(Optional.of(FIRST.plusMillis(1))));
+    senderServers.find(ENGINE).orElseThrow().started(300);
     clock.advance(Duration.ofMillis(200));
-    telling.tick();
-    hearing.receive(sent.getLast());
-    assertEquals(Map.of(ENGINE, new OthersLoad(1, 300)), hearing.others().byServer());
+    sender.tick();
+    receiver.receive(sent.getLast());
+    assertEquals(Map.of(ENGINE, new PeerLoad(1, 300)), receiver.others().byServer());
   }
 
   /** Each prompt part is repeated, so that it arrives even if one message is lost. */
   @Test
   void repeatsAPromptPartThatWasSentToAServer() {
-    BackendServer server = teller.find(ENGINE).orElseThrow();
+    BackendServer server = senderServers.find(ENGINE).orElseThrow();
     server.started(700);
-    told.onSent(server.incarnation(), List.of("subject"), clock.instant());
-    telling.tick();
+    senderPrompts.onSent(server.incarnation(), List.of("subject"), clock.instant());
+    sender.tick();
     clock.advance(Duration.ofMillis(120));
-    telling.tick();
-    hearing.receive(sent.getLast());
-    assertTrue(heard.holds(listener.find(ENGINE).orElseThrow().incarnation(), "subject"));
+    sender.tick();
+    receiver.receive(sent.getLast());
+    assertTrue(
+        receiverPrompts.contains(
+            receiverServers.find(ENGINE).orElseThrow().incarnation(), "subject"));
   }
 
   /** An instance that has just started must know the cache contents from before its start. */
   @Test
   void transfersCacheContentsToAStartingInstance() {
-    told.onSent(teller.find(ENGINE).orElseThrow().incarnation(), List.of("subject"), FIRST);
-    hearing.learnCachedPrompts(telling.cachedPrompts());
-    assertTrue(heard.holds(listener.find(ENGINE).orElseThrow().incarnation(), "subject"));
+    senderPrompts.onSent(
+        senderServers.find(ENGINE).orElseThrow().incarnation(), List.of("subject"), FIRST);
+    receiver.mergeCachedPrompts(sender.cachedPrompts());
+    assertTrue(
+        receiverPrompts.contains(
+            receiverServers.find(ENGINE).orElseThrow().incarnation(), "subject"));
   }
 
   @Test
   void ignoresMessagesThatCannotBeDecoded() {
-    hearing.receive(new byte[] {9, 9, 9});
-    hearing.receive(new byte[0]);
-    assertEquals(Map.of(), hearing.others().byServer());
+    receiver.receive(new byte[] {9, 9, 9});
+    receiver.receive(new byte[0]);
+    assertEquals(Map.of(), receiver.others().byServer());
   }
 
   private static ServerDirectory directory() {
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/peer/LoadFleet.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/peer/LoadFleet.java
@@ -30,9 +30,9 @@
    * The number of different shared prompt parts, and the number of servers that each of them is
    * sent to.
    */
-  private static final int SUBJECTS = 2_000;
+  private static final int SHARED_PARTS = 2_000;
 
-  private static final int HOMES = 3;
+  private static final int SERVERS_PER_PART = 3;
 
   private record Datagram(String to, byte[] message) {}
 
@@ -44,8 +44,8 @@
     final LoadExchange exchange;
     private final Queue<BackendServer> running = new ArrayDeque<>();
     boolean down;
-    long messages;
-    long octets;
+    long messageCount;
+    long byteCount;
 
     private Instance(String name, int serverCount) {
       this.name = name;
@@ -58,12 +58,12 @@
 
     private void send(String to, byte[] message) {
       count(message);
-      onTheWay.add(new Datagram(to, message));
+      inTransit.add(new Datagram(to, message));
     }
 
     private void count(byte[] message) {
-      messages++;
-      octets += message.length;
+      messageCount++;
+      byteCount += message.length;
     }
 
     private void receive(byte[] message) {
@@ -76,7 +76,7 @@
     }
 
     /** The number of requests that the other instances have at a server, as this one knows it. */
-    int othersAt(int index) {
+    int peerRequestsAt(int index) {
       return exchange.others().at(id(index)).running();
     }
 
@@ -90,8 +90,8 @@
 
     void endOldest() {
       BackendServer server = running.remove();
-      server.promptRead(PROMPT_TOKENS);
-      server.ended();
+      server.onPromptRead(PROMPT_TOKENS);
+      server.onRequestEnded();
     }
   }
 
@@ -99,7 +99,7 @@
   final List<Instance> instances = new ArrayList<>();
   private final Set<String> names;
   private final Map<String, Instance> byName = new HashMap<>();
-  private final List<Datagram> onTheWay = new ArrayList<>();
+  private final List<Datagram> inTransit = new ArrayList<>();
   private final Random random = new Random(5);
 
   LoadFleet(int size, int serverCount) {
@@ -133,8 +133,8 @@
       int due = (int) perStep + (random.nextDouble() < perStep % 1 ? 1 : 0);
       for (int i = 0; i < due; i++) {
         Instance instance = instances.get(random.nextInt(instances.size()));
-        int part = random.nextInt(SUBJECTS);
-        int server = (part + random.nextInt(HOMES)) % instance.servers.all().size();
+        int part = random.nextInt(SHARED_PARTS);
+        int server = (part + random.nextInt(SERVERS_PER_PART)) % instance.servers.all().size();
         instance.start(server, "subject-" + part);
       }
       instances.forEach(this::endSome);
@@ -150,8 +150,8 @@
   }
 
   private void deliver() {
-    List<Datagram> due = List.copyOf(onTheWay);
-    onTheWay.clear();
+    List<Datagram> due = List.copyOf(inTransit);
+    inTransit.clear();
     for (Datagram each : due) {
       Instance to = byName.get(each.to());
       if (to != null && !to.down) {
@@ -160,10 +160,10 @@
     }
   }
 
-  void forgetCounts() {
+  void resetCounts() {
     for (Instance each : instances) {
-      each.messages = 0;
-      each.octets = 0;
+      each.messageCount = 0;
+      each.byteCount = 0;
     }
   }
 
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/peer/LoadNewsTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/peer/LoadMessageTests.java
@@ -17,23 +17,23 @@
 import org.teaseldeal.gateway.server.CachedPrompts;
 import org.teaseldeal.gateway.server.ServerDirectory;
 
-class LoadNewsTests {
-  private static final LoadNews NEWS =
-      new LoadNews(
-          LoadNews.Scope.GROUP,
+class LoadMessageTests {
+  private static final LoadMessage MESSAGE =
+      new LoadMessage(
+          LoadMessage.Scope.GROUP,
           "front-7",
           1_700_000_000_000L << 16,
           true,
           List.of(
-              new LoadNews.ServerLoad(-5, 0, 0),
-              new LoadNews.ServerLoad(Integer.MAX_VALUE, 300, 4_000_000_000L)),
-          List.of(new LoadNews.SentPart(-5, Long.MIN_VALUE)));
+              new LoadMessage.ServerLoad(-5, 0, 0),
+              new LoadMessage.ServerLoad(Integer.MAX_VALUE, 300, 4_000_000_000L)),
+          List.of(new LoadMessage.SentPart(-5, Long.MIN_VALUE)));
 
-  private static final int FUZZED = 20_000;
+  private static final int FUZZED_MESSAGES = 20_000;
 
   @Test
   void decodesWhatWasEncoded() {
-    assertEquals(NEWS, LoadNews.decode(NEWS.encode()));
+    assertEquals(MESSAGE, LoadMessage.decode(MESSAGE.encode()));
   }
 
   /**
@@ -41,24 +41,24 @@
    */
   @Test
   void rejectsATruncatedOrExtendedMessage() {
-    byte[] complete = NEWS.encode();
+    byte[] complete = MESSAGE.encode();
     for (int length = 0; length < complete.length; length++) {
       byte[] truncated = Arrays.copyOf(complete, length);
-      assertThrows(IllegalArgumentException.class, () -> LoadNews.decode(truncated));
+      assertThrows(IllegalArgumentException.class, () -> LoadMessage.decode(truncated));
     }
     byte[] longer = Arrays.copyOf(complete, complete.length + 1);
-    assertThrows(IllegalArgumentException.class, () -> LoadNews.decode(longer));
+    assertThrows(IllegalArgumentException.class, () -> LoadMessage.decode(longer));
   }
 
   /** An instance of another version may run beside this one during a rolling restart. */
   @Test
   void rejectsAnotherLayoutAndAnUnknownScope() {
-    byte[] otherLayout = NEWS.encode();
+    byte[] otherLayout = MESSAGE.encode();
     otherLayout[0]++;
-    assertThrows(IllegalArgumentException.class, () -> LoadNews.decode(otherLayout));
-    byte[] otherScope = NEWS.encode();
+    assertThrows(IllegalArgumentException.class, () -> LoadMessage.decode(otherLayout));
+    byte[] otherScope = MESSAGE.encode();
     otherScope[1] = 9;
-    assertThrows(IllegalArgumentException.class, () -> LoadNews.decode(otherScope));
+    assertThrows(IllegalArgumentException.class, () -> LoadMessage.decode(otherScope));
   }
 
   /** A forged datagram must neither end the instance nor go uncounted. */
@@ -74,14 +74,15 @@
             (to, message) -> {},
             new ManualClock());
     Random random = new Random(11);
-    for (int i = 0; i < FUZZED; i++) {
-      byte[] forged = NEWS.encode();
+    for (int i = 0; i < FUZZED_MESSAGES; i++) {
+      byte[] forged = MESSAGE.encode();
       for (int changes = random.nextInt(1, 5); changes > 0; changes--) {
         forged[random.nextInt(forged.length)] = (byte) random.nextInt();
       }
       exchange.receive(Arrays.copyOf(forged, random.nextInt(forged.length + 1)));
     }
-    assertTrue(exchange.messagesDropped() > FUZZED / 2, "dropped " + exchange.messagesDropped());
+    assertTrue(
+        exchange.messagesDropped() > FUZZED_MESSAGES / 2, "dropped " + exchange.messagesDropped());
     assertEquals(FleetLoad.NONE.byServer(), exchange.others().byServer());
   }
 
@@ -91,12 +92,14 @@
    */
   @Test
   void acceptsLowerSequenceNumbersFromASilentSender() {
-    HeardLoads loads = new HeardLoads(Duration.ofSeconds(1));
+    ReceivedLoads loads = new ReceivedLoads(Duration.ofSeconds(1));
     Instant now = Instant.EPOCH;
-    LoadNews later = new LoadNews(LoadNews.Scope.GROUP, "b", 9, true, List.of(), List.of());
-    LoadNews lower = new LoadNews(LoadNews.Scope.GROUP, "b", 3, true, List.of(), List.of());
-    assertTrue(loads.hear(later, now));
-    assertFalse(loads.hear(lower, now));
-    assertTrue(loads.hear(lower, now.plusSeconds(2)));
+    LoadMessage later =
+        new LoadMessage(LoadMessage.Scope.GROUP, "b", 9, true, List.of(), List.of());
+    LoadMessage lower =
+        new LoadMessage(LoadMessage.Scope.GROUP, "b", 3, true, List.of(), List.of());
+    assertTrue(loads.receive(later, now));
+    assertFalse(loads.receive(lower, now));
+    assertTrue(loads.receive(lower, now.plusSeconds(2)));
   }
 }
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/quarantine/RequestQuarantineTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/quarantine/RequestQuarantineTests.java
@@ -36,15 +36,15 @@
   @Test
   void quarantinesARequestThatCrashedServersOfThreeInstances() {
     for (int i = 0; i < 3; i++) {
-      assertFalse(fleet.get(i).holds(REQUEST), "quarantined after %d crashes".formatted(i));
-      fleet.get(i).onBrokenOff(REQUEST, server(i));
-      fleet.get(i).onBrokenOff("beside " + i, server(i));
+      assertFalse(fleet.get(i).isQuarantined(REQUEST), "quarantined after %d crashes".formatted(i));
+      fleet.get(i).onConnectionLost(REQUEST, server(i));
+      fleet.get(i).onConnectionLost("beside " + i, server(i));
       fleet.get(i).onUnreachable(server(i));
       exchangeNotes();
     }
     for (RequestQuarantine each : fleet) {
-      assertTrue(each.holds(REQUEST), "not quarantined after three crashes");
-      assertFalse(each.holds("beside 1"), "a request that ran beside it is quarantined");
+      assertTrue(each.isQuarantined(REQUEST), "not quarantined after three crashes");
+      assertFalse(each.isQuarantined("beside 1"), "a request that ran beside it is quarantined");
     }
     assertEquals(
         List.of(new GatewayEvent.RequestQuarantined(REQUEST, server(2).id().name())), events);
@@ -57,12 +57,12 @@
   @Test
   void ignoresBrokenConnectionsOfAServerThatKeepsRunning() {
     for (int i = 0; i < 4; i++) {
-      fleet.getFirst().onBrokenOff(REQUEST, server(i));
+      fleet.getFirst().onConnectionLost(REQUEST, server(i));
     }
     clock.advance(Duration.ofSeconds(7));
     fleet.getFirst().tick();
     fleet.getFirst().onUnreachable(server(0));
-    assertFalse(fleet.getFirst().active(), "a lost answer was counted as a crash");
+    assertFalse(fleet.getFirst().hasCounts(), "a lost answer was counted as a crash");
   }
 
   /**
@@ -74,9 +74,9 @@
     ServerIncarnation earlier = new ServerIncarnation(server(0).id(), Optional.of(Instant.EPOCH));
     ServerIncarnation later =
         new ServerIncarnation(server(0).id(), Optional.of(Instant.EPOCH.plusMillis(1)));
-    fleet.getFirst().onBrokenOff(REQUEST, later);
+    fleet.getFirst().onConnectionLost(REQUEST, later);
     fleet.getFirst().onUnreachable(earlier);
-    assertFalse(fleet.getFirst().active(), "a lost answer was counted as a crash");
+    assertFalse(fleet.getFirst().hasCounts(), "a lost answer was counted as a crash");
   }
 
   /** The crash of a server that gets no further connections shows by its removal from the list. */
@@ -84,42 +84,42 @@
   void countsCrashesOfServersThatAreGoneFromTheList() {
     RequestQuarantine one = fleet.getFirst();
     for (int i = 0; i < 3; i++) {
-      one.onBrokenOff(REQUEST, server(i));
+      one.onConnectionLost(REQUEST, server(i));
       listed.remove(server(i));
       one.tick();
     }
-    assertTrue(one.holds(REQUEST), "not quarantined after three crashes");
+    assertTrue(one.isQuarantined(REQUEST), "not quarantined after three crashes");
   }
 
   @Test
   void resetsTheCountWhenTheRequestIsAnswered() {
     RequestQuarantine one = fleet.getFirst();
     for (int i = 0; i < 4; i++) {
-      one.onBrokenOff(REQUEST, server(i));
+      one.onConnectionLost(REQUEST, server(i));
       one.onUnreachable(server(i));
       if (i == 1) {
         one.onAnswered(REQUEST);
       }
     }
-    assertFalse(one.holds(REQUEST), "quarantined despite an answer between the crashes");
+    assertFalse(one.isQuarantined(REQUEST), "quarantined despite an answer between the crashes");
   }
 
   @Test
   void keepsTheCountOverARestartAndDropsItAfterTheRetentionTime() {
     for (int i = 0; i < 3; i++) {
-      fleet.getFirst().onBrokenOff(REQUEST, server(i));
+      fleet.getFirst().onConnectionLost(REQUEST, server(i));
       fleet.getFirst().onUnreachable(server(i));
     }
     RequestQuarantine successor = quarantine("a");
     successor.onLoaded(fleet.getFirst().notesToWrite(clock.instant()), true);
-    assertTrue(successor.holds(REQUEST), "a restart forgot the crashes");
+    assertTrue(successor.isQuarantined(REQUEST), "a restart forgot the crashes");
 
     clock.advance(Duration.ofMinutes(4));
     fleet.getFirst().tick();
     assertEquals(
         List.of(new SharedNote.Crash("a", REQUEST, 0)),
         fleet.getFirst().notesToWrite(clock.instant()));
-    assertFalse(fleet.getFirst().active(), "still counted after the retention time");
+    assertFalse(fleet.getFirst().hasCounts(), "still counted after the retention time");
   }
 
   /**
@@ -130,11 +130,11 @@
   void dropsACountThatItsInstanceNeverCancels() {
     RequestQuarantine one = fleet.getFirst();
     one.onNote(new SharedNote.Crash("nobody", REQUEST, 1_000), false);
-    assertTrue(one.holds(REQUEST), "the count of another instance is ignored");
+    assertTrue(one.isQuarantined(REQUEST), "the count of another instance is ignored");
     clock.advance(Duration.ofMinutes(5));
     one.tick();
-    assertFalse(one.holds(REQUEST), "quarantined forever");
-    assertFalse(one.active(), "still counted after the retention time");
+    assertFalse(one.isQuarantined(REQUEST), "quarantined forever");
+    assertFalse(one.hasCounts(), "still counted after the retention time");
   }
 
   /** A note that is read again after a gap in the log keeps its age. */
@@ -147,7 +147,7 @@
     one.onLoaded(List.of(note), false);
     clock.advance(Duration.ofMinutes(2));
     one.tick();
-    assertFalse(one.holds(REQUEST), "quarantined forever");
+    assertFalse(one.isQuarantined(REQUEST), "quarantined forever");
   }
 
   private RequestQuarantine quarantine(String instance) {
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/server/CachedPromptsTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/server/CachedPromptsTests.java
@@ -19,22 +19,22 @@
   @Test
   void containsThePartsThatWereSent() {
     cached.onSent(FIRST, List.of("a", "b"), NOW);
-    assertTrue(cached.holds(FIRST, "a"));
-    assertFalse(cached.holds(FIRST, "c"));
+    assertTrue(cached.contains(FIRST, "a"));
+    assertFalse(cached.contains(FIRST, "c"));
   }
 
   /** A restarted server has an empty cache. */
   @Test
   void containsNoPartsOfALaterIncarnation() {
     cached.onSent(FIRST, List.of("a"), NOW);
-    assertFalse(cached.holds(incarnation(NOW.plusMillis(1)), "a"));
+    assertFalse(cached.contains(incarnation(NOW.plusMillis(1)), "a"));
   }
 
   @Test
   void removesThePartsOfAPromptThatWasNotRun() {
     cached.onSent(FIRST, List.of("a"), NOW);
     cached.onNotRun(FIRST, List.of("a"));
-    assertFalse(cached.holds(FIRST, "a"));
+    assertFalse(cached.contains(FIRST, "a"));
   }
 
   @Test
@@ -51,8 +51,8 @@
     for (int i = 0; i < 50_000; i++) {
       cached.onSent(FIRST, List.of("subject-" + i), NOW);
     }
-    assertFalse(cached.holds(FIRST, "subject-0"));
-    assertTrue(cached.holds(FIRST, "subject-49999"));
+    assertFalse(cached.contains(FIRST, "subject-0"));
+    assertTrue(cached.contains(FIRST, "subject-49999"));
   }
 
   private static ServerIncarnation incarnation(Instant start) {
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/server/ServerDirectoryTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/server/ServerDirectoryTests.java
@@ -75,7 +75,7 @@
     List<BackendServer> replaced = new ArrayList<>();
     directory.onReplaced(replaced::add);
     crashed.started(700);
-    crashed.avoidUntil(Instant.MAX);
+    crashed.excludeUntil(Instant.MAX);
     directory.put(
         new ServerListing(
             new BackendServerId("c"),
@@ -91,10 +91,10 @@
     assertEquals(32, restarted.places());
     assertEquals(0, restarted.running());
     assertEquals(0, restarted.promptTokensAhead());
-    assertFalse(restarted.avoided(BACK), "the earlier incarnation's exclusion still applies");
+    assertFalse(restarted.isExcluded(BACK), "the earlier incarnation's exclusion still applies");
     assertEquals(List.of("c"), ready("desk"));
     assertEquals(List.of("a", "b"), ready("models"));
-    crashed.ended();
+    crashed.onRequestEnded();
     assertEquals(0, restarted.running());
     assertEquals(List.of(crashed), replaced);
   }
