--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/Attempt.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/Attempt.java
@@ -168,9 +168,9 @@
     }
   }
 
-  private void fail(AttemptFailure end, String detail) {
+  private void fail(AttemptFailure reason, String detail) {
     markEnded();
-    flow.onAttemptFailed(this, end, detail);
+    flow.onAttemptFailed(this, reason, detail);
   }
 
   private void markEnded() {
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/LoadExchange.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/LoadExchange.java
@@ -203,6 +203,7 @@
     }
   }
 
+  /** Sends the changed loads of this collector's group to the other collectors. */
   private void sendToCollectors(boolean complete, Instant now) {
     LoadSums group = ownLoads();
     memberLoads.addTo(group, now);
@@ -219,6 +220,7 @@
     collectors.otherCollectors().forEach(name -> send(name, message));
   }
 
+  /** Sends to each instance of this collector's group the loads of all instances but that one. */
   private void sendToGroup(boolean complete, Instant now) {
     List<String> members = memberLoads.sendersSince(now.minus(MEMBER_RETENTION));
     if (members.isEmpty()) {
@@ -320,6 +322,7 @@
     keepForForwarding(received, now);
   }
 
+  /** Keeps prompt parts that a collector has to forward to its group or to other collectors. */
   private void keepForForwarding(LoadMessage received, Instant now) {
     switch (received.scope()) {
       case INSTANCE -> received.sentParts().forEach(part -> groupParts.add(part, now));
@@ -328,8 +331,8 @@
     }
   }
 
-  private List<LoadMessage.SentPart> sentParts(List<CachedPrompts.CachedPart> copies) {
-    return copies.stream()
+  private List<LoadMessage.SentPart> sentParts(List<CachedPrompts.CachedPart> cachedParts) {
+    return cachedParts.stream()
         .map(
             cachedPart ->
                 new LoadMessage.SentPart(hash(cachedPart.server()), cachedPart.partHash()))
@@ -371,6 +374,10 @@
         sums, lastReceivedAt == null ? Duration.ZERO : Duration.between(lastReceivedAt, now));
   }
 
+  /**
+   * Sums the loads of the other instances by server. An instance that isn't a collector uses the
+   * sums that its collector has sent, if there are recent ones.
+   */
   private Map<BackendServerId, PeerLoad> sumByServer(Instant now) {
     LoadSums total = new LoadSums();
     boolean collected =
