--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/metrics/GatewayMetrics.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/metrics/GatewayMetrics.java
@@ -52,7 +52,7 @@
     switch (event) {
       case GatewayEvent.Placed placed -> count(placed.attempt() == 1 ? "sends" : "repeats");
       case GatewayEvent.AttemptFailed failed -> count("attempts_failed_", failed.failure());
-      case GatewayEvent.RequestEnded ended -> onEnded(ended);
+      case GatewayEvent.RequestEnded ended -> onRequestEnded(ended);
       case GatewayEvent.WaitsForTokens waiting -> count("requests_that_waited_for_tokens");
       case GatewayEvent.PlanInForce plan -> planVersion.set(plan.version());
       case GatewayEvent.PlanUnreadable unreadable -> count("plans_unreadable");
@@ -91,7 +91,7 @@
     registry.gauge(name, () -> value);
   }
 
-  private void onEnded(GatewayEvent.RequestEnded ended) {
+  private void onRequestEnded(GatewayEvent.RequestEnded ended) {
     count("requests_ended_", ended.outcome());
     requestDuration.update(ended.took().toNanos() / 1_000);
     tokenWait.update(ended.waited().toNanos() / 1_000);
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/CachedPromptsCalls.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/CachedPromptsCalls.java
@@ -41,7 +41,7 @@
   private final InstantSource clock;
   private final Instant giveUpAt;
   private int nextIndex;
-  private boolean asking;
+  private boolean requestInFlight;
   private boolean finished;
 
   /**
@@ -70,14 +70,14 @@
    */
   public void tick(boolean ready) {
     List<String> addresses = others.get();
-    if (finished || asking || !ready || addresses.isEmpty()) {
+    if (finished || requestInFlight || !ready || addresses.isEmpty()) {
       return;
     }
     if (clock.instant().isAfter(giveUpAt)) {
       finished = true;
       return;
     }
-    asking = true;
+    requestInFlight = true;
     String address = addresses.get(Math.floorMod(nextIndex++, addresses.size()));
     caller
         .call(new HttpCallRequest(address, "GET", PATH, Map.of(), new byte[0], TIMEOUT))
@@ -85,7 +85,7 @@
   }
 
   private void onAnswer(@Nullable HttpAnswer answer, @Nullable Throwable failure) {
-    asking = false;
+    requestInFlight = false;
     if (failure != null || answer == null || answer.status() != OK) {
       return;
     }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/LoadExchange.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/LoadExchange.java
@@ -85,8 +85,8 @@
   private final LoadChanges allChanges = new LoadChanges();
   private final Map<Integer, BackendServer> serversByHash = new HashMap<>();
   private long hashedChanges = -1;
-  private Map<BackendServerId, PeerLoad> sums = Map.of();
-  private Instant sumsUntil = Instant.MIN;
+  private Map<BackendServerId, PeerLoad> sumsByServer = Map.of();
+  private Instant sumsValidUntil = Instant.MIN;
   private @Nullable Instant lastReceivedAt;
   private Instant nextMessageAt = Instant.MIN;
   private Instant nextToGroupAt = Instant.MIN;
@@ -211,7 +211,7 @@
     Instant since = repeatedSince(now, collectors.interval());
     Set<Integer> changed = groupChanges.changedSince(since);
     List<LoadMessage.SentPart> parts = new ArrayList<>(ownParts(since));
-    parts.addAll(groupParts.since(since));
+    parts.addAll(groupParts.addedSince(since));
     if (!complete && changed.isEmpty() && parts.isEmpty()) {
       return;
     }
@@ -232,8 +232,8 @@
     allChanges.update(all.asMap(), now);
     Set<Integer> changed = allChanges.changedSince(repeatedSince(now, GROUP_INTERVAL));
     List<LoadMessage.SentPart> parts = new ArrayList<>(ownParts(lastToGroupAt));
-    parts.addAll(groupParts.since(lastToGroupAt));
-    parts.addAll(otherGroupsParts.since(lastToGroupAt));
+    parts.addAll(groupParts.addedSince(lastToGroupAt));
+    parts.addAll(otherGroupsParts.addedSince(lastToGroupAt));
     lastToGroupAt = now;
     Set<Integer> included = complete ? all.asMap().keySet() : changed;
     for (String member : members) {
@@ -313,7 +313,7 @@
         };
     if (accepted) {
       lastReceivedAt = now;
-      sumsUntil = Instant.MIN;
+      sumsValidUntil = Instant.MIN;
       if (received.scope() == LoadMessage.Scope.OTHERS) {
         collectors.onReceived(received.sender(), now);
       }
@@ -358,7 +358,7 @@
       hashedChanges = servers.changes();
       serversByHash.clear();
       servers.all().forEach(each -> serversByHash.put(hash(each.incarnation()), each));
-      sumsUntil = Instant.MIN;
+      sumsValidUntil = Instant.MIN;
     }
   }
 
@@ -366,12 +366,13 @@
   public FleetLoad others() {
     Instant now = clock.instant();
     refreshServerHashes();
-    if (!now.isBefore(sumsUntil)) {
-      sums = sumByServer(now);
-      sumsUntil = now.plus(SUMS_MAX_AGE);
+    if (!now.isBefore(sumsValidUntil)) {
+      sumsByServer = sumByServer(now);
+      sumsValidUntil = now.plus(SUMS_MAX_AGE);
     }
     return new FleetLoad(
-        sums, lastReceivedAt == null ? Duration.ZERO : Duration.between(lastReceivedAt, now));
+        sumsByServer,
+        lastReceivedAt == null ? Duration.ZERO : Duration.between(lastReceivedAt, now));
   }
 
   /**
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/RecentSentParts.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/RecentSentParts.java
@@ -39,7 +39,7 @@
   }
 
   /** The parts that were added at or after {@code earliest}. */
-  List<LoadMessage.SentPart> since(Instant earliest) {
+  List<LoadMessage.SentPart> addedSince(Instant earliest) {
     return entries.stream()
         .filter(entry -> !entry.addedAt().isBefore(earliest))
         .map(Entry::part)
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/quarantine/RequestQuarantine.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/quarantine/RequestQuarantine.java
@@ -109,7 +109,7 @@
 
   /** Records that a server can't be connected to: connections that broke there count as crashes. */
   public void onUnreachable(ServerIncarnation server) {
-    confirm(suspect -> suspect.server().equals(server));
+    confirmCrashes(suspect -> suspect.server().equals(server));
   }
 
   /** Resets this instance's count of a request that a server has answered. */
@@ -129,7 +129,7 @@
     if (suspects.isEmpty() && !hasCounts()) {
       return;
     }
-    confirm(suspect -> !listed.test(suspect.server()));
+    confirmCrashes(suspect -> !listed.test(suspect.server()));
     Instant now = clock.instant();
     expirePeerCounts(now);
     suspects.removeIf(suspect -> suspect.lostAt().plus(PROOF_TIMEOUT).isBefore(now));
@@ -225,7 +225,7 @@
         .put(crash.instance(), current);
   }
 
-  private void confirm(Predicate<Suspect> crashed) {
+  private void confirmCrashes(Predicate<Suspect> crashed) {
     Iterator<Suspect> each = suspects.iterator();
     while (each.hasNext()) {
       Suspect suspect = each.next();
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/fake/FakeDialect.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/fake/FakeDialect.java
@@ -16,7 +16,7 @@
 /** A dialect that accepts every request, for one host, and treats every answer as genuine. */
 public final class FakeDialect implements Dialect {
   /** The status of an answer from a server other than the intended one. */
-  private static final int OTHER_SERVER = 421;
+  private static final int OTHER_SERVER_STATUS = 421;
 
   /** The host of all requests. */
   public static final String HOST = "desk.example";
@@ -59,7 +59,7 @@
 
   @Override
   public AnswerVerdict verdict(int status, Map<String, String> headers) {
-    return status == OTHER_SERVER ? AnswerVerdict.OTHER_SERVER : AnswerVerdict.GENUINE;
+    return status == OTHER_SERVER_STATUS ? AnswerVerdict.OTHER_SERVER : AnswerVerdict.GENUINE;
   }
 
   @Override
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/RestartedServerTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/RestartedServerTests.java
@@ -12,7 +12,7 @@
 class RestartedServerTests {
   private static final String OLD_ADDRESS = "10.0.0.1:80";
   private static final String NEW_ADDRESS = "10.0.0.2:80";
-  private static final Instant FIRST = Instant.ofEpochMilli(1_700_000_000_000L);
+  private static final Instant FIRST_START = Instant.ofEpochMilli(1_700_000_000_000L);
 
   private final GatewayFixture gateway = new GatewayFixture();
 
@@ -24,9 +24,9 @@
    */
   @Test
   void countsALostAnswerForTheIncarnationThatHadTheRequest() {
-    gateway.list("i-1", OLD_ADDRESS, FIRST);
+    gateway.list("i-1", OLD_ADDRESS, FIRST_START);
     FakeExchange lost = gateway.call(GatewayFixture.ONCE_PATH);
-    gateway.list("i-1", NEW_ADDRESS, FIRST.plusMillis(1));
+    gateway.list("i-1", NEW_ADDRESS, FIRST_START.plusMillis(1));
     FakeExchange served = gateway.call(GatewayFixture.ONCE_PATH);
     assertEquals(1, gateway.server("i-1").running());
     gateway.sent.get(0).loseAnswer();
@@ -44,9 +44,9 @@
    */
   @Test
   void sendsARepeatableRequestAgainToTheNextIncarnation() {
-    gateway.list("i-1", OLD_ADDRESS, FIRST);
+    gateway.list("i-1", OLD_ADDRESS, FIRST_START);
     FakeExchange exchange = gateway.call(GatewayFixture.REPEATABLE_PATH);
-    gateway.list("i-1", NEW_ADDRESS, FIRST.plusMillis(1));
+    gateway.list("i-1", NEW_ADDRESS, FIRST_START.plusMillis(1));
     gateway.sent.get(0).loseAnswer();
     gateway.sent.get(1).answer();
     assertEquals(NEW_ADDRESS, gateway.sent.get(1).address());
@@ -61,12 +61,12 @@
   @Test
   void quarantinesARequestThatCrashedAServerWhichRestartsUnderItsId() {
     for (int crash = 0; crash < 3; crash++) {
-      gateway.list("i-1", NEW_ADDRESS, FIRST.plusMillis(crash));
+      gateway.list("i-1", NEW_ADDRESS, FIRST_START.plusMillis(crash));
       FakeExchange exchange = gateway.call(GatewayFixture.ONCE_PATH);
       gateway.sent.getLast().loseAnswer();
       assertEquals(502, exchange.status());
     }
-    gateway.list("i-1", NEW_ADDRESS, FIRST.plusMillis(3));
+    gateway.list("i-1", NEW_ADDRESS, FIRST_START.plusMillis(3));
     assertEquals(422, gateway.call(GatewayFixture.ONCE_PATH).status());
   }
 
@@ -77,8 +77,8 @@
    */
   @Test
   void usesAServerAgainSomeTimeAfterAnotherAnsweredAtItsAddress() {
-    gateway.list("i-1", OLD_ADDRESS, FIRST);
-    gateway.list("i-2", NEW_ADDRESS, FIRST);
+    gateway.list("i-1", OLD_ADDRESS, FIRST_START);
+    gateway.list("i-2", NEW_ADDRESS, FIRST_START);
     FakeExchange moved = gateway.call(GatewayFixture.REPEATABLE_PATH);
     String address = gateway.sent.get(0).address();
     gateway.sent.get(0).answer(421);
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/ServerSelectorTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/ServerSelectorTests.java
@@ -23,7 +23,7 @@
   private static final int MANY_FAILURES = 6;
 
   private final ServerDirectory servers = new ServerDirectory();
-  private final ServerSelector choice =
+  private final ServerSelector selector =
       new ServerSelector(servers, () -> FleetLoad.NONE, new CachedPrompts(), new Random(1));
 
   @BeforeEach
@@ -31,14 +31,14 @@
     for (String id : new String[] {"a", "b", "c"}) {
       servers.put(listing(id, NOW));
     }
-    choice.tick(NOW);
+    selector.tick(NOW);
   }
 
   /** An ejected server that restarts under its id can be chosen again at once. */
   @Test
   void resetsTheHealthOfARestartedServer() {
     fail(find("a"));
-    choice.tick(NOW);
+    selector.tick(NOW);
     assertEquals(2, candidates());
     servers.put(listing("a", NOW.plusMillis(1)));
     assertEquals(3, candidates());
@@ -52,9 +52,9 @@
   void ignoresFailuresOfAnEarlierIncarnation() {
     BackendServer crashed = find("a");
     servers.put(listing("a", NOW.plusMillis(1)));
-    choice.tick(NOW);
+    selector.tick(NOW);
     fail(crashed);
-    choice.tick(NOW);
+    selector.tick(NOW);
     assertEquals(3, candidates());
   }
 
@@ -69,19 +69,19 @@
     }
     fail(find("a"));
     servers.remove(new BackendServerId("a"));
-    choice.tick(NOW);
+    selector.tick(NOW);
     list();
     assertEquals(3, candidates());
   }
 
   private void fail(BackendServer server) {
     for (int i = 0; i < MANY_FAILURES; i++) {
-      choice.onFailed(server);
+      selector.onFailed(server);
     }
   }
 
   private int candidates() {
-    return choice
+    return selector
         .select("models", Optional.empty(), Duration.ofSeconds(1), Set.of(), NOW)
         .orElseThrow()
         .candidates();
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/peer/HolderCallsTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/peer/HolderCallsTests.java
@@ -31,7 +31,7 @@
   private static final Set<String> FLEET = Set.of(HOLDER);
   private static final String CUSTOMER = "trawler";
   private static final long TOTAL = 1_000_000;
-  private static final Duration WAIT = Duration.ofMillis(600);
+  private static final Duration MAX_WAIT = Duration.ofMillis(600);
   private static final Duration DEADLINE = Duration.ofSeconds(10);
 
   private final ManualClock clock = new ManualClock();
@@ -51,7 +51,7 @@
   private final List<FakeExchange> exchanges = new ArrayList<>();
   private final List<CompletableFuture<HttpAnswer>> calls = new ArrayList<>();
   private final HolderCalls holder = calls();
-  private final HolderCalls asker = calls();
+  private final HolderCalls requester = calls();
   private final List<HolderPort.Answer> answers = new ArrayList<>();
 
   @Test
@@ -74,7 +74,7 @@
   void grantsReturnedTokensAgain() {
     ask(CUSTOMER, TOTAL);
     run(Duration.ofSeconds(1));
-    asker.giveBack(HOLDER, CUSTOMER, TOTAL);
+    requester.giveBack(HOLDER, CUSTOMER, TOTAL);
     ask(CUSTOMER, TOTAL);
     run(Duration.ofSeconds(1));
     HolderPort.Answer granted = new HolderPort.Answer.Granted();
@@ -145,7 +145,7 @@
   }
 
   private void ask(String customer, long tokens) {
-    asker.ask(HOLDER, new HolderPort.Ask(customer, tokens, WAIT, DEADLINE), answers::add);
+    requester.ask(HOLDER, new HolderPort.Ask(customer, tokens, MAX_WAIT, DEADLINE), answers::add);
   }
 
   private void run(Duration time) {
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/peer/LargeLoadExchangeTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/peer/LargeLoadExchangeTests.java
@@ -26,7 +26,7 @@
 
   private static final String PART = "subject";
   private static final Duration WARM_UP = Duration.ofSeconds(10);
-  private static final Duration TIME = Duration.ofSeconds(3);
+  private static final Duration MEASURED_TIME = Duration.ofSeconds(3);
 
   /**
    * If each instance sent its loads to every other one, the traffic would grow with the square of
@@ -38,9 +38,9 @@
     LoadFleet fleet = new LoadFleet(size, SERVERS);
     fleet.run(WARM_UP, size * PROMPTS_PER_INSTANCE);
     fleet.resetCounts();
-    fleet.run(TIME, size * PROMPTS_PER_INSTANCE);
+    fleet.run(MEASURED_TIME, size * PROMPTS_PER_INSTANCE);
     long bytes = fleet.instances.stream().mapToLong(each -> each.byteCount).sum();
-    long each = bytes / size / TIME.toSeconds();
+    long each = bytes / size / MEASURED_TIME.toSeconds();
     assertTrue(
         each <= MAX_BYTES_PER_SECOND,
         "%d bytes a second at each of %d instances".formatted(each, size));
@@ -62,7 +62,7 @@
   private static long medianMessagesOfAMember(int size) {
     LoadFleet fleet = new LoadFleet(size, SERVERS);
     fleet.resetCounts();
-    fleet.run(TIME, size * PROMPTS_PER_INSTANCE);
+    fleet.run(MEASURED_TIME, size * PROMPTS_PER_INSTANCE);
     Set<String> collectors = fleet.collectors();
     List<Long> counts =
         fleet.instances.stream()
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/peer/LoadExchangeTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/peer/LoadExchangeTests.java
@@ -21,7 +21,7 @@
 class LoadExchangeTests {
   private static final BackendServerId ENGINE = new BackendServerId("i-1");
   private static final Set<String> FLEET = Set.of("a", "b");
-  private static final Instant FIRST = Instant.ofEpochMilli(1_700_000_000_000L);
+  private static final Instant FIRST_START = Instant.ofEpochMilli(1_700_000_000_000L);
 
   private final ManualClock clock = new ManualClock();
   private final List<byte[]> sent = new ArrayList<>();
@@ -84,14 +84,14 @@
    */
   @Test
   void ignoresLoadAtAnEarlierIncarnationOfAServer() {
-    senderServers.put(listing(Optional.of(FIRST)));
-    receiverServers.put(listing(Optional.of(FIRST.plusMillis(1))));
+    senderServers.put(listing(Optional.of(FIRST_START)));
+    receiverServers.put(listing(Optional.of(FIRST_START.plusMillis(1))));
     senderServers.find(ENGINE).orElseThrow().started(700);
     sender.tick();
     receiver.receive(sent.getFirst());
     assertEquals(Map.of(), receiver.others().byServer());
 
-    senderServers.put(listing(Optional.of(FIRST.plusMillis(1))));
+    senderServers.put(listing(Optional.of(FIRST_START.plusMillis(1))));
     senderServers.find(ENGINE).orElseThrow().started(300);
     clock.advance(Duration.ofMillis(200));
     sender.tick();
@@ -118,7 +118,7 @@
   @Test
   void transfersCacheContentsToAStartingInstance() {
     senderPrompts.onSent(
-        senderServers.find(ENGINE).orElseThrow().incarnation(), List.of("subject"), FIRST);
+        senderServers.find(ENGINE).orElseThrow().incarnation(), List.of("subject"), FIRST_START);
     receiver.mergeCachedPrompts(sender.cachedPrompts());
     assertTrue(
         receiverPrompts.contains(
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/server/CachedPromptsTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/server/CachedPromptsTests.java
@@ -12,35 +12,35 @@
 
 class CachedPromptsTests {
   private static final Instant NOW = Instant.ofEpochMilli(1_700_000_000_000L);
-  private static final ServerIncarnation FIRST = incarnation(NOW);
+  private static final ServerIncarnation FIRST_INCARNATION = incarnation(NOW);
 
   private final CachedPrompts cached = new CachedPrompts();
 
   @Test
   void containsThePartsThatWereSent() {
-    cached.onSent(FIRST, List.of("a", "b"), NOW);
-    assertTrue(cached.contains(FIRST, "a"));
-    assertFalse(cached.contains(FIRST, "c"));
+    cached.onSent(FIRST_INCARNATION, List.of("a", "b"), NOW);
+    assertTrue(cached.contains(FIRST_INCARNATION, "a"));
+    assertFalse(cached.contains(FIRST_INCARNATION, "c"));
   }
 
   /** A restarted server has an empty cache. */
   @Test
   void containsNoPartsOfALaterIncarnation() {
-    cached.onSent(FIRST, List.of("a"), NOW);
+    cached.onSent(FIRST_INCARNATION, List.of("a"), NOW);
     assertFalse(cached.contains(incarnation(NOW.plusMillis(1)), "a"));
   }
 
   @Test
   void removesThePartsOfAPromptThatWasNotRun() {
-    cached.onSent(FIRST, List.of("a"), NOW);
-    cached.onNotRun(FIRST, List.of("a"));
-    assertFalse(cached.contains(FIRST, "a"));
+    cached.onSent(FIRST_INCARNATION, List.of("a"), NOW);
+    cached.onNotRun(FIRST_INCARNATION, List.of("a"));
+    assertFalse(cached.contains(FIRST_INCARNATION, "a"));
   }
 
   @Test
   void reportsAPartAsSentOnlyTheFirstTime() {
-    cached.onSent(FIRST, List.of("a"), NOW);
-    cached.onSent(FIRST, List.of("a"), NOW.plusMillis(200));
+    cached.onSent(FIRST_INCARNATION, List.of("a"), NOW);
+    cached.onSent(FIRST_INCARNATION, List.of("a"), NOW.plusMillis(200));
     assertEquals(1, cached.sentSince(NOW).size());
     assertEquals(List.of(), cached.sentSince(NOW.plusMillis(100)));
   }
@@ -49,10 +49,10 @@
   @Test
   void evictsTheLeastRecentlyUsedParts() {
     for (int i = 0; i < 50_000; i++) {
-      cached.onSent(FIRST, List.of("subject-" + i), NOW);
+      cached.onSent(FIRST_INCARNATION, List.of("subject-" + i), NOW);
     }
-    assertFalse(cached.contains(FIRST, "subject-0"));
-    assertTrue(cached.contains(FIRST, "subject-49999"));
+    assertFalse(cached.contains(FIRST_INCARNATION, "subject-0"));
+    assertTrue(cached.contains(FIRST_INCARNATION, "subject-49999"));
   }
 
   private static ServerIncarnation incarnation(Instant start) {
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/server/ServerDirectoryTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/server/ServerDirectoryTests.java
@@ -16,13 +16,13 @@
 import org.teaseldeal.api.BackendServerId;
 
 class ServerDirectoryTests {
-  private static final Instant BACK = Instant.EPOCH;
-  private static final Instant UNTIL = BACK.plus(Duration.ofSeconds(2));
+  private static final Instant LIST_BACK_AT = Instant.EPOCH;
+  private static final Instant GRACE_END = LIST_BACK_AT.plus(Duration.ofSeconds(2));
 
   /** When two incarnations of one server started. */
-  private static final Instant FIRST = Instant.ofEpochMilli(1_700_000_000_000L);
+  private static final Instant FIRST_START = Instant.ofEpochMilli(1_700_000_000_000L);
 
-  private static final Instant SECOND = FIRST.plusMillis(1);
+  private static final Instant SECOND_START = FIRST_START.plusMillis(1);
 
   private final ServerDirectory directory = new ServerDirectory();
 
@@ -39,11 +39,11 @@
    */
   @Test
   void keepsServersForAGracePeriodAfterAnOutageOfTheList() {
-    directory.lapseOthers(Set.of(), UNTIL);
-    directory.tick(UNTIL.minusMillis(1));
+    directory.lapseOthers(Set.of(), GRACE_END);
+    directory.tick(GRACE_END.minusMillis(1));
     assertEquals(2, directory.ready("models").size());
     directory.put(listing("a", false));
-    directory.tick(UNTIL);
+    directory.tick(GRACE_END);
     assertEquals("a", directory.ready("models").getFirst().id().name());
     assertEquals(1, directory.ready("models").size());
   }
@@ -52,7 +52,7 @@
   @Test
   void removesALeavingServerWithoutAGracePeriod() {
     directory.put(listing("a", true));
-    directory.lapse(new BackendServerId("a"), UNTIL);
+    directory.lapse(new BackendServerId("a"), GRACE_END);
     assertEquals(1, directory.all().size());
   }
 
@@ -70,7 +70,7 @@
    */
   @Test
   void replacesAnIncarnationByALaterOne() {
-    directory.put(started("c", FIRST, false));
+    directory.put(started("c", FIRST_START, false));
     BackendServer crashed = find("c");
     List<BackendServer> replaced = new ArrayList<>();
     directory.onReplaced(replaced::add);
@@ -84,14 +84,15 @@
             "hall-b",
             32,
             false,
-            Optional.of(SECOND)));
+            Optional.of(SECOND_START)));
     BackendServer restarted = find("c");
     assertEquals("10.0.0.7:81", restarted.address());
     assertEquals("hall-b", restarted.dataCentre());
     assertEquals(32, restarted.places());
     assertEquals(0, restarted.running());
     assertEquals(0, restarted.promptTokensAhead());
-    assertFalse(restarted.isExcluded(BACK), "the earlier incarnation's exclusion still applies");
+    assertFalse(
+        restarted.isExcluded(LIST_BACK_AT), "the earlier incarnation's exclusion still applies");
     assertEquals(List.of("c"), ready("desk"));
     assertEquals(List.of("a", "b"), ready("models"));
     crashed.onRequestEnded();
@@ -102,8 +103,8 @@
   /** A draining server ends and restarts under its id. It can be chosen at once. */
   @Test
   void listsAServerThatLeftAndRestarted() {
-    directory.put(started("c", FIRST, true));
-    directory.put(started("c", SECOND, false));
+    directory.put(started("c", FIRST_START, true));
+    directory.put(started("c", SECOND_START, false));
     assertEquals(List.of("a", "b", "c"), ready("models"));
   }
 
@@ -113,18 +114,18 @@
    */
   @Test
   void ignoresListingsOfAnEarlierIncarnation() {
-    directory.put(started("c", SECOND, false));
+    directory.put(started("c", SECOND_START, false));
     BackendServer current = find("c");
-    directory.put(started("c", FIRST, false));
-    directory.put(started("c", FIRST, true));
+    directory.put(started("c", FIRST_START, false));
+    directory.put(started("c", FIRST_START, true));
     assertSame(current, find("c"));
     assertTrue(current.listedAsReady(), "a listing of an earlier incarnation made it leave");
   }
 
   @Test
   void keepsALeavingIncarnationFromBecomingReadyAgain() {
-    directory.put(started("c", FIRST, true));
-    directory.put(started("c", FIRST, false));
+    directory.put(started("c", FIRST_START, true));
+    directory.put(started("c", FIRST_START, false));
     assertEquals(List.of("a", "b"), ready("models"));
   }
 
@@ -133,33 +134,33 @@
    */
   @Test
   void ignoresADelayedListingOfAServerThatLeft() {
-    directory.put(started("c", FIRST, true));
+    directory.put(started("c", FIRST_START, true));
     directory.remove(new BackendServerId("c"));
-    directory.put(started("c", FIRST, false));
+    directory.put(started("c", FIRST_START, false));
     assertEquals(List.of("a", "b"), ready("models"));
-    directory.put(started("c", SECOND, false));
+    directory.put(started("c", SECOND_START, false));
     assertEquals(List.of("a", "b", "c"), ready("models"));
   }
 
   @Test
   void ignoresAnEarlierIncarnationOfARemovedServer() {
-    directory.put(started("c", SECOND, false));
+    directory.put(started("c", SECOND_START, false));
     directory.remove(new BackendServerId("c"));
-    directory.put(started("c", FIRST, false));
+    directory.put(started("c", FIRST_START, false));
     assertEquals(List.of("a", "b"), ready("models"));
   }
 
   /** A server that restarts with its clock set back must not be ignored forever. */
   @Test
   void acceptsAnEarlierStartTimeAfterTheRetentionTime() {
-    directory.tick(BACK);
-    directory.put(started("c", SECOND, false));
+    directory.tick(LIST_BACK_AT);
+    directory.put(started("c", SECOND_START, false));
     directory.remove(new BackendServerId("c"));
-    directory.tick(BACK.plus(Duration.ofMinutes(1)));
-    directory.put(started("c", FIRST, false));
+    directory.tick(LIST_BACK_AT.plus(Duration.ofMinutes(1)));
+    directory.put(started("c", FIRST_START, false));
     assertEquals(List.of("a", "b"), ready("models"));
-    directory.tick(BACK.plus(Duration.ofMinutes(2)));
-    directory.put(started("c", FIRST, false));
+    directory.tick(LIST_BACK_AT.plus(Duration.ofMinutes(2)));
+    directory.put(started("c", FIRST_START, false));
     assertEquals(List.of("a", "b", "c"), ready("models"));
   }
 
@@ -169,9 +170,9 @@
    */
   @Test
   void listsAServerAgainAfterItsListingHadExpired() {
-    directory.put(started("c", FIRST, false));
+    directory.put(started("c", FIRST_START, false));
     directory.remove(new BackendServerId("c"));
-    directory.put(started("c", FIRST, false));
+    directory.put(started("c", FIRST_START, false));
     assertEquals(List.of("a", "b", "c"), ready("models"));
   }
 
@@ -181,7 +182,7 @@
    */
   @Test
   void ignoresAListingWithoutAStartTimeAfterOneWithAStartTime() {
-    directory.put(started("c", FIRST, false));
+    directory.put(started("c", FIRST_START, false));
     BackendServer current = find("c");
     directory.put(listing("c", true));
     assertSame(current, find("c"));
@@ -198,7 +199,7 @@
   @Test
   void replacesAServerWithoutAStartTimeByOneWithAStartTime() {
     directory.put(listing("a", true));
-    directory.put(started("a", FIRST, false));
+    directory.put(started("a", FIRST_START, false));
     assertEquals(2, directory.ready("models").size());
   }
 
@@ -209,24 +210,24 @@
    */
   @Test
   void ignoresServersWithoutAStartTimeOnceMostHaveOne() {
-    directory.put(started("c", FIRST, false));
-    directory.tick(BACK);
+    directory.put(started("c", FIRST_START, false));
+    directory.tick(LIST_BACK_AT);
     assertEquals(List.of("a", "b", "c"), ready("models"));
-    directory.put(started("d", FIRST, false));
-    directory.tick(BACK);
+    directory.put(started("d", FIRST_START, false));
+    directory.tick(LIST_BACK_AT);
     assertEquals(List.of("c", "d"), ready("models"));
     directory.retain(Set.of());
     directory.put(listing("e", false));
-    directory.tick(BACK);
+    directory.tick(LIST_BACK_AT);
     assertEquals(List.of(), ready("models"));
   }
 
   /** A single listing with a start time must not remove a fleet whose servers publish none. */
   @Test
   void keepsAFleetWithoutStartTimes() {
-    directory.put(started("c", FIRST, false));
+    directory.put(started("c", FIRST_START, false));
     directory.remove(new BackendServerId("c"));
-    directory.tick(BACK);
+    directory.tick(LIST_BACK_AT);
     directory.put(listing("d", false));
     assertEquals(List.of("a", "b", "d"), ready("models"));
     directory.remove(new BackendServerId("d"));
