--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/CallerAnswer.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/CallerAnswer.java
@@ -10,13 +10,13 @@
 import org.teaseldeal.net.HttpExchange;
 import org.teaseldeal.net.ResponseStream;
 
-/** The one answer that a caller gets, and how far it has got. */
+/** The only answer that a caller gets, with the progress of its transmission. */
 final class CallerAnswer {
   private final HttpExchange exchange;
   private final InstantSource clock;
   private @Nullable ResponseStream stream;
-  private @Nullable Instant firstSent;
-  private Instant lastSent = Instant.MAX;
+  private @Nullable Instant firstSentAt;
+  private Instant lastSentAt = Instant.MAX;
   private Duration longestPause = Duration.ZERO;
   private long eventsSent;
   private String lastEventId = "";
@@ -26,29 +26,29 @@
     this.clock = clock;
   }
 
-  /** When its first part was sent; empty before. */
-  Optional<Instant> firstSent() {
-    return Optional.ofNullable(firstSent);
+  /** When the first part of the answer was sent; empty if none was sent yet. */
+  Optional<Instant> firstSentAt() {
+    return Optional.ofNullable(firstSentAt);
   }
 
-  /** The longest time between two of its parts. */
+  /** The longest time between two consecutive parts of the answer. */
   Duration longestPause() {
     return longestPause;
   }
 
-  private void onSent() {
+  private void recordSent() {
     Instant now = clock.instant();
-    if (firstSent == null) {
-      firstSent = now;
+    if (firstSentAt == null) {
+      firstSentAt = now;
     } else {
-      Duration pause = Duration.between(lastSent, now);
+      Duration pause = Duration.between(lastSentAt, now);
       longestPause = pause.compareTo(longestPause) > 0 ? pause : longestPause;
     }
-    lastSent = now;
+    lastSentAt = now;
   }
 
-  /** Whether a part of it was sent, so that no other answer can take its place. */
-  boolean begun() {
+  /** Whether a part of a streamed answer was sent, after which no other answer can replace it. */
+  boolean hasBegun() {
     return stream != null;
   }
 
@@ -56,13 +56,16 @@
     return eventsSent;
   }
 
-  /** The id of the last event that was sent; empty if none had one. */
+  /** The id of the last event that was sent; empty if no event had an id. */
   String lastEventId() {
     return lastEventId;
   }
 
-  /** Sends an event; the first sends the head too, which stays the one of its server. */
-  void event(int status, Map<String, String> headers, EventSplitter.Event event) {
+  /**
+   * Sends an event. The first event also sends the status and headers of its server's answer, which
+   * stay in place if later events come from another server.
+   */
+  void sendEvent(int status, Map<String, String> headers, EventSplitter.Event event) {
     ResponseStream open = stream;
     if (open == null) {
       open = exchange.startStream(status, headers);
@@ -73,12 +76,16 @@
       lastEventId = event.id();
     }
     open.write(event.bytes());
-    onSent();
+    recordSent();
   }
 
-  /** Ends it as complete; {@code rest} is what came after the last whole event, or all there is. */
+  /**
+   * Ends the answer as complete.
+   *
+   * @param rest the bytes after the last complete event, or the complete body if no event was sent
+   */
   void finish(int status, Map<String, String> headers, byte[] rest) {
-    onSent();
+    recordSent();
     if (stream == null) {
       exchange.respond(status, headers, rest);
     } else {
@@ -87,14 +94,14 @@
     }
   }
 
-  /** Sends a whole answer in place of one that has not begun. */
-  void whole(HttpAnswer answer) {
-    onSent();
+  /** Sends a complete answer. No part of a streamed answer must have been sent before. */
+  void respond(HttpAnswer answer) {
+    recordSent();
     exchange.respond(answer.status(), answer.headers(), answer.body());
   }
 
-  /** Ends it so that the caller sees that it isn't whole. */
-  void breakOff() {
+  /** Aborts the answer so that the caller can tell that it is incomplete. */
+  void abort() {
     if (stream != null) {
       stream.abort();
     }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/InstanceDrain.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/InstanceDrain.java
@@ -17,21 +17,22 @@
 import org.teaseldeal.net.HttpServer;
 
 /**
- * Carries out the phases of an instance's stop.
+ * Carries out the phases of stopping an instance.
  *
- * <p>It steps on the event loop, as a task with a time of its own: the loop handles the input that
- * has come before it runs these, so an answer that arrived in time is passed on before a step
- * breaks off what is left, and no request comes between a look at what is left and the step.
+ * <p>Each step runs as a scheduled task on the event loop. The loop processes input that has
+ * already arrived before it runs such a task, so an answer that arrived in time is passed on before
+ * a step aborts the open requests. No request can arrive between the step's check of the open
+ * requests and its action.
  */
 public final class InstanceDrain {
   private static final Logger LOG = LoggerFactory.getLogger(InstanceDrain.class);
 
-  /** Fine against the shortest of the phases, 60 ms. */
-  private static final Duration STEP = Duration.ofMillis(20);
+  /** The interval between two steps; short compared with the shortest phase, which takes 60 ms. */
+  private static final Duration STEP_INTERVAL = Duration.ofMillis(20);
 
   private final ScheduledExecutorService loop;
   private final HttpServer callers;
-  private final RequestDesk desk;
+  private final RequestDesk dispatcher;
   private final AccountBook accounts;
   private final EventSink events;
   private final InstantSource clock;
@@ -39,26 +40,26 @@
   private final DrainPhases phases;
   private final CountDownLatch done = new CountDownLatch(1);
   private Phase phase = Phase.ACCEPTING;
-  private int brokenOff;
+  private int abortedRequests;
 
   /**
-   * Begins a stop now.
+   * Starts the stop's clock now; {@link #run()} carries out the stop.
    *
-   * @param loop the event loop that carries the callers
-   * @param clock must not follow steps of the time of day
-   * @param grace until the process is killed
+   * @param loop the event loop that serves the callers' connections
+   * @param clock a monotonic clock, which doesn't follow adjustments of the time of day
+   * @param grace the time until the process is killed
    */
   public InstanceDrain(
       ScheduledExecutorService loop,
       HttpServer callers,
-      RequestDesk desk,
+      RequestDesk dispatcher,
       AccountBook accounts,
       EventSink events,
       InstantSource clock,
       Duration grace) {
     this.loop = loop;
     this.callers = callers;
-    this.desk = desk;
+    this.dispatcher = dispatcher;
     this.accounts = accounts;
     this.events = events;
     this.clock = clock;
@@ -66,23 +67,23 @@
     this.phases = new DrainPhases(clock.instant(), grace);
   }
 
-  /** Returns when the process may end. */
+  /** Carries out the stop and returns when the process may exit. */
   public void run() throws InterruptedException {
     callers.closeAfterAnswers();
     loop.execute(this::begin);
     Future<?> steps =
         loop.scheduleAtFixedRate(
-            this::step, STEP.toMillis(), STEP.toMillis(), TimeUnit.MILLISECONDS);
+            this::step, STEP_INTERVAL.toMillis(), STEP_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
     if (!done.await(grace.toMillis(), TimeUnit.MILLISECONDS)) {
-      LOG.warn("the stop did not come to its end in {}", grace);
+      LOG.warn("the drain did not finish within the shutdown grace of {}", grace);
     }
     steps.cancel(false);
-    events.accept(new GatewayEvent.InstanceState("stopped", brokenOff + " requests cut off"));
+    events.accept(new GatewayEvent.InstanceState("stopped", abortedRequests + " requests cut off"));
   }
 
   private void begin() {
-    events.accept(new GatewayEvent.InstanceState("draining", desk.open() + " requests"));
-    desk.drain(phases.admission());
+    events.accept(new GatewayEvent.InstanceState("draining", dispatcher.open() + " requests"));
+    dispatcher.drain(phases.admission());
     accounts.close();
   }
 
@@ -95,18 +96,19 @@
         enter(next);
       }
     } catch (RuntimeException e) {
-      // A step that throws would be the last one, and the process be killed with its answers.
-      LOG.error("a step of the stop failed", e);
+      // The executor cancels a periodic task that throws. The drain would then stop here, and the
+      // process would be killed together with its open answers.
+      LOG.error("a step of the drain failed; the following steps still run", e);
     }
   }
 
   private void enter(Phase next) {
     switch (next) {
       case ACCEPTING, SHORT_ONLY -> {}
-      case REFUSING -> desk.refuseAll();
+      case REFUSING -> dispatcher.refuseAll();
       case BREAKING_OFF -> {
-        brokenOff = desk.open();
-        desk.breakOffAll();
+        abortedRequests = dispatcher.open();
+        dispatcher.breakOffAll();
       }
       case CLOSING -> callers.beginToStopAccepting();
       case LEAVING -> callers.stopReading();
--- /dev/null
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/ServerSelector.java
@@ -0,0 +1,218 @@
+package org.teaseldeal.gateway.flow;
+
+import java.time.Duration;
+import java.time.Instant;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.function.Supplier;
+import java.util.random.RandomGenerator;
+import org.teaseldeal.api.BackendServerId;
+import org.teaseldeal.decisions.PromptPlacement;
+import org.teaseldeal.decisions.ServerHealth;
+import org.teaseldeal.gateway.peer.FleetLoad;
+import org.teaseldeal.gateway.peer.PeerLoad;
+import org.teaseldeal.gateway.server.BackendServer;
+import org.teaseldeal.gateway.server.CachedPrompts;
+import org.teaseldeal.gateway.server.ServerDirectory;
+import org.teaseldeal.gateway.server.ServerIncarnation;
+
+/**
+ * Chooses the backend server for each attempt, based on the server list, the load of all instances,
+ * the presumed cache contents and the results of this instance's own attempts.
+ */
+final class ServerSelector {
+  /** The first ejection of an unhealthy server, the longest one, and the ramp-up after each. */
+  private static final Duration MIN_EJECTION = Duration.ofSeconds(1);
+
+  private static final Duration MAX_EJECTION = Duration.ofSeconds(8);
+  private static final Duration RAMP_UP = Duration.ofSeconds(1);
+
+  /**
+   * The interval between two updates of the servers' health while no server fails; short compared
+   * with the first ejection.
+   */
+  private static final Duration UPDATE_INTERVAL = Duration.ofMillis(100);
+
+  /**
+   * The chosen server and the data that led to the choice.
+   *
+   * @param candidates the number of servers that the choice was made from
+   * @param peerLoad the load that the other instances were presumed to have at the server
+   * @param uncachedTokens the number of prompt tokens that the server has to read
+   * @param loadAge the age of the other instances' load figures
+   */
+  record Selection(
+      BackendServer server,
+      int candidates,
+      PeerLoad peerLoad,
+      long uncachedTokens,
+      Duration loadAge) {}
+
+  private final ServerDirectory servers;
+  private final Supplier<FleetLoad> peerLoads;
+  private final CachedPrompts cachedPrompts;
+  private final RandomGenerator random;
+  private final Map<String, ServerHealth> healthByService = new HashMap<>();
+  private final Map<BackendServerId, ServerIncarnation> knownIncarnations = new HashMap<>();
+  private long lastSeenChanges = -1;
+  private Instant nextUpdate = Instant.MIN;
+
+  ServerSelector(
+      ServerDirectory servers,
+      Supplier<FleetLoad> peerLoads,
+      CachedPrompts cachedPrompts,
+      RandomGenerator random) {
+    this.servers = servers;
+    this.peerLoads = peerLoads;
+    this.cachedPrompts = cachedPrompts;
+    this.random = random;
+  }
+
+  /** Takes changes of the server list into account and ejects servers that became unhealthy. */
+  void tick(Instant now) {
+    refreshFromList(now);
+    if (!now.isBefore(nextUpdate)) {
+      nextUpdate = now.plus(UPDATE_INTERVAL);
+      healthByService.values().forEach(health -> health.update(now));
+    }
+  }
+
+  /** The number of servers that are ejected as unhealthy. */
+  int ejectedCount(Instant now) {
+    return healthByService.values().stream().mapToInt(health -> health.ejected(now).size()).sum();
+  }
+
+  private void refreshFromList(Instant now) {
+    if (lastSeenChanges == servers.changes()) {
+      return;
+    }
+    Map<String, Set<BackendServerId>> listedByService = new HashMap<>();
+    for (BackendServer server : servers.all()) {
+      listedByService.computeIfAbsent(server.service(), name -> new HashSet<>()).add(server.id());
+      forgetEarlierIncarnation(server);
+    }
+    listedByService.keySet().forEach(this::health);
+    healthByService.forEach(
+        (service, health) ->
+            health.onListed(
+                listedByService.getOrDefault(service, Set.of()), now, lastSeenChanges < 0));
+    knownIncarnations.keySet().removeIf(id -> servers.find(id).isEmpty());
+    lastSeenChanges = servers.changes();
+  }
+
+  /**
+   * Discards the health record of a server's earlier incarnation.
+   *
+   * <p>Otherwise the new process of a server that restarts under its id would get no requests until
+   * the ejection of its predecessor ends, or few because its predecessor was slow.
+   */
+  private void forgetEarlierIncarnation(BackendServer server) {
+    if (!server.incarnation().equals(knownIncarnations.put(server.id(), server.incarnation()))) {
+      health(server.service()).forget(server.id());
+    }
+  }
+
+  /** The health of the servers of a service, which are compared only with each other. */
+  private ServerHealth health(String service) {
+    return healthByService.computeIfAbsent(
+        service, name -> new ServerHealth(MIN_EJECTION, MAX_EJECTION, RAMP_UP));
+  }
+
+  /**
+   * Chooses a server of {@code service}.
+   *
+   * @param prompt the prompt; empty for a service without prompts
+   * @param aim the time within which the answer should begin
+   * @param tried the incarnations that failed this request before; a server that has restarted
+   *     since may be chosen again
+   */
+  Optional<Selection> select(
+      String service,
+      Optional<PromptTerms> prompt,
+      Duration aim,
+      Set<ServerIncarnation> tried,
+      Instant now) {
+    refreshFromList(now);
+    ServerHealth health = health(service);
+    List<BackendServer> ready = servers.ready(service);
+    List<BackendServer> untried =
+        ready.stream().filter(server -> !tried.contains(server.incarnation())).toList();
+    List<BackendServer> healthy =
+        untried.stream()
+            .filter(server -> !server.isExcluded(now) && health.isIn(server.id(), now))
+            .toList();
+    List<BackendServer> candidates = healthy.isEmpty() ? untried : healthy;
+    FleetLoad fleet = peerLoads.get();
+    List<PromptPlacement.Candidate> views =
+        candidates.stream()
+            .map(server -> candidate(server, fleet.at(server.id()), prompt))
+            .toList();
+    String prefix = prompt.map(PromptTerms::lastSharedPartId).orElse("");
+    return PromptPlacement.choose(views, new PromptPlacement.Prompt(prefix, aim), random)
+        .flatMap(servers::find)
+        .map(
+            server ->
+                new Selection(
+                    server,
+                    candidates.size(),
+                    fleet.at(server.id()),
+                    uncachedTokens(server, prompt),
+                    fleet.age()));
+  }
+
+  private PromptPlacement.Candidate candidate(
+      BackendServer server, PeerLoad others, Optional<PromptTerms> prompt) {
+    long tokensToRead = uncachedTokens(server, prompt);
+    return new PromptPlacement.Candidate(
+        server.id(),
+        server.running() + others.running(),
+        Math.max(0, server.promptTokensAhead()) + others.promptTokensAhead(),
+        tokensToRead,
+        prompt.map(terms -> tokensToRead == terms.unsharedTokens()).orElse(false),
+        health(server.service()).slowness(server.id()));
+  }
+
+  /**
+   * The number of prompt tokens that a server has to read: all tokens after the longest prefix that
+   * is in its cache.
+   */
+  private long uncachedTokens(BackendServer server, Optional<PromptTerms> prompt) {
+    if (prompt.isEmpty()) {
+      return 0;
+    }
+    long tokens = prompt.get().inputTokens();
+    for (PromptPart part : prompt.get().sharedParts()) {
+      if (!cachedPrompts.contains(server.incarnation(), part.id())) {
+        return tokens;
+      }
+      tokens = Math.max(prompt.get().unsharedTokens(), tokens - part.tokens());
+    }
+    return tokens;
+  }
+
+  /**
+   * Records a complete answer.
+   *
+   * @param work the time that the answer should take, in any unit; kinds of request differ widely
+   */
+  void onAnswered(BackendServer server, Duration took, double work) {
+    if (servers.lists(server.incarnation())) {
+      health(server.service()).onAnswered(server.id(), took, work);
+    }
+  }
+
+  /**
+   * Records a failure of the server. It is ignored if the server has restarted since, as a failure
+   * of the earlier process says nothing about the new one.
+   */
+  void onFailed(BackendServer server) {
+    if (servers.lists(server.incarnation())) {
+      health(server.service()).onFailed(server.id());
+      nextUpdate = Instant.MIN;
+    }
+  }
+}
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/metrics/FleetTrafficMeter.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/metrics/FleetTrafficMeter.java
@@ -9,14 +9,14 @@
 import org.teaseldeal.gateway.event.GatewayEvent;
 import org.teaseldeal.gateway.log.KeyedRecord;
 import org.teaseldeal.gateway.log.SharedLog;
-import org.teaseldeal.gateway.peer.PeerPort;
+import org.teaseldeal.gateway.peer.PeerTransport;
 
 /**
- * Measures what an instance exchanges with the shared log and with other instances, and tells it
- * each {@link #PERIOD}.
+ * Measures the traffic of an instance with the shared log and with other instances, and reports it
+ * as an event every {@link #PERIOD}.
  *
- * <p>It grows with the size of the fleet and not with the callers' load, so it is what tells a slow
- * log, a full link and a busy processor apart.
+ * <p>This traffic grows with the size of the fleet and not with the callers' load. Its figures
+ * therefore help to distinguish a slow log, a saturated link and a busy processor.
  */
 public final class FleetTrafficMeter {
   private static final Duration PERIOD = Duration.ofSeconds(5);
@@ -26,14 +26,14 @@
   private Instant periodEnd;
   private long appends;
   private long notesWritten;
-  private Duration appending = Duration.ZERO;
+  private Duration totalAppendTime = Duration.ZERO;
   private Duration slowestAppend = Duration.ZERO;
   private long reads;
-  private long notesHeard;
+  private long notesRead;
   private long messagesSent;
-  private long octetsSent;
-  private long messagesHeard;
-  private long octetsHeard;
+  private long bytesSent;
+  private long messagesReceived;
+  private long bytesReceived;
   private Duration longestStall = Duration.ZERO;
 
   /** Creates a meter whose first period begins now. */
@@ -43,40 +43,43 @@
     this.periodEnd = clock.instant().plus(PERIOD);
   }
 
-  /** A log that measures the calls of {@code log}. */
+  /** A log that passes all calls to {@code log} and measures them. */
   public SharedLog meteredLog(SharedLog log) {
     return new MeteredLog(log);
   }
 
-  /** A port that measures what is sent through {@code port}. */
-  public PeerPort meteredPort(PeerPort port) {
+  /** A transport that sends all messages through {@code transport} and counts them. */
+  public PeerTransport meteredPort(PeerTransport transport) {
     return (address, message) -> {
       messagesSent++;
-      octetsSent += message.length;
-      port.send(address, message);
+      bytesSent += message.length;
+      transport.send(address, message);
     };
   }
 
-  /** A receiver that measures what {@code receiver} is given. */
+  /** A receiver that passes all messages to {@code receiver} and counts them. */
   public Consumer<byte[]> meteredReceiver(Consumer<byte[]> receiver) {
     return message -> {
-      messagesHeard++;
-      octetsHeard += message.length;
+      messagesReceived++;
+      bytesReceived += message.length;
       receiver.accept(message);
     };
   }
 
   /**
-   * Counts a tick that came late by {@code stall}, and tells what was measured if it is time to.
+   * Records the delay of a tick of the event loop, and reports the measurements if a period has
+   * ended.
+   *
+   * @param stall the delay of the tick
    */
   public void tick(Duration stall) {
-    longestStall = longer(longestStall, stall);
+    longestStall = longerOf(longestStall, stall);
     Instant now = clock.instant();
     if (now.isBefore(periodEnd)) {
       return;
     }
     periodEnd = now.plus(PERIOD);
-    Duration meanAppend = appends == 0 ? Duration.ZERO : appending.dividedBy(appends);
+    Duration meanAppend = appends == 0 ? Duration.ZERO : totalAppendTime.dividedBy(appends);
     events.accept(
         new GatewayEvent.FleetTraffic(
             appends,
@@ -84,11 +87,11 @@
             meanAppend,
             slowestAppend,
             reads,
-            notesHeard,
+            notesRead,
             messagesSent,
-            octetsSent,
-            messagesHeard,
-            octetsHeard,
+            bytesSent,
+            messagesReceived,
+            bytesReceived,
             longestStall));
     reset();
   }
@@ -96,32 +99,32 @@
   private void reset() {
     appends = 0;
     notesWritten = 0;
-    appending = Duration.ZERO;
+    totalAppendTime = Duration.ZERO;
     slowestAppend = Duration.ZERO;
     reads = 0;
-    notesHeard = 0;
+    notesRead = 0;
     messagesSent = 0;
-    octetsSent = 0;
-    messagesHeard = 0;
-    octetsHeard = 0;
+    bytesSent = 0;
+    messagesReceived = 0;
+    bytesReceived = 0;
     longestStall = Duration.ZERO;
   }
 
   private void onAppend(int notes, Duration took) {
     appends++;
     notesWritten += notes;
-    appending = appending.plus(took);
-    slowestAppend = longer(slowestAppend, took);
+    totalAppendTime = totalAppendTime.plus(took);
+    slowestAppend = longerOf(slowestAppend, took);
   }
 
   private void onRead(SharedLog.ReadOutcome outcome) {
     reads++;
     if (outcome instanceof SharedLog.ReadOutcome.Records records) {
-      notesHeard += records.records().size();
+      notesRead += records.records().size();
     }
   }
 
-  private static Duration longer(Duration one, Duration other) {
+  private static Duration longerOf(Duration one, Duration other) {
     return one.compareTo(other) >= 0 ? one : other;
   }
 
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/metrics/GatewayMetrics.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/metrics/GatewayMetrics.java
@@ -15,13 +15,14 @@
 import org.teaseldeal.gateway.event.GatewayEvent;
 
 /**
- * Counts events, all of them, also those whose lines are sampled out of the log.
+ * Derives metrics from all events, including those whose lines are sampled out of the log.
  *
- * <p>Names end in their unit: {@code _us} microseconds, {@code _tokens}; without one they count.
+ * <p>Names end in their unit, {@code _us} for microseconds or {@code _tokens}. A name without a
+ * unit is a count.
  */
 public final class GatewayMetrics implements EventSink {
   private final MetricRegistry registry;
-  private final Histogram duration;
+  private final Histogram requestDuration;
   private final Histogram tokenWait;
   private final Histogram loopDelay;
   private final Histogram appendDuration;
@@ -30,10 +31,10 @@
   private final Map<String, GatewayEvent.AccountLevel> accounts = new ConcurrentHashMap<>();
   private final Map<String, String> counterNames = new HashMap<>();
 
-  /** Creates metrics that are kept in {@code registry}. */
+  /** Creates metrics that are registered in {@code registry}. */
   public GatewayMetrics(MetricRegistry registry) {
     this.registry = registry;
-    duration = histogram("request_duration_us");
+    requestDuration = histogram("request_duration_us");
     tokenWait = histogram("request_token_wait_us");
     loopDelay = histogram("loop_delay_us");
     appendDuration = histogram("slowest_append_us");
@@ -51,7 +52,7 @@
     switch (event) {
       case GatewayEvent.Placed placed -> count(placed.attempt() == 1 ? "sends" : "repeats");
       case GatewayEvent.AttemptFailed failed -> count("attempts_failed_", failed.failure());
-      case GatewayEvent.RequestEnded ended -> onEnded(ended);
+      case GatewayEvent.RequestEnded ended -> onRequestEnded(ended);
       case GatewayEvent.WaitsForTokens waiting -> count("requests_that_waited_for_tokens");
       case GatewayEvent.PlanInForce plan -> planVersion.set(plan.version());
       case GatewayEvent.PlanUnreadable unreadable -> count("plans_unreadable");
@@ -75,24 +76,24 @@
     }
   }
 
-  /** Counts a call of the platform's store. */
+  /** Counts a call to the platform's configuration store. */
   public void onStoreCall(String call, boolean succeeded) {
     count("store_" + call, succeeded ? "_done" : "_failed");
   }
 
-  /** Counts how late a tick of the event loop came. */
+  /** Records the delay of a tick of the event loop. */
   public void onTick(Duration late) {
     loopDelay.update(late.toNanos() / 1_000);
   }
 
-  /** Shows a value that is looked up when somebody asks. */
+  /** Registers a gauge whose value is computed whenever the metrics are read. */
   public void gauge(String name, Gauge<Long> value) {
     registry.gauge(name, () -> value);
   }
 
-  private void onEnded(GatewayEvent.RequestEnded ended) {
+  private void onRequestEnded(GatewayEvent.RequestEnded ended) {
     count("requests_ended_", ended.outcome());
-    duration.update(ended.took().toNanos() / 1_000);
+    requestDuration.update(ended.took().toNanos() / 1_000);
     tokenWait.update(ended.waited().toNanos() / 1_000);
   }
 
@@ -108,7 +109,7 @@
 
   private void onDependency(GatewayEvent.Dependency dependency) {
     if (reachable.put(dependency.name(), dependency.reachable()) == null) {
-      String name = "reachable_" + plain(dependency.name());
+      String name = "reachable_" + toMetricName(dependency.name());
       gauge(name, () -> reachable.getOrDefault(dependency.name(), true) ? 1L : 0L);
     }
     count(dependency.reachable() ? "dependencies_regained" : "dependencies_lost");
@@ -128,10 +129,10 @@
   }
 
   private void count(String name, String part) {
-    registry.counter(counterNames.computeIfAbsent(name + part, GatewayMetrics::plain)).inc();
+    registry.counter(counterNames.computeIfAbsent(name + part, GatewayMetrics::toMetricName)).inc();
   }
 
-  private static String plain(String name) {
+  private static String toMetricName(String name) {
     return name.toLowerCase(Locale.ROOT).replaceAll("[^a-z0-9]+", "_");
   }
 }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/CachedPromptsCalls.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/CachedPromptsCalls.java
@@ -15,85 +15,92 @@
 import org.teaseldeal.net.HttpHandler;
 
 /**
- * Asks another instance at the start what lies in the servers' caches, and answers others that
- * start.
+ * Fetches the presumed contents of the servers' caches from another instance at the start, and
+ * answers other instances that start.
  *
- * <p>Failure: instances are replaced in turn, and each begins with no idea of the caches. Symptom:
- * prompts go to servers that have to read their beginnings again while others hold them. Messages
- * tell only what is sent from now on, so all that was sent before is asked for once.
+ * <p>Load messages contain only the prompt parts that are sent from now on. When instances are
+ * replaced one after the other, each new one would know nothing of the caches: prompts would go to
+ * servers that have to read their prefixes again, while other servers have them in their caches. So
+ * a new instance asks once for everything that was sent before.
  */
 public final class CachedPromptsCalls implements HttpHandler {
-  /** Where an instance answers. */
+  /** The path of the HTTP call that returns the presumed contents of the servers' caches. */
   public static final String PATH = "/cached-prompts";
 
   private static final Logger LOG = LoggerFactory.getLogger(CachedPromptsCalls.class);
   private static final Duration TIMEOUT = Duration.ofMillis(500);
 
-  /** By then an instance has seen for itself most of what is asked for. */
-  private static final Duration LONGEST_TRY = Duration.ofSeconds(3);
+  /** After this time an instance has observed most of the cache contents itself. */
+  private static final Duration MAX_TRY_TIME = Duration.ofSeconds(3);
 
   private static final int OK = 200;
 
-  private final LoadExchange loads;
+  private final LoadExchange loadExchange;
   private final Supplier<List<String>> others;
   private final RelayedCalls.Caller caller;
   private final InstantSource clock;
   private final Instant giveUpAt;
-  private int turn;
-  private boolean asking;
-  private boolean done;
+  private int nextIndex;
+  private boolean requestInFlight;
+  private boolean finished;
 
-  /** Creates the calls of an instance; {@code turn} decides which other one it asks first. */
+  /**
+   * Creates the calls of an instance.
+   *
+   * @param nextIndex determines which of the other instances is asked first
+   */
   public CachedPromptsCalls(
-      LoadExchange loads,
+      LoadExchange loadExchange,
       Supplier<List<String>> others,
       RelayedCalls.Caller caller,
       InstantSource clock,
-      int turn) {
-    this.loads = loads;
+      int nextIndex) {
+    this.loadExchange = loadExchange;
     this.others = others;
     this.caller = caller;
     this.clock = clock;
-    this.giveUpAt = clock.instant().plus(LONGEST_TRY);
-    this.turn = turn;
+    this.giveUpAt = clock.instant().plus(MAX_TRY_TIME);
+    this.nextIndex = nextIndex;
   }
 
   /**
-   * Asks the next instance until one has answered.
+   * Asks one instance after the other until one has answered.
    *
-   * @param ready whether the servers are known, without which the answer says nothing
+   * @param ready whether the backend servers are known; without them an answer can't be used
    */
   public void tick(boolean ready) {
     List<String> addresses = others.get();
-    if (done || asking || !ready || addresses.isEmpty()) {
+    if (finished || requestInFlight || !ready || addresses.isEmpty()) {
       return;
     }
     if (clock.instant().isAfter(giveUpAt)) {
-      done = true;
+      finished = true;
       return;
     }
-    asking = true;
-    String address = addresses.get(Math.floorMod(turn++, addresses.size()));
+    requestInFlight = true;
+    String address = addresses.get(Math.floorMod(nextIndex++, addresses.size()));
     caller
         .call(new HttpCallRequest(address, "GET", PATH, Map.of(), new byte[0], TIMEOUT))
         .whenComplete(this::onAnswer);
   }
 
   private void onAnswer(@Nullable HttpAnswer answer, @Nullable Throwable failure) {
-    asking = false;
+    requestInFlight = false;
     if (failure != null || answer == null || answer.status() != OK) {
       return;
     }
     try {
-      loads.learnCachedPrompts(answer.body());
-      done = true;
+      loadExchange.mergeCachedPrompts(answer.body());
+      finished = true;
     } catch (IllegalArgumentException e) {
-      LOG.warn("what another instance knows of the caches can't be read: {}", e.getMessage());
+      LOG.warn(
+          "could not decode the cache contents that another instance sent; asking the next: {}",
+          e.getMessage());
     }
   }
 
   @Override
   public void handle(HttpExchange exchange) {
-    exchange.respond(OK, Map.of(), loads.cachedPrompts());
+    exchange.respond(OK, Map.of(), loadExchange.cachedPrompts());
   }
 }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/LoadCollectors.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/LoadCollectors.java
@@ -8,91 +8,100 @@
 import org.teaseldeal.decisions.LoadCollectorChoice;
 
 /**
- * The collectors of the fleet, and which of them this instance reports to: the first in its own
- * order that it hears. One that has gone silent is left for the next.
+ * The load collectors of the fleet, and the one that this instance reports to. The instance starts
+ * with the first collector in its own order of preference and switches to the next one when a
+ * collector becomes silent.
  */
 final class LoadCollectors {
-  /** Between messages over one hop: about the time in which an instance sends two prompts. */
+  /**
+   * The interval of messages in a fleet in which every instance is a collector: about the time in
+   * which an instance sends two prompts.
+   */
   private static final Duration DIRECT_INTERVAL = Duration.ofMillis(100);
 
-  /** Between messages of collectors to each other, so that news are little older in the end. */
+  /**
+   * The interval of messages between collectors. It is shorter because the loads then pass more
+   * hops until they reach an instance.
+   */
   private static final Duration COLLECTED_INTERVAL = Duration.ofMillis(40);
 
-  /** Between reports to a collector, which tell changes only: each tick. */
+  /** The interval of reports to a collector: every tick, as reports contain only changes. */
   private static final Duration REPORT_INTERVAL = Duration.ofMillis(20);
 
-  /** Some messages in a row, more than are lost by chance. */
-  private static final Duration SILENCE = Duration.ofMillis(300);
+  /** The time of several consecutive messages, more than are lost by chance. */
+  private static final Duration SILENCE_TIMEOUT = Duration.ofMillis(300);
 
   private final String instance;
   private final Supplier<Set<String>> fleet;
-  private Set<String> known = Set.of();
-  private List<String> order = List.of();
-  private boolean own = true;
-  private boolean direct = true;
+  private Set<String> knownFleet = Set.of();
+  private List<String> preferenceOrder = List.of();
+  private boolean isCollector = true;
+  private boolean allCollect = true;
   private String collector = "";
-  private Instant heardAt = Instant.MIN;
+  private Instant lastReceivedAt = Instant.MIN;
 
   LoadCollectors(String instance, Supplier<Set<String>> fleet) {
     this.instance = instance;
     this.fleet = fleet;
   }
 
-  /** Follows the fleet, and leaves a collector that has gone silent. */
-  void follow(Instant now) {
+  /** Takes changes of the fleet into account, and switches from a silent collector to the next. */
+  void update(Instant now) {
     Set<String> present = fleet.get();
-    if (present != known) {
-      known = present;
+    if (present != knownFleet) {
+      knownFleet = present;
       Set<String> collecting = LoadCollectorChoice.of(present);
-      own = collecting.contains(instance) || collecting.isEmpty();
-      direct = collecting.size() == present.size();
-      order =
+      isCollector = collecting.contains(instance) || collecting.isEmpty();
+      allCollect = collecting.size() == present.size();
+      preferenceOrder =
           LoadCollectorChoice.order(instance, collecting).stream()
               .filter(name -> !name.equals(instance))
               .toList();
     }
-    if (own || order.isEmpty()) {
+    if (isCollector || preferenceOrder.isEmpty()) {
       return;
     }
-    if (!order.contains(collector)) {
-      turnTo(order.getFirst(), now);
-    } else if (heardAt.plus(SILENCE).isBefore(now)) {
-      turnTo(order.get((order.indexOf(collector) + 1) % order.size()), now);
+    if (!preferenceOrder.contains(collector)) {
+      switchTo(preferenceOrder.getFirst(), now);
+    } else if (lastReceivedAt.plus(SILENCE_TIMEOUT).isBefore(now)) {
+      switchTo(
+          preferenceOrder.get((preferenceOrder.indexOf(collector) + 1) % preferenceOrder.size()),
+          now);
     }
   }
 
-  private void turnTo(String name, Instant now) {
+  private void switchTo(String name, Instant now) {
     collector = name;
-    heardAt = now;
+    lastReceivedAt = now;
   }
 
-  /** Whether this instance collects. */
-  boolean own() {
-    return own;
+  /** Whether this instance is a collector. */
+  boolean isCollector() {
+    return isCollector;
   }
 
-  /** The other collectors. */
-  List<String> others() {
-    return order;
+  /** The other collectors, in this instance's order of preference. */
+  List<String> otherCollectors() {
+    return preferenceOrder;
   }
 
-  /** Whom this instance reports to, unless it collects. */
+  /** The collector that this instance reports to; not used if it is a collector itself. */
   String collector() {
     return collector;
   }
 
-  /** Takes note of a message that tells this instance what all others have. */
-  void heard(String sender, Instant now) {
+  /** Records the arrival of a message with the loads of all other instances. */
+  void onReceived(String sender, Instant now) {
     if (sender.equals(collector)) {
-      heardAt = now;
+      lastReceivedAt = now;
     }
   }
 
-  /** Between messages. */
+  /** The interval between two messages of this instance. */
   Duration interval() {
-    if (direct) {
+    if (allCollect) {
       return DIRECT_INTERVAL;
     }
-    return own ? COLLECTED_INTERVAL : REPORT_INTERVAL;
+    return isCollector ? COLLECTED_INTERVAL : REPORT_INTERVAL;
   }
 }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/LoadExchange.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/LoadExchange.java
@@ -22,160 +22,170 @@
 import org.teaseldeal.gateway.server.ServerIncarnation;
 
 /**
- * Tells the other instances what this one has outstanding at each backend server, and adds up what
- * they tell.
+ * Sends the load that this instance has outstanding at each backend server to the other instances,
+ * and sums up the loads that they send.
  *
- * <p>An instance sees a small part of an engine's work. Without the rest, an engine that reads a
- * long prompt for another instance looks idle, and callers whose prompts are sent there wait behind
- * it. What is missing for a moment costs a worse choice, nothing else, so datagrams serve.
+ * <p>Each instance causes only a small part of a server's load. Without the loads of the others, a
+ * server that reads a long prompt for another instance would look idle, and callers whose prompts
+ * were sent there would wait behind that prompt. A message that is lost only leads to a worse
+ * choice of a server for a moment, so the messages are sent as datagrams.
  *
- * <p>An instance reports to one collector, which tells the other collectors what its group has
- * outstanding, and each instance of its group what all others have ({@link LoadCollectors}). In a
- * small fleet all collect, and no group has more than its collector.
+ * <p>An instance reports to one collector. A collector sends the sum of its group's loads to the
+ * other collectors, and to each instance of its group the sum of all other instances' loads ({@link
+ * LoadCollectors}). In a small fleet every instance is a collector, and each group consists of its
+ * collector only.
  */
 public final class LoadExchange {
   private static final Logger LOG = LoggerFactory.getLogger(LoadExchange.class);
 
-  /** Each message repeats what was sent since; one of two may be lost. */
+  /**
+   * Each message repeats the changes of this many intervals, so that a change still arrives if one
+   * of two messages is lost.
+   */
   private static final int REPEATED_INTERVALS = 2;
 
-  /** Between messages of a collector to its group, each of which has news of most servers. */
+  /**
+   * The interval of a collector's messages to its group, which contain the loads of most servers.
+   */
   private static final Duration GROUP_INTERVAL = Duration.ofMillis(80);
 
-  /** Between messages that tell all servers, so that what was lost is told again. */
+  /** The interval of messages that contain all servers, which make up for lost messages. */
   private static final Duration COMPLETE_PERIOD = Duration.ofMillis(500);
 
-  /** News older than this say nothing: most prompts were read since. */
-  private static final Duration STALE = Duration.ofSeconds(1);
+  /** The age from which loads are ignored, as most of the prompts were read since. */
+  private static final Duration MAX_AGE = Duration.ofSeconds(1);
 
-  /** A collector tells an instance for so long after its last report. */
-  private static final Duration MEMBER_KEPT = Duration.ofSeconds(2);
+  /** How long a collector sends messages to an instance after the instance's last report. */
+  private static final Duration MEMBER_RETENTION = Duration.ofSeconds(2);
 
-  /** Sums are added up anew after this at the latest, without what has become stale. */
-  private static final Duration SUMS_KEPT = Duration.ofMillis(100);
+  /** The longest time after which the sums are computed again, without loads that became stale. */
+  private static final Duration SUMS_MAX_AGE = Duration.ofMillis(100);
 
-  /** After a change, reports are made up for so long, as each tells it more than once. */
-  private static final Duration REPORT_KEPT = Duration.ofMillis(100);
+  /** How long reports are sent after a change; each change is repeated in several reports. */
+  private static final Duration REPORTING_TIME = Duration.ofMillis(100);
 
-  /** Bounds what a starting instance is told to some ten kilobytes. */
-  private static final int MOST_COPIES = 4_096;
+  /** Limits the cache contents that a starting instance is sent to some tens of kilobytes. */
+  private static final int MAX_CACHED_PARTS = 4_096;
 
   private final String instance;
   private final ServerDirectory servers;
-  private final CachedPrompts cached;
+  private final CachedPrompts cachedPrompts;
   private final LoadCollectors collectors;
   private final Function<String, Optional<String>> addresses;
-  private final PeerPort port;
+  private final PeerTransport transport;
   private final InstantSource clock;
 
-  private final HeardLoads reports = new HeardLoads(STALE);
-  private final HeardLoads groups = new HeardLoads(STALE);
-  private final HeardLoads others = new HeardLoads(STALE);
-  private final RecentParts groupParts = new RecentParts();
-  private final RecentParts othersParts = new RecentParts();
-  private final ChangedLoads ownChanges = new ChangedLoads();
-  private final ChangedLoads groupChanges = new ChangedLoads();
-  private final ChangedLoads allChanges = new ChangedLoads();
-  private final Map<Integer, BackendServer> byHash = new HashMap<>();
+  private final ReceivedLoads memberLoads = new ReceivedLoads(MAX_AGE);
+  private final ReceivedLoads groupLoads = new ReceivedLoads(MAX_AGE);
+  private final ReceivedLoads others = new ReceivedLoads(MAX_AGE);
+  private final RecentSentParts groupParts = new RecentSentParts();
+  private final RecentSentParts otherGroupsParts = new RecentSentParts();
+  private final LoadChanges ownChanges = new LoadChanges();
+  private final LoadChanges groupChanges = new LoadChanges();
+  private final LoadChanges allChanges = new LoadChanges();
+  private final Map<Integer, BackendServer> serversByHash = new HashMap<>();
   private long hashedChanges = -1;
-  private Map<BackendServerId, OthersLoad> sums = Map.of();
-  private Instant sumsUntil = Instant.MIN;
-  private @Nullable Instant heardAt;
-  private Instant next = Instant.MIN;
-  private Instant nextToGroup = Instant.MIN;
-  private Instant groupToldAt = Instant.MIN;
-  private Instant nextComplete = Instant.MIN;
+  private Map<BackendServerId, PeerLoad> sumsByServer = Map.of();
+  private Instant sumsValidUntil = Instant.MIN;
+  private @Nullable Instant lastReceivedAt;
+  private Instant nextMessageAt = Instant.MIN;
+  private Instant nextToGroupAt = Instant.MIN;
+  private Instant lastToGroupAt = Instant.MIN;
+  private Instant nextCompleteAt = Instant.MIN;
   private long sequence;
-  private long reportedWork = -1;
-  private long reportedServers = -1;
+  private long lastLoadChanges = -1;
+  private long lastServerChanges = -1;
   private Instant reportUntil = Instant.MIN;
   private long messagesDropped;
 
   /**
-   * Creates the exchange of {@code instance}.
+   * Creates the load exchange of {@code instance}.
    *
-   * @param fleet the names of all instances; an unmodifiable set, another one after each change
-   * @param addresses where an instance can be reached
+   * @param fleet the names of all instances; an unmodifiable set, which is replaced by another one
+   *     at each change
+   * @param addresses maps an instance's name to its address, if that is known
    */
   public LoadExchange(
       String instance,
       ServerDirectory servers,
-      CachedPrompts cached,
+      CachedPrompts cachedPrompts,
       Supplier<Set<String>> fleet,
       Function<String, Optional<String>> addresses,
-      PeerPort port,
+      PeerTransport transport,
       InstantSource clock) {
     this.instance = instance;
     this.servers = servers;
-    this.cached = cached;
+    this.cachedPrompts = cachedPrompts;
     this.collectors = new LoadCollectors(instance, fleet);
     this.addresses = addresses;
-    this.port = port;
+    this.transport = transport;
     this.clock = clock;
-    // A process that starts anew goes on above its predecessor.
+    // The time of day in the upper bits makes a restarted process continue above its predecessor.
     this.sequence = clock.instant().toEpochMilli() << 16;
   }
 
   /**
-   * Whether another instance has been heard lately, or there is none to be heard. One that collects
-   * is told by the other collectors, any other one by its collector, each half second at least.
+   * Whether a load message was received recently, or there is no other instance to receive one
+   * from. A collector receives messages from the other collectors, any other instance from its
+   * collector, both at least every half second.
    */
   public boolean othersHeard() {
-    Instant heard = heardAt;
-    return collectors.others().isEmpty()
-        || heard == null
-        || !heard.isBefore(clock.instant().minus(STALE));
+    Instant last = lastReceivedAt;
+    return collectors.otherCollectors().isEmpty()
+        || last == null
+        || !last.isBefore(clock.instant().minus(MAX_AGE));
   }
 
-  /** Messages that could not be read, since the start. */
+  /** The number of messages since the start that could not be decoded. */
   public long messagesDropped() {
     return messagesDropped;
   }
 
-  /** Tells the others if it is time to. */
+  /** Sends the messages that are due. */
   public void tick() {
     Instant now = clock.instant();
-    if (now.isBefore(next)) {
+    if (now.isBefore(nextMessageAt)) {
       return;
     }
-    collectors.follow(now);
-    next = now.plus(collectors.interval());
-    followServers();
-    boolean complete = !now.isBefore(nextComplete);
+    collectors.update(now);
+    nextMessageAt = now.plus(collectors.interval());
+    refreshServerHashes();
+    boolean complete = !now.isBefore(nextCompleteAt);
     if (complete) {
-      nextComplete = now.plus(COMPLETE_PERIOD);
+      nextCompleteAt = now.plus(COMPLETE_PERIOD);
     }
-    if (!collectors.own()) {
-      report(complete, now);
+    if (!collectors.isCollector()) {
+      reportToCollector(complete, now);
       return;
     }
-    tellCollectors(complete, now);
-    if (complete || !now.isBefore(nextToGroup)) {
-      nextToGroup = now.plus(GROUP_INTERVAL);
-      tellGroup(complete, now);
+    sendToCollectors(complete, now);
+    if (complete || !now.isBefore(nextToGroupAt)) {
+      nextToGroupAt = now.plus(GROUP_INTERVAL);
+      sendToGroup(complete, now);
     }
   }
 
-  /** Since when changes are told, by one who tells them each {@code interval}. */
+  /** The time since which changes are included in a message that is sent every {@code interval}. */
   private static Instant repeatedSince(Instant now, Duration interval) {
     return now.minus(interval.multipliedBy(REPEATED_INTERVALS));
   }
 
-  private List<LoadNews.SentPart> ownParts(Instant since) {
-    return sentParts(cached.sentSince(since));
+  private List<LoadMessage.SentPart> ownParts(Instant since) {
+    return sentParts(cachedPrompts.sentSince(since));
   }
 
   /**
-   * Tells this instance's collector what has changed, or that it is there.
+   * Sends this instance's changed loads to its collector. A complete report is sent even if nothing
+   * has changed, to show that the instance is present.
    *
-   * <p>Most of the time nothing has changed, and looking through all servers would be most of what
-   * an idle instance does.
+   * <p>The servers are examined only for a while after a change. Most of the time nothing changes,
+   * and examining all servers would be most of the work of an idle instance.
    */
-  private void report(boolean complete, Instant now) {
-    if (reportedWork != servers.workChanges() || hashedChanges != reportedServers) {
-      reportedWork = servers.workChanges();
-      reportedServers = hashedChanges;
-      reportUntil = now.plus(REPORT_KEPT);
+  private void reportToCollector(boolean complete, Instant now) {
+    if (lastLoadChanges != servers.loadChanges() || hashedChanges != lastServerChanges) {
+      lastLoadChanges = servers.loadChanges();
+      lastServerChanges = hashedChanges;
+      reportUntil = now.plus(REPORTING_TIME);
     }
     if (!complete && now.isAfter(reportUntil)) {
       return;
@@ -183,189 +193,208 @@
     LoadSums own = ownLoads();
     ownChanges.update(own.asMap(), now);
     Instant since = repeatedSince(now, collectors.interval());
-    Set<Integer> changed = ownChanges.since(since);
-    List<LoadNews.SentPart> parts = ownParts(since);
+    Set<Integer> changed = ownChanges.changedSince(since);
+    List<LoadMessage.SentPart> parts = ownParts(since);
     if (complete || !changed.isEmpty() || !parts.isEmpty()) {
-      List<LoadNews.ServerLoad> loads = complete ? own.toList() : ownChanges.loadsOf(changed);
-      send(collectors.collector(), news(LoadNews.Scope.INSTANCE, complete, loads, parts));
+      List<LoadMessage.ServerLoad> loads = complete ? own.toList() : ownChanges.loadsOf(changed);
+      send(
+          collectors.collector(),
+          encodeMessage(LoadMessage.Scope.INSTANCE, complete, loads, parts));
     }
   }
 
-  private void tellCollectors(boolean complete, Instant now) {
+  /** Sends the changed loads of this collector's group to the other collectors. */
+  private void sendToCollectors(boolean complete, Instant now) {
     LoadSums group = ownLoads();
-    reports.addTo(group, now);
+    memberLoads.addTo(group, now);
     groupChanges.update(group.asMap(), now);
     Instant since = repeatedSince(now, collectors.interval());
-    Set<Integer> changed = groupChanges.since(since);
-    List<LoadNews.SentPart> parts = new ArrayList<>(ownParts(since));
-    parts.addAll(groupParts.since(since));
+    Set<Integer> changed = groupChanges.changedSince(since);
+    List<LoadMessage.SentPart> parts = new ArrayList<>(ownParts(since));
+    parts.addAll(groupParts.addedSince(since));
     if (!complete && changed.isEmpty() && parts.isEmpty()) {
       return;
     }
-    List<LoadNews.ServerLoad> loads = complete ? group.toList() : groupChanges.loadsOf(changed);
-    byte[] message = news(LoadNews.Scope.GROUP, complete, loads, parts);
-    collectors.others().forEach(name -> send(name, message));
+    List<LoadMessage.ServerLoad> loads = complete ? group.toList() : groupChanges.loadsOf(changed);
+    byte[] message = encodeMessage(LoadMessage.Scope.GROUP, complete, loads, parts);
+    collectors.otherCollectors().forEach(name -> send(name, message));
   }
 
-  private void tellGroup(boolean complete, Instant now) {
-    List<String> members = reports.heardSince(now.minus(MEMBER_KEPT));
+  /** Sends to each instance of this collector's group the loads of all instances but that one. */
+  private void sendToGroup(boolean complete, Instant now) {
+    List<String> members = memberLoads.sendersSince(now.minus(MEMBER_RETENTION));
     if (members.isEmpty()) {
       return;
     }
     LoadSums all = ownLoads();
-    reports.addTo(all, now);
-    groups.addTo(all, now);
+    memberLoads.addTo(all, now);
+    groupLoads.addTo(all, now);
     allChanges.update(all.asMap(), now);
-    Set<Integer> changed = allChanges.since(repeatedSince(now, GROUP_INTERVAL));
-    List<LoadNews.SentPart> parts = new ArrayList<>(ownParts(groupToldAt));
-    parts.addAll(groupParts.since(groupToldAt));
-    parts.addAll(othersParts.since(groupToldAt));
-    groupToldAt = now;
-    Set<Integer> told = complete ? all.asMap().keySet() : changed;
+    Set<Integer> changed = allChanges.changedSince(repeatedSince(now, GROUP_INTERVAL));
+    List<LoadMessage.SentPart> parts = new ArrayList<>(ownParts(lastToGroupAt));
+    parts.addAll(groupParts.addedSince(lastToGroupAt));
+    parts.addAll(otherGroupsParts.addedSince(lastToGroupAt));
+    lastToGroupAt = now;
+    Set<Integer> included = complete ? all.asMap().keySet() : changed;
     for (String member : members) {
-      Map<Integer, LoadNews.ServerLoad> reported = reports.of(member, now);
-      List<LoadNews.ServerLoad> loads =
-          told.stream().map(server -> without(reported.get(server), server, all)).toList();
-      send(member, news(LoadNews.Scope.OTHERS, complete, loads, parts));
+      Map<Integer, LoadMessage.ServerLoad> reported = memberLoads.loadsOf(member, now);
+      List<LoadMessage.ServerLoad> loads =
+          included.stream()
+              .map(server -> subtractReported(reported.get(server), server, all))
+              .toList();
+      send(member, encodeMessage(LoadMessage.Scope.OTHERS, complete, loads, parts));
     }
   }
 
-  /** What all have outstanding at a server, without what one of them has reported. */
-  private static LoadNews.ServerLoad without(
-      LoadNews.@Nullable ServerLoad reported, int server, LoadSums all) {
-    OthersLoad sum = all.of(server);
+  /** The sum of all instances' loads at a server, without the load that one instance reported. */
+  private static LoadMessage.ServerLoad subtractReported(
+      LoadMessage.@Nullable ServerLoad reported, int server, LoadSums all) {
+    PeerLoad sum = all.of(server);
     if (reported == null) {
-      return new LoadNews.ServerLoad(server, sum.running(), sum.promptTokensAhead());
+      return new LoadMessage.ServerLoad(server, sum.running(), sum.promptTokensAhead());
     }
-    return new LoadNews.ServerLoad(
+    return new LoadMessage.ServerLoad(
         server,
         Math.max(0, sum.running() - reported.running()),
         Math.max(0, sum.promptTokensAhead() - reported.promptTokensAhead()));
   }
 
-  private byte[] news(
-      LoadNews.Scope scope,
+  private byte[] encodeMessage(
+      LoadMessage.Scope scope,
       boolean complete,
-      List<LoadNews.ServerLoad> loads,
-      List<LoadNews.SentPart> parts) {
-    return new LoadNews(scope, instance, ++sequence, complete, loads, parts).encode();
+      List<LoadMessage.ServerLoad> loads,
+      List<LoadMessage.SentPart> parts) {
+    return new LoadMessage(scope, instance, ++sequence, complete, loads, parts).encode();
   }
 
   private void send(String name, byte[] message) {
-    addresses.apply(name).ifPresent(address -> port.send(address, message));
+    addresses.apply(name).ifPresent(address -> transport.send(address, message));
   }
 
-  /** What is known of the servers' caches, for an instance that has just started. */
+  /**
+   * Encodes what is known of the servers' cache contents, for an instance that has just started.
+   */
   byte[] cachedPrompts() {
-    return new LoadNews(
-            LoadNews.Scope.INSTANCE,
+    return new LoadMessage(
+            LoadMessage.Scope.INSTANCE,
             instance,
             sequence,
             false,
             List.of(),
-            sentParts(cached.newest(MOST_COPIES)))
+            sentParts(cachedPrompts.mostRecentlyUsed(MAX_CACHED_PARTS)))
         .encode();
   }
 
   /**
-   * Takes in what another instance knows of the servers' caches.
+   * Adds what another instance knows of the servers' cache contents.
    *
-   * @throws IllegalArgumentException if it can't be read
+   * @throws IllegalArgumentException if {@code message} can't be decoded
    */
-  void learnCachedPrompts(byte[] message) {
-    noteCached(LoadNews.decode(message).sentParts());
+  void mergeCachedPrompts(byte[] message) {
+    recordCachedParts(LoadMessage.decode(message).sentParts());
   }
 
-  /** Takes in a message of another instance. */
+  /** Processes a load message of another instance. */
   public void receive(byte[] message) {
-    LoadNews news;
+    LoadMessage received;
     try {
-      news = LoadNews.decode(message);
+      received = LoadMessage.decode(message);
     } catch (IllegalArgumentException e) {
       messagesDropped++;
-      LOG.debug("a message of a peer is dropped: {}", e.getMessage());
+      LOG.debug("dropped a load message that could not be decoded: {}", e.getMessage());
       return;
     }
     Instant now = clock.instant();
-    boolean heard =
-        switch (news.scope()) {
-          case INSTANCE -> reports.hear(news, now);
-          case GROUP -> groups.hear(news, now);
-          case OTHERS -> others.hear(news, now);
+    boolean accepted =
+        switch (received.scope()) {
+          case INSTANCE -> memberLoads.receive(received, now);
+          case GROUP -> groupLoads.receive(received, now);
+          case OTHERS -> others.receive(received, now);
         };
-    if (heard) {
-      heardAt = now;
-      sumsUntil = Instant.MIN;
-      if (news.scope() == LoadNews.Scope.OTHERS) {
-        collectors.heard(news.sender(), now);
+    if (accepted) {
+      lastReceivedAt = now;
+      sumsValidUntil = Instant.MIN;
+      if (received.scope() == LoadMessage.Scope.OTHERS) {
+        collectors.onReceived(received.sender(), now);
       }
     }
-    noteCached(news.sentParts());
-    passOn(news, now);
+    recordCachedParts(received.sentParts());
+    keepForForwarding(received, now);
   }
 
-  private void passOn(LoadNews news, Instant now) {
-    switch (news.scope()) {
-      case INSTANCE -> news.sentParts().forEach(part -> groupParts.add(part, now));
-      case GROUP -> news.sentParts().forEach(part -> othersParts.add(part, now));
+  /** Keeps prompt parts that a collector has to forward to its group or to other collectors. */
+  private void keepForForwarding(LoadMessage received, Instant now) {
+    switch (received.scope()) {
+      case INSTANCE -> received.sentParts().forEach(part -> groupParts.add(part, now));
+      case GROUP -> received.sentParts().forEach(part -> otherGroupsParts.add(part, now));
       case OTHERS -> {}
     }
   }
 
-  private List<LoadNews.SentPart> sentParts(List<CachedPrompts.Copy> copies) {
-    return copies.stream()
-        .map(copy -> new LoadNews.SentPart(hash(copy.server()), copy.part()))
+  private List<LoadMessage.SentPart> sentParts(List<CachedPrompts.CachedPart> cachedParts) {
+    return cachedParts.stream()
+        .map(
+            cachedPart ->
+                new LoadMessage.SentPart(hash(cachedPart.server()), cachedPart.partHash()))
         .toList();
   }
 
-  private void noteCached(List<LoadNews.SentPart> sent) {
+  private void recordCachedParts(List<LoadMessage.SentPart> sent) {
     if (sent.isEmpty()) {
       return;
     }
-    followServers();
-    for (LoadNews.SentPart each : sent) {
-      BackendServer server = byHash.get(each.server());
+    refreshServerHashes();
+    for (LoadMessage.SentPart each : sent) {
+      BackendServer server = serversByHash.get(each.serverHash());
       if (server != null) {
-        cached.onHeard(new CachedPrompts.Copy(server.incarnation(), each.part()));
+        cachedPrompts.onReceived(
+            new CachedPrompts.CachedPart(server.incarnation(), each.partHash()));
       }
     }
   }
 
-  private void followServers() {
+  private void refreshServerHashes() {
     if (hashedChanges != servers.changes()) {
       hashedChanges = servers.changes();
-      byHash.clear();
-      servers.all().forEach(each -> byHash.put(hash(each.incarnation()), each));
-      sumsUntil = Instant.MIN;
+      serversByHash.clear();
+      servers.all().forEach(each -> serversByHash.put(hash(each.incarnation()), each));
+      sumsValidUntil = Instant.MIN;
     }
   }
 
-  /** What the others have outstanding. */
+  /** The load that the other instances have outstanding at the servers. */
   public FleetLoad others() {
     Instant now = clock.instant();
-    followServers();
-    if (!now.isBefore(sumsUntil)) {
-      sums = addUp(now);
-      sumsUntil = now.plus(SUMS_KEPT);
+    refreshServerHashes();
+    if (!now.isBefore(sumsValidUntil)) {
+      sumsByServer = sumByServer(now);
+      sumsValidUntil = now.plus(SUMS_MAX_AGE);
     }
-    return new FleetLoad(sums, heardAt == null ? Duration.ZERO : Duration.between(heardAt, now));
+    return new FleetLoad(
+        sumsByServer,
+        lastReceivedAt == null ? Duration.ZERO : Duration.between(lastReceivedAt, now));
   }
 
-  private Map<BackendServerId, OthersLoad> addUp(Instant now) {
-    LoadSums heard = new LoadSums();
-    boolean told = !collectors.own() && !others.of(collectors.collector(), now).isEmpty();
-    if (told) {
-      heard.add(others.of(collectors.collector(), now).values());
+  /**
+   * Sums the loads of the other instances by server. An instance that isn't a collector uses the
+   * sums that its collector has sent, if there are recent ones.
+   */
+  private Map<BackendServerId, PeerLoad> sumByServer(Instant now) {
+    LoadSums total = new LoadSums();
+    boolean collected =
+        !collectors.isCollector() && !others.loadsOf(collectors.collector(), now).isEmpty();
+    if (collected) {
+      total.add(others.loadsOf(collectors.collector(), now).values());
     } else {
-      reports.addTo(heard, now);
-      groups.addTo(heard, now);
+      memberLoads.addTo(total, now);
+      groupLoads.addTo(total, now);
     }
-    Map<BackendServerId, OthersLoad> byServer = new HashMap<>();
-    heard
+    Map<BackendServerId, PeerLoad> byServer = new HashMap<>();
+    total
         .asMap()
         .forEach(
             (hash, load) -> {
-              BackendServer server = byHash.get(hash);
+              BackendServer server = serversByHash.get(hash);
               if (server != null) {
                 byServer.put(server.id(), load);
               }
@@ -375,19 +404,19 @@
 
   private LoadSums ownLoads() {
     LoadSums own = new LoadSums();
-    byHash.forEach(
+    serversByHash.forEach(
         (hash, server) -> {
           if (server.running() > 0) {
             long ahead = Math.max(0, server.promptTokensAhead());
-            own.add(List.of(new LoadNews.ServerLoad(hash, server.running(), ahead)));
+            own.add(List.of(new LoadMessage.ServerLoad(hash, server.running(), ahead)));
           }
         });
     return own;
   }
 
   /**
-   * Differs with the start, so that what a peer still has at an earlier process isn't taken for the
-   * load of the one that runs.
+   * A hash of a server's id and start time. The start time is included so that load which a peer
+   * still has at an earlier process of the server isn't attributed to the present one.
    */
   private static int hash(ServerIncarnation incarnation) {
     String start = incarnation.startedAt().map(at -> "\n" + at.toEpochMilli()).orElse("");
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/PeerCalls.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/PeerCalls.java
@@ -5,12 +5,12 @@
 import org.teaseldeal.net.HttpHandler;
 
 /**
- * Answers the calls of other instances.
+ * Dispatches the calls of other instances to their handlers by path.
  *
- * @param byPath handlers of this gateway's own calls
- * @param others handles all further calls
+ * @param byPath the handlers of the gateway's own calls
+ * @param fallback the handler of all other calls
  */
-public record PeerCalls(Map<String, HttpHandler> byPath, HttpHandler others)
+public record PeerCalls(Map<String, HttpHandler> byPath, HttpHandler fallback)
     implements HttpHandler {
   public PeerCalls {
     byPath = Map.copyOf(byPath);
@@ -18,6 +18,6 @@
 
   @Override
   public void handle(HttpExchange exchange) {
-    byPath.getOrDefault(exchange.path(), others).handle(exchange);
+    byPath.getOrDefault(exchange.path(), fallback).handle(exchange);
   }
 }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/quarantine/RequestQuarantine.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/quarantine/RequestQuarantine.java
@@ -17,47 +17,55 @@
 import org.teaseldeal.gateway.server.ServerIncarnation;
 
 /**
- * Stops requests that crash each backend server that begins to run them.
+ * Quarantines requests that crash each backend server that runs them.
  *
- * <p>Failure: one request ends a server; its caller, or an instance, sends it again, and it ends
- * the next. Symptom: servers of one service are down in turn, and everybody's requests that ran
- * there fail with it. Each instance sees only some of the tries, so each tells the others on the
- * shared log what it has seen, and all count together.
+ * <p>If a request crashes a server and its caller or an instance sends it again, it crashes the
+ * next server too. The servers of the service would be down one after the other, and all other
+ * requests that run there would fail. Each instance sees only some of the attempts, so the
+ * instances share their counts through the shared log and add them up.
  *
- * <p>A broken connection alone proves no crash: an answer may have been lost on its way. It counts
- * only once the server can't be connected to, is gone from the list, or is listed with a later
- * start. A request that happened to run beside the culprit is counted too; that it happens to
- * {@link #LIMIT} servers in a row without one answer between is too rare to matter.
+ * <p>A broken connection alone doesn't prove a crash, as an answer may have been lost in the
+ * network. It counts only once the server refuses connections, is gone from the list, or is listed
+ * with a later start time. A request that ran beside the crashing one is counted too. That this
+ * happens to the same request {@link #CRASH_LIMIT} times without an answer in between is too
+ * unlikely to matter.
  */
 public final class RequestQuarantine implements LogParticipant {
-  /** Crashes after which a request isn't sent any more; two may be chance when a rack fails. */
-  static final int LIMIT = 3;
+  /**
+   * The number of crashes from which on a request is not sent any more. Two crashes may be a
+   * coincidence when a rack fails.
+   */
+  static final int CRASH_LIMIT = 3;
 
-  /** A crashed server refuses connections, or is taken off the list, within this time. */
-  private static final Duration PROOF_WITHIN = Duration.ofSeconds(6);
+  /** A crashed server refuses connections or is removed from the list within this time. */
+  private static final Duration PROOF_TIMEOUT = Duration.ofSeconds(6);
 
-  /** Callers who send a request again do so within minutes; the log needn't hold it for longer. */
-  private static final Duration FORGET_AFTER = Duration.ofMinutes(3);
+  /**
+   * How long this instance keeps its count of a request. Callers repeat a request within minutes,
+   * so the shared log need not keep it for longer.
+   */
+  private static final Duration RETENTION = Duration.ofMinutes(3);
 
   /**
-   * An instance takes its count back after {@link #FORGET_AFTER}; what is there for longer is
-   * nobody's, or another writer's, and would stop a request for good.
+   * How long the count of another instance is kept. An instance cancels its count after {@link
+   * #RETENTION}. A count that is still there later is from an instance that is gone or from another
+   * writer, and would block a request forever.
    */
-  private static final Duration FORGET_OTHERS_AFTER = FORGET_AFTER.plusMinutes(1);
+  private static final Duration PEER_RETENTION = RETENTION.plusMinutes(1);
 
-  /** Bounds memory when many servers crash at once: thirty requests run at each. */
-  private static final int MOST_TRACKED = 2_000;
+  /** Limits memory use when many servers crash at once; some thirty requests run at each server. */
+  private static final int MAX_TRACKED = 2_000;
 
-  /** A request whose connection broke off at a server. */
-  private record Suspect(String fingerprint, ServerIncarnation server, Instant at) {}
+  /** A request whose connection to a server broke. */
+  private record Suspect(String fingerprint, ServerIncarnation server, Instant lostAt) {}
 
-  /** What another instance has counted of a request, and since when this count is known here. */
-  private record Heard(int crashes, Instant at) {}
+  /** Another instance's count of a request, and when this value was first received. */
+  private record PeerCount(int crashes, Instant receivedAt) {}
 
-  /** What this instance has counted of a request; due until the log has it. */
+  /** This instance's count of a request, and whether it has yet to be written to the shared log. */
   private static final class Count {
     private int crashes;
-    private Instant last = Instant.MIN;
+    private Instant lastCrashAt = Instant.MIN;
     private boolean noteDue;
   }
 
@@ -66,12 +74,13 @@
   private final EventSink events;
   private final InstantSource clock;
   private final List<Suspect> suspects = new ArrayList<>();
-  private final Map<String, Count> own = new LinkedHashMap<>();
-  private final Map<String, Map<String, Heard>> others = new HashMap<>();
+  private final Map<String, Count> ownCounts = new LinkedHashMap<>();
+  private final Map<String, Map<String, PeerCount>> peerCounts = new HashMap<>();
 
   /**
-   * Creates the quarantine of {@code instance}; {@code listed} tells whether that incarnation of a
-   * server is listed.
+   * Creates the quarantine of {@code instance}.
+   *
+   * @param listed whether an incarnation of a server is listed
    */
   public RequestQuarantine(
       String instance, Predicate<ServerIncarnation> listed, EventSink events, InstantSource clock) {
@@ -81,31 +90,31 @@
     this.clock = clock;
   }
 
-  /** Whether anything is counted; while it isn't, no fingerprint need be worked out. */
-  public boolean active() {
-    return !own.isEmpty() || !others.isEmpty();
+  /** Whether there is any count. If not, no request's fingerprint needs to be computed. */
+  public boolean hasCounts() {
+    return !ownCounts.isEmpty() || !peerCounts.isEmpty();
   }
 
   /** Whether the request has crashed too many servers to be sent again. */
-  public boolean holds(String fingerprint) {
-    return crashes(fingerprint) >= LIMIT;
+  public boolean isQuarantined(String fingerprint) {
+    return crashes(fingerprint) >= CRASH_LIMIT;
   }
 
-  /** Takes note that a server closed a request's connection without an answer. */
-  public void onBrokenOff(String fingerprint, ServerIncarnation server) {
-    if (suspects.size() < MOST_TRACKED) {
+  /** Records that the connection of a request broke before its answer was complete. */
+  public void onConnectionLost(String fingerprint, ServerIncarnation server) {
+    if (suspects.size() < MAX_TRACKED) {
       suspects.add(new Suspect(fingerprint, server, clock.instant()));
     }
   }
 
-  /** Takes note that a server can't be connected to: what broke off there was a crash. */
+  /** Records that a server can't be connected to: connections that broke there count as crashes. */
   public void onUnreachable(ServerIncarnation server) {
-    confirm(suspect -> suspect.server().equals(server));
+    confirmCrashes(suspect -> suspect.server().equals(server));
   }
 
-  /** Forgets what was counted of a request that a server has answered. */
+  /** Resets this instance's count of a request that a server has answered. */
   public void onAnswered(String fingerprint) {
-    Count count = own.get(fingerprint);
+    Count count = ownCounts.get(fingerprint);
     if (count != null && count.crashes > 0) {
       count.crashes = 0;
       count.noteDue = true;
@@ -113,50 +122,51 @@
   }
 
   /**
-   * Takes servers that are gone from the list, or replaced, as crashed, and forgets what is old.
+   * Counts crashes of servers that are gone from the list or were replaced, and drops counts and
+   * suspected requests that have expired.
    */
   public void tick() {
-    if (suspects.isEmpty() && !active()) {
+    if (suspects.isEmpty() && !hasCounts()) {
       return;
     }
-    confirm(suspect -> !listed.test(suspect.server()));
+    confirmCrashes(suspect -> !listed.test(suspect.server()));
     Instant now = clock.instant();
-    forgetOthers(now);
-    suspects.removeIf(suspect -> suspect.at().plus(PROOF_WITHIN).isBefore(now));
-    for (Count count : own.values()) {
-      if (count.crashes > 0 && count.last.plus(FORGET_AFTER).isBefore(now)) {
+    expirePeerCounts(now);
+    suspects.removeIf(suspect -> suspect.lostAt().plus(PROOF_TIMEOUT).isBefore(now));
+    for (Count count : ownCounts.values()) {
+      if (count.crashes > 0 && count.lastCrashAt.plus(RETENTION).isBefore(now)) {
         count.crashes = 0;
         count.noteDue = true;
       }
     }
   }
 
-  private void forgetOthers(Instant now) {
-    for (Map<String, Heard> byInstance : others.values()) {
-      byInstance.values().removeIf(each -> each.at().plus(FORGET_OTHERS_AFTER).isBefore(now));
+  private void expirePeerCounts(Instant now) {
+    for (Map<String, PeerCount> byInstance : peerCounts.values()) {
+      byInstance.values().removeIf(each -> each.receivedAt().plus(PEER_RETENTION).isBefore(now));
     }
-    others.values().removeIf(Map::isEmpty);
+    peerCounts.values().removeIf(Map::isEmpty);
   }
 
   @Override
   public void onNote(SharedNote note, boolean ownNote) {
     if (note instanceof SharedNote.Crash crash && !ownNote) {
-      hear(crash, others);
+      applyPeerCount(crash, peerCounts);
     }
   }
 
   @Override
   public void onLoaded(List<SharedNote> notes, boolean first) {
-    Map<String, Map<String, Heard>> before = new HashMap<>(others);
-    others.clear();
+    Map<String, Map<String, PeerCount>> known = new HashMap<>(peerCounts);
+    peerCounts.clear();
     for (SharedNote note : notes) {
       if (!(note instanceof SharedNote.Crash crash)) {
         continue;
       }
       if (!crash.instance().equals(instance)) {
-        hear(crash, before);
+        applyPeerCount(crash, known);
       } else if (first) {
-        goOn(crash);
+        adoptCount(crash);
       }
     }
   }
@@ -169,7 +179,7 @@
   @Override
   public List<SharedNote> notesToWrite(Instant now) {
     List<SharedNote> notes = new ArrayList<>();
-    Iterator<Map.Entry<String, Count>> counts = own.entrySet().iterator();
+    Iterator<Map.Entry<String, Count>> counts = ownCounts.entrySet().iterator();
     while (counts.hasNext()) {
       Map.Entry<String, Count> each = counts.next();
       Count count = each.getValue();
@@ -184,34 +194,38 @@
     return notes;
   }
 
-  /** Takes over what an earlier process on this machine had counted. */
-  private void goOn(SharedNote.Crash crash) {
-    Count count = own.computeIfAbsent(crash.fingerprint(), fingerprint -> new Count());
+  /** Adopts the count of an earlier process of this instance. */
+  private void adoptCount(SharedNote.Crash crash) {
+    Count count = ownCounts.computeIfAbsent(crash.fingerprint(), fingerprint -> new Count());
     count.crashes += crash.count();
-    count.last = clock.instant();
+    count.lastCrashAt = clock.instant();
   }
 
-  /** {@code before} is what was known; a count that was known already is as old as it was. */
-  private void hear(SharedNote.Crash crash, Map<String, Map<String, Heard>> before) {
+  /**
+   * Applies the count of another instance.
+   *
+   * @param before the counts known before; a count with an unchanged value keeps its age
+   */
+  private void applyPeerCount(SharedNote.Crash crash, Map<String, Map<String, PeerCount>> before) {
     if (crash.count() == 0) {
-      Map<String, Heard> byInstance = others.get(crash.fingerprint());
+      Map<String, PeerCount> byInstance = peerCounts.get(crash.fingerprint());
       if (byInstance != null) {
         byInstance.remove(crash.instance());
-        others.remove(crash.fingerprint(), Map.of());
+        peerCounts.remove(crash.fingerprint(), Map.of());
       }
       return;
     }
-    Heard known = before.getOrDefault(crash.fingerprint(), Map.of()).get(crash.instance());
-    Heard heard =
+    PeerCount known = before.getOrDefault(crash.fingerprint(), Map.of()).get(crash.instance());
+    PeerCount current =
         known != null && known.crashes() == crash.count()
             ? known
-            : new Heard(crash.count(), clock.instant());
-    others
+            : new PeerCount(crash.count(), clock.instant());
+    peerCounts
         .computeIfAbsent(crash.fingerprint(), fingerprint -> new HashMap<>())
-        .put(crash.instance(), heard);
+        .put(crash.instance(), current);
   }
 
-  private void confirm(Predicate<Suspect> crashed) {
+  private void confirmCrashes(Predicate<Suspect> crashed) {
     Iterator<Suspect> each = suspects.iterator();
     while (each.hasNext()) {
       Suspect suspect = each.next();
@@ -223,24 +237,24 @@
   }
 
   private void count(Suspect suspect) {
-    Count known = own.get(suspect.fingerprint());
-    if (known == null && own.size() >= MOST_TRACKED) {
+    Count known = ownCounts.get(suspect.fingerprint());
+    if (known == null && ownCounts.size() >= MAX_TRACKED) {
       return;
     }
-    Count count = own.computeIfAbsent(suspect.fingerprint(), fingerprint -> new Count());
+    Count count = ownCounts.computeIfAbsent(suspect.fingerprint(), fingerprint -> new Count());
     count.crashes++;
-    count.last = clock.instant();
+    count.lastCrashAt = clock.instant();
     count.noteDue = true;
-    if (crashes(suspect.fingerprint()) == LIMIT) {
+    if (crashes(suspect.fingerprint()) == CRASH_LIMIT) {
       events.accept(
           new GatewayEvent.RequestQuarantined(suspect.fingerprint(), suspect.server().id().name()));
     }
   }
 
   private int crashes(String fingerprint) {
-    Count count = own.get(fingerprint);
+    Count count = ownCounts.get(fingerprint);
     int sum = count == null ? 0 : count.crashes;
-    for (Heard each : others.getOrDefault(fingerprint, Map.of()).values()) {
+    for (PeerCount each : peerCounts.getOrDefault(fingerprint, Map.of()).values()) {
       sum += each.crashes();
     }
     return sum;
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/EarlyRequestTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/EarlyRequestTests.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.teaseldeal.gateway.fake.FakeExchange;
 
-/** Requests that reach an instance before it has read its first configuration. */
+/** Tests requests that reach an instance before it has read its first configuration. */
 class EarlyRequestTests {
   private final GatewayFixture gateway = new GatewayFixture();
 
@@ -19,37 +19,40 @@
   }
 
   /**
-   * The caller is served. It connects as the process has just started, before the configuration is
-   * read; that comes a moment later, and the request goes to a server then.
+   * A caller may connect right after the process has started, before the configuration is read. Its
+   * request is held and sent to a server once the configuration is known.
    */
   @Test
-  void areServedOnceTheConfigurationIsKnown() {
-    FakeExchange early = gateway.call(GatewayFixture.ONCE);
-    gateway.desk.tick();
+  void servesARequestOnceTheConfigurationIsKnown() {
+    FakeExchange early = gateway.call(GatewayFixture.ONCE_PATH);
+    gateway.dispatcher.tick();
     assertEquals(0, early.status());
-    assertEquals(1, gateway.desk.open());
+    assertEquals(1, gateway.dispatcher.open());
     gateway.configured = true;
-    gateway.desk.tick();
+    gateway.dispatcher.tick();
     gateway.sent.getFirst().answer();
     assertEquals(200, early.status());
-    assertEquals(0, gateway.desk.open());
+    assertEquals(0, gateway.dispatcher.open());
   }
 
-  /** The caller is told to come back: the store is away, and no configuration can be read. */
+  /**
+   * The configuration store is unavailable, so no configuration can be read. The caller is refused
+   * with a suggestion to retry.
+   */
   @Test
-  void areRefusedWhereTheConfigurationDoesNotCome() {
-    FakeExchange early = gateway.call(GatewayFixture.ONCE);
+  void refusesARequestIfTheConfigurationIsNotReadInTime() {
+    FakeExchange early = gateway.call(GatewayFixture.ONCE_PATH);
     gateway.clock.advance(Duration.ofSeconds(1));
-    gateway.desk.tick();
+    gateway.dispatcher.tick();
     assertEquals(503, early.status());
   }
 
-  /** The caller is told at once as the process is stopped while it starts. */
+  /** The process is stopped while it starts. The caller is refused at once. */
   @Test
-  void areRefusedWhenTheInstanceStops() {
-    FakeExchange early = gateway.call(GatewayFixture.ONCE);
-    gateway.desk.refuseAll();
+  void refusesARequestWhenTheInstanceStops() {
+    FakeExchange early = gateway.call(GatewayFixture.ONCE_PATH);
+    gateway.dispatcher.refuseAll();
     assertEquals(503, early.status());
-    assertEquals(0, gateway.desk.open());
+    assertEquals(0, gateway.dispatcher.open());
   }
 }
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/EventSplitterTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/EventSplitterTests.java
@@ -11,7 +11,7 @@
   private final EventSplitter splitter = new EventSplitter();
 
   @Test
-  void cutsEventsWhereverThePartsEnd() {
+  void splitsEventsIndependentlyOfChunkBoundaries() {
     String text = "id: 0\ndata: a\n\nid: 1\r\ndata: b\r\n\r\nid: 2\nda";
     for (int size = 1; size < text.length(); size++) {
       EventSplitter each = new EventSplitter();
@@ -26,12 +26,12 @@
       }
       assertEquals(List.of("id: 0\ndata: a\n\n", "id: 1\r\ndata: b\r\n\r\n"), events);
       assertEquals(List.of("0", "1"), ids);
-      assertEquals("id: 2\nda", new String(each.rest(), StandardCharsets.UTF_8));
+      assertEquals("id: 2\nda", new String(each.remainder(), StandardCharsets.UTF_8));
     }
   }
 
   @Test
-  void givesAnEventWithoutAnIdAnEmptyOne() {
+  void doesNotCarryAnIdOverToAnEventWithoutOne() {
     assertEquals("", splitter.add(bytes("id: 7\n\ndata: x\n\n")).getLast().id());
   }
 
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/GatewayFixture.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/GatewayFixture.java
@@ -36,17 +36,17 @@
 import org.teaseldeal.net.HttpFailure;
 import org.teaseldeal.net.HttpListener;
 
-/** A gateway whose backend servers are played by the test, in virtual time. */
+/** A gateway in virtual time, for which the test plays the backend servers. */
 final class GatewayFixture {
   static final String SERVICE = "register";
 
-  /** Path prefixes of the two routes. */
-  static final String ONCE = "/bid/";
+  /** The path prefixes of the two routes: requests run at most once, and repeatable requests. */
+  static final String ONCE_PATH = "/bid/";
 
-  static final String REPEATABLE = "/hold/";
+  static final String REPEATABLE_PATH = "/hold/";
 
-  /** A request as it was sent to a server's address. */
-  record Sent(HttpCallRequest request, HttpListener listener) {
+  /** A request that the gateway sent to a server's address. */
+  record SentRequest(HttpCallRequest request, HttpListener listener) {
     String address() {
       return request.address();
     }
@@ -67,27 +67,27 @@
 
   final ManualClock clock = new ManualClock();
   final ServerDirectory servers = new ServerDirectory();
-  final List<Sent> sent = new ArrayList<>();
+  final List<SentRequest> sent = new ArrayList<>();
   final List<GatewayEvent> events = new ArrayList<>();
-  final RequestDesk desk;
+  final RequestDesk dispatcher;
 
   /** Whether the configuration has been read. */
   boolean configured = true;
 
-  private static final Set<String> ALONE = Set.of("instance-1");
+  private static final Set<String> ONLY_INSTANCE = Set.of("instance-1");
 
   GatewayFixture() {
     GatewayPlan plan =
         new GatewayPlan(
             1,
             List.of(
-                route("bid", ONCE, RouteKind.AT_MOST_ONCE, 1),
-                route("hold", REPEATABLE, RouteKind.IDEMPOTENT, 2)),
+                route("bid", ONCE_PATH, RouteKind.AT_MOST_ONCE, 1),
+                route("hold", REPEATABLE_PATH, RouteKind.IDEMPOTENT, 2)),
             List.of(new PlannedService(SERVICE, 100, 0)),
             List.of(),
             CallerLimits.untilPublished());
     ClockReading reading = new ClockReading(0, 0);
-    TokenHolders holders = new TokenHolders("instance-1", () -> ALONE);
+    TokenHolders holders = new TokenHolders("instance-1", () -> ONLY_INSTANCE);
     AccountBook accounts =
         new AccountBook(
             "instance-1",
@@ -100,17 +100,16 @@
             Optional::empty);
     RequestQuarantine quarantine =
         new RequestQuarantine("instance-1", servers::lists, events::add, clock);
-    desk =
+    dispatcher =
         new RequestDesk(
             new GatewayParts(
                 () -> configured ? plan : null,
                 servers,
-                new TokenRequests(
-                    accounts, holders, new NoHolders(), () -> true, events::add, clock),
+                new TokenRequests(accounts, holders, new NoPeers(), () -> true, events::add, clock),
                 quarantine,
                 new FakeDialect(),
                 (request, listener) -> {
-                  sent.add(new Sent(request, listener));
+                  sent.add(new SentRequest(request, listener));
                   return () -> {};
                 },
                 () -> FleetLoad.NONE,
@@ -126,17 +125,17 @@
     servers.put(
         new ServerListing(
             new BackendServerId(id), SERVICE, address, "hall-a", 6, false, Optional.of(start)));
-    desk.tick();
+    dispatcher.tick();
   }
 
   BackendServer server(String id) {
     return servers.find(new BackendServerId(id)).orElseThrow();
   }
 
-  /** A caller's request; its answer is found in the exchange. */
+  /** Sends a caller's request and returns its exchange, which receives the answer. */
   FakeExchange call(String path) {
     FakeExchange exchange = new FakeExchange(path);
-    desk.handle(exchange);
+    dispatcher.handle(exchange);
     return exchange;
   }
 
@@ -156,16 +155,16 @@
         List.of(new WeightedService(SERVICE, 1)));
   }
 
-  /** For an instance alone, which holds all itself. */
-  private static final class NoHolders implements HolderPort {
+  /** A port without peers, for a single instance that holds every customer itself. */
+  private static final class NoPeers implements HolderPort {
     @Override
     public void ask(String holder, Ask ask, Consumer<Answer> answer) {
-      throw new AssertionError("asked " + holder);
+      throw new AssertionError("unexpected request to holder " + holder);
     }
 
     @Override
     public void giveBack(String holder, String customer, long tokens) {
-      throw new AssertionError("gave back to " + holder);
+      throw new AssertionError("unexpected return of tokens to " + holder);
     }
   }
 }
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/ServerChoiceTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/ServerSelectorTests.java
@@ -16,70 +16,73 @@
 import org.teaseldeal.gateway.server.ServerDirectory;
 import org.teaseldeal.gateway.server.ServerListing;
 
-class ServerChoiceTests {
+class ServerSelectorTests {
   private static final Instant NOW = Instant.ofEpochMilli(1_700_000_000_000L);
 
-  /** More in a row than chance explains, so that a server is left out. */
+  /** More consecutive failures than chance explains, so that the server is ejected. */
   private static final int MANY_FAILURES = 6;
 
   private final ServerDirectory servers = new ServerDirectory();
-  private final ServerChoice choice =
-      new ServerChoice(servers, () -> FleetLoad.NONE, new CachedPrompts(), new Random(1));
+  private final ServerSelector selector =
+      new ServerSelector(servers, () -> FleetLoad.NONE, new CachedPrompts(), new Random(1));
 
   @BeforeEach
   void list() {
     for (String id : new String[] {"a", "b", "c"}) {
       servers.put(listing(id, NOW));
     }
-    choice.tick(NOW);
+    selector.tick(NOW);
   }
 
-  /** A server that failed until it was left out starts again under its id: it serves at once. */
+  /** An ejected server that restarts under its id can be chosen again at once. */
   @Test
-  void startsARestartedServerWithACleanRecord() {
+  void resetsTheHealthOfARestartedServer() {
     fail(find("a"));
-    choice.tick(NOW);
+    selector.tick(NOW);
     assertEquals(2, candidates());
     servers.put(listing("a", NOW.plusMillis(1)));
     assertEquals(3, candidates());
   }
 
   /**
-   * A server that started again is sent its share. The answers lost of the process before it become
-   * known only now, one by one, and say nothing of the new one.
+   * The answers that an earlier incarnation lost become known one by one after the server has
+   * restarted. They don't count against the new incarnation, which keeps its share of the requests.
    */
   @Test
-  void countsNoFailureOfAnEarlierIncarnation() {
+  void ignoresFailuresOfAnEarlierIncarnation() {
     BackendServer crashed = find("a");
     servers.put(listing("a", NOW.plusMillis(1)));
-    choice.tick(NOW);
+    selector.tick(NOW);
     fail(crashed);
-    choice.tick(NOW);
+    selector.tick(NOW);
     assertEquals(3, candidates());
   }
 
-  /** The only server of a service fails, is gone from the list and returns: it is new. */
+  /**
+   * The only server of a service fails, disappears from the list and returns. It is treated as a
+   * new server.
+   */
   @Test
-  void forgetsTheLastServerOfAService() {
+  void forgetsTheHealthOfTheLastServerOfAService() {
     for (String id : new String[] {"b", "c"}) {
       servers.remove(new BackendServerId(id));
     }
     fail(find("a"));
     servers.remove(new BackendServerId("a"));
-    choice.tick(NOW);
+    selector.tick(NOW);
     list();
     assertEquals(3, candidates());
   }
 
   private void fail(BackendServer server) {
     for (int i = 0; i < MANY_FAILURES; i++) {
-      choice.onFailed(server);
+      selector.onFailed(server);
     }
   }
 
   private int candidates() {
-    return choice
-        .choose("models", Optional.empty(), Duration.ofSeconds(1), Set.of(), NOW)
+    return selector
+        .select("models", Optional.empty(), Duration.ofSeconds(1), Set.of(), NOW)
         .orElseThrow()
         .candidates();
   }
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/peer/HolderCallsTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/peer/HolderCallsTests.java
@@ -31,12 +31,12 @@
   private static final Set<String> FLEET = Set.of(HOLDER);
   private static final String CUSTOMER = "trawler";
   private static final long TOTAL = 1_000_000;
-  private static final Duration WAIT = Duration.ofMillis(600);
+  private static final Duration MAX_WAIT = Duration.ofMillis(600);
   private static final Duration DEADLINE = Duration.ofSeconds(10);
 
   private final ManualClock clock = new ManualClock();
   private final FakeSharedLog.Port log = new FakeSharedLog().port(HOLDER);
-  private final AccountBook book =
+  private final AccountBook accounts =
       new AccountBook(
           HOLDER,
           customer -> customer.equals(CUSTOMER) ? OptionalLong.of(TOTAL) : OptionalLong.empty(),
@@ -47,22 +47,22 @@
           () -> new ClockReading(0, 0),
           () -> Optional.of(new HeartbeatCount(0, 1)));
   private final FleetLog fleetLog =
-      new FleetLog(log, HOLDER, 1, clock, Duration.ofMillis(300), List.of(book));
+      new FleetLog(log, HOLDER, 1, clock, Duration.ofMillis(300), List.of(accounts));
   private final List<FakeExchange> exchanges = new ArrayList<>();
   private final List<CompletableFuture<HttpAnswer>> calls = new ArrayList<>();
   private final HolderCalls holder = calls();
-  private final HolderCalls asker = calls();
+  private final HolderCalls requester = calls();
   private final List<HolderPort.Answer> answers = new ArrayList<>();
 
   @Test
-  void givesARequestItsTokensOnceTheyAreAtHand() {
+  void grantsARequestOnceItsTokensAreAvailable() {
     ask(CUSTOMER, 50_000);
     run(Duration.ofSeconds(1));
     assertEquals(List.of(new HolderPort.Answer.Granted()), answers);
   }
 
   @Test
-  void saysWhyARequestCannotHaveItsTokens() {
+  void refusesARequestThatExceedsTheTotalWithTheReason() {
     ask(CUSTOMER, TOTAL + 1);
     run(Duration.ofSeconds(2));
     HolderPort.Answer.Refused refused =
@@ -71,35 +71,41 @@
   }
 
   @Test
-  void givesAgainWhatCameBack() {
+  void grantsReturnedTokensAgain() {
     ask(CUSTOMER, TOTAL);
     run(Duration.ofSeconds(1));
-    asker.giveBack(HOLDER, CUSTOMER, TOTAL);
+    requester.giveBack(HOLDER, CUSTOMER, TOTAL);
     ask(CUSTOMER, TOTAL);
     run(Duration.ofSeconds(1));
     HolderPort.Answer granted = new HolderPort.Answer.Granted();
     assertEquals(List.of(granted, granted), answers);
   }
 
-  /** Guards against a stop that takes long, and callers elsewhere who wait for it. */
+  /**
+   * A stopping instance must not answer as a holder, or callers at other instances would wait for
+   * the end of its stop.
+   */
   @Test
-  void givesNothingWhileTheInstanceStops() {
-    book.close();
+  void isUnreachableAsAHolderWhileTheInstanceStops() {
+    accounts.close();
     ask(CUSTOMER, 10);
     run(Duration.ofSeconds(1));
     assertInstanceOf(HolderPort.Answer.Unreachable.class, answers.getFirst());
   }
 
-  /** Guards against tokens that are taken as given by an instance that knows of no total yet. */
+  /**
+   * An instance that doesn't know a customer's total yet must not answer as its holder, or tokens
+   * would count as granted without a total.
+   */
   @Test
-  void saysNothingOfACustomerThatItDoesNotKnow() {
+  void isUnreachableAsAHolderOfAnUnknownCustomer() {
     ask("stranger", 10);
     run(Duration.ofSeconds(1));
     assertInstanceOf(HolderPort.Answer.Unreachable.class, answers.getFirst());
   }
 
   @Test
-  void countsAsUnreachableWithoutAnAnswerThatCanBeRead() {
+  void treatsAHolderWithoutADecodableAnswerAsUnreachable() {
     ask(CUSTOMER, 10);
     ask(CUSTOMER, 10);
     ask(CUSTOMER, 10);
@@ -111,20 +117,20 @@
   }
 
   @Test
-  void refusesWhatItCannotRead() {
+  void refusesMessagesThatCannotBeDecoded() {
     FakeExchange garbage = new FakeExchange(HolderCalls.PATH, new byte[] {1, 2, 3});
     holder.handle(garbage);
     assertEquals(400, garbage.status());
-    FakeExchange back = new FakeExchange(HolderCalls.RETURNS, new byte[] {9});
-    holder.handleReturn(back);
-    assertEquals(400, back.status());
+    FakeExchange garbageReturn = new FakeExchange(HolderCalls.RETURNS, new byte[] {9});
+    holder.handleReturn(garbageReturn);
+    assertEquals(400, garbageReturn.status());
   }
 
   private HolderCalls calls() {
-    return new HolderCalls(name -> Optional.of("10.0.0.1:7000"), this::call, book, clock);
+    return new HolderCalls(name -> Optional.of("10.0.0.1:7000"), this::call, accounts, clock);
   }
 
-  /** What is called arrives at once; it is answered as time goes on. */
+  /** Delivers a call at once. Its answer is passed on when time advances. */
   private CompletableFuture<HttpAnswer> call(HttpCallRequest request) {
     FakeExchange exchange = new FakeExchange(request.path(), request.body());
     CompletableFuture<HttpAnswer> call = new CompletableFuture<>();
@@ -139,7 +145,7 @@
   }
 
   private void ask(String customer, long tokens) {
-    asker.ask(HOLDER, new HolderPort.Ask(customer, tokens, WAIT, DEADLINE), answers::add);
+    requester.ask(HOLDER, new HolderPort.Ask(customer, tokens, MAX_WAIT, DEADLINE), answers::add);
   }
 
   private void run(Duration time) {
@@ -147,12 +153,12 @@
       clock.advance(Duration.ofMillis(10));
       log.answer();
       fleetLog.tick();
-      book.tick();
-      passOnAnswers();
+      accounts.tick();
+      deliverAnswers();
     }
   }
 
-  private void passOnAnswers() {
+  private void deliverAnswers() {
     for (int i = 0; i < calls.size(); i++) {
       FakeExchange exchange = exchanges.get(i);
       if (exchange.status() != 0) {
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/peer/LoadFleet.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/peer/LoadFleet.java
@@ -21,19 +21,22 @@
 import org.teaseldeal.gateway.server.ServerDirectory;
 import org.teaseldeal.gateway.server.ServerListing;
 
-/** Instances that exchange their loads by datagrams, in virtual time; a hop takes a step. */
+/** Instances that exchange their loads by datagrams in virtual time. A hop takes one step. */
 final class LoadFleet {
   static final Duration STEP = Duration.ofMillis(20);
   static final long PROMPT_TOKENS = 5_000;
 
-  /** Of which prompts share a beginning, and the servers that it is sent to. */
-  private static final int SUBJECTS = 2_000;
+  /**
+   * The number of different shared prompt parts, and the number of servers that each of them is
+   * sent to.
+   */
+  private static final int SHARED_PARTS = 2_000;
 
-  private static final int HOMES = 3;
+  private static final int SERVERS_PER_PART = 3;
 
   private record Datagram(String to, byte[] message) {}
 
-  /** One instance and what it has exchanged. */
+  /** One instance with the counts of its sent and received messages. */
   final class Instance {
     final String name;
     final ServerDirectory servers = new ServerDirectory();
@@ -41,8 +44,8 @@
     final LoadExchange exchange;
     private final Queue<BackendServer> running = new ArrayDeque<>();
     boolean down;
-    long messages;
-    long octets;
+    long messageCount;
+    long byteCount;
 
     private Instance(String name, int serverCount) {
       this.name = name;
@@ -55,12 +58,12 @@
 
     private void send(String to, byte[] message) {
       count(message);
-      onTheWay.add(new Datagram(to, message));
+      inTransit.add(new Datagram(to, message));
     }
 
     private void count(byte[] message) {
-      messages++;
-      octets += message.length;
+      messageCount++;
+      byteCount += message.length;
     }
 
     private void receive(byte[] message) {
@@ -72,12 +75,12 @@
       return servers.find(id(index)).orElseThrow();
     }
 
-    /** What it knows of the other instances' requests at a server. */
-    int othersAt(int index) {
+    /** The number of requests that the other instances have at a server, as this one knows it. */
+    int peerRequestsAt(int index) {
       return exchange.others().at(id(index)).running();
     }
 
-    /** Sends a prompt with the beginning {@code part}. */
+    /** Sends a prompt with the shared part {@code part} to a server. */
     void start(int index, String part) {
       BackendServer server = server(index);
       server.started(PROMPT_TOKENS);
@@ -87,8 +90,8 @@
 
     void endOldest() {
       BackendServer server = running.remove();
-      server.promptRead(PROMPT_TOKENS);
-      server.ended();
+      server.onPromptRead(PROMPT_TOKENS);
+      server.onRequestEnded();
     }
   }
 
@@ -96,7 +99,7 @@
   final List<Instance> instances = new ArrayList<>();
   private final Set<String> names;
   private final Map<String, Instance> byName = new HashMap<>();
-  private final List<Datagram> onTheWay = new ArrayList<>();
+  private final List<Datagram> inTransit = new ArrayList<>();
   private final Random random = new Random(5);
 
   LoadFleet(int size, int serverCount) {
@@ -116,7 +119,12 @@
     run(time, 0);
   }
 
-  /** Lets time pass, with so many prompts a second over the whole fleet, each for two seconds. */
+  /**
+   * Advances the time.
+   *
+   * @param promptsPerSecond the rate of prompts over the whole fleet; each runs for two seconds on
+   *     average
+   */
   void run(Duration time, double promptsPerSecond) {
     double perStep = promptsPerSecond * STEP.toMillis() / 1000;
     for (long passed = 0; passed < time.toMillis(); passed += STEP.toMillis()) {
@@ -125,9 +133,9 @@
       int due = (int) perStep + (random.nextDouble() < perStep % 1 ? 1 : 0);
       for (int i = 0; i < due; i++) {
         Instance instance = instances.get(random.nextInt(instances.size()));
-        int subject = random.nextInt(SUBJECTS);
-        int home = (subject + random.nextInt(HOMES)) % instance.servers.all().size();
-        instance.start(home, "subject-" + subject);
+        int part = random.nextInt(SHARED_PARTS);
+        int server = (part + random.nextInt(SERVERS_PER_PART)) % instance.servers.all().size();
+        instance.start(server, "subject-" + part);
       }
       instances.forEach(this::endSome);
       instances.stream().filter(each -> !each.down).forEach(each -> each.exchange.tick());
@@ -142,8 +150,8 @@
   }
 
   private void deliver() {
-    List<Datagram> due = List.copyOf(onTheWay);
-    onTheWay.clear();
+    List<Datagram> due = List.copyOf(inTransit);
+    inTransit.clear();
     for (Datagram each : due) {
       Instance to = byName.get(each.to());
       if (to != null && !to.down) {
@@ -152,14 +160,14 @@
     }
   }
 
-  void forgetCounts() {
+  void resetCounts() {
     for (Instance each : instances) {
-      each.messages = 0;
-      each.octets = 0;
+      each.messageCount = 0;
+      each.byteCount = 0;
     }
   }
 
-  /** The instances that others report to: those that are sent most. */
+  /** The names of the collectors. */
   Set<String> collectors() {
     return LoadCollectorChoice.of(names);
   }
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/server/CachedPromptsTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/server/CachedPromptsTests.java
@@ -12,47 +12,47 @@
 
 class CachedPromptsTests {
   private static final Instant NOW = Instant.ofEpochMilli(1_700_000_000_000L);
-  private static final ServerIncarnation FIRST = incarnation(NOW);
+  private static final ServerIncarnation FIRST_INCARNATION = incarnation(NOW);
 
   private final CachedPrompts cached = new CachedPrompts();
 
   @Test
-  void knowsWhatWasSent() {
-    cached.onSent(FIRST, List.of("a", "b"), NOW);
-    assertTrue(cached.holds(FIRST, "a"));
-    assertFalse(cached.holds(FIRST, "c"));
+  void containsThePartsThatWereSent() {
+    cached.onSent(FIRST_INCARNATION, List.of("a", "b"), NOW);
+    assertTrue(cached.contains(FIRST_INCARNATION, "a"));
+    assertFalse(cached.contains(FIRST_INCARNATION, "c"));
   }
 
-  /** A server that started again has an empty cache. */
+  /** A restarted server has an empty cache. */
   @Test
-  void knowsNothingOfTheNextIncarnation() {
-    cached.onSent(FIRST, List.of("a"), NOW);
-    assertFalse(cached.holds(incarnation(NOW.plusMillis(1)), "a"));
+  void containsNoPartsOfALaterIncarnation() {
+    cached.onSent(FIRST_INCARNATION, List.of("a"), NOW);
+    assertFalse(cached.contains(incarnation(NOW.plusMillis(1)), "a"));
   }
 
   @Test
-  void forgetsWhatWasNotRun() {
-    cached.onSent(FIRST, List.of("a"), NOW);
-    cached.onNotRun(FIRST, List.of("a"));
-    assertFalse(cached.holds(FIRST, "a"));
+  void removesThePartsOfAPromptThatWasNotRun() {
+    cached.onSent(FIRST_INCARNATION, List.of("a"), NOW);
+    cached.onNotRun(FIRST_INCARNATION, List.of("a"));
+    assertFalse(cached.contains(FIRST_INCARNATION, "a"));
   }
 
   @Test
-  void tellsEachPartForAWhileAndOnlyWhenNew() {
-    cached.onSent(FIRST, List.of("a"), NOW);
-    cached.onSent(FIRST, List.of("a"), NOW.plusMillis(200));
+  void reportsAPartAsSentOnlyTheFirstTime() {
+    cached.onSent(FIRST_INCARNATION, List.of("a"), NOW);
+    cached.onSent(FIRST_INCARNATION, List.of("a"), NOW.plusMillis(200));
     assertEquals(1, cached.sentSince(NOW).size());
     assertEquals(List.of(), cached.sentSince(NOW.plusMillis(100)));
   }
 
-  /** Memory stays bounded over a day of ever new subjects; the latest are known. */
+  /** Memory use stays bounded if new prompt parts keep coming; the most recent ones are kept. */
   @Test
-  void forgetsTheLeastUsedBeyondItsBound() {
+  void evictsTheLeastRecentlyUsedParts() {
     for (int i = 0; i < 50_000; i++) {
-      cached.onSent(FIRST, List.of("subject-" + i), NOW);
+      cached.onSent(FIRST_INCARNATION, List.of("subject-" + i), NOW);
     }
-    assertFalse(cached.holds(FIRST, "subject-0"));
-    assertTrue(cached.holds(FIRST, "subject-49999"));
+    assertFalse(cached.contains(FIRST_INCARNATION, "subject-0"));
+    assertTrue(cached.contains(FIRST_INCARNATION, "subject-49999"));
   }
 
   private static ServerIncarnation incarnation(Instant start) {
