--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/plan/CallerLimits.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/plan/CallerLimits.java
@@ -3,7 +3,14 @@
 import java.time.Duration;
 import org.teaseldeal.api.Preconditions;
 
-/** What a caller may send, and how long it may take or stay idle. */
+/**
+ * Limits on the size and the duration of a caller's requests.
+ *
+ * @param maxHeaderBytes maximum size of a request's head
+ * @param maxBodyBytes maximum size of a request's body
+ * @param headTimeout longest time until the head has arrived
+ * @param idleTimeout longest time for which a connection may stay idle
+ */
 public record CallerLimits(
     int maxHeaderBytes, int maxBodyBytes, Duration headTimeout, Duration idleTimeout) {
   public CallerLimits {
@@ -13,7 +20,7 @@
     Preconditions.requirePositive(idleTimeout.toMillis(), "idle timeout");
   }
 
-  /** Limits until the operator's are known. */
+  /** Returns the limits used until the operator's limits are known. */
   public static CallerLimits untilPublished() {
     return new CallerLimits(16_384, 4 << 20, Duration.ofSeconds(3), Duration.ofSeconds(15));
   }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/plan/GatewayPlan.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/plan/GatewayPlan.java
@@ -6,7 +6,10 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** One published configuration; never changed, only replaced by one with a higher version. */
+/**
+ * One published version of the configuration. It is immutable and only replaced by one with a
+ * higher version.
+ */
 public final class GatewayPlan {
   private final long version;
   private final RouteTable routes;
@@ -34,42 +37,42 @@
     }
   }
 
-  /** Rises with each publication, in uneven steps. */
+  /** Returns the version, which rises with each publication by varying amounts. */
   public long version() {
     return version;
   }
 
-  /** How many routes there are. */
+  /** Returns the number of routes. */
   public int routeCount() {
     return routeCount;
   }
 
-  /** What callers may send. */
+  /** Returns the limits on callers' requests. */
   public CallerLimits limits() {
     return limits;
   }
 
-  /** The route of a request. */
+  /** Returns the route of a request. */
   public Optional<Route> route(String host, String target) {
     return routes.find(host, target);
   }
 
-  /** A service by its name. */
+  /** Returns the service with the given name. */
   public Optional<PlannedService> service(String name) {
     return Optional.ofNullable(services.get(name));
   }
 
-  /** Whether callers need keys at all. */
+  /** Returns whether any customers are configured, so that callers need keys. */
   public boolean hasCustomers() {
     return !customers.isEmpty();
   }
 
-  /** The customer that holds {@code key}. */
+  /** Returns the customer to which {@code key} belongs. */
   public Optional<PrepaidCustomer> customerOfKey(String key) {
     return Optional.ofNullable(customersByKey.get(key));
   }
 
-  /** A customer by its name. */
+  /** Returns the customer with the given name. */
   public Optional<PrepaidCustomer> customer(String name) {
     return Optional.ofNullable(customers.get(name));
   }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/plan/PlanInForce.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/plan/PlanInForce.java
@@ -5,29 +5,33 @@
 import org.teaseldeal.gateway.event.GatewayEvent;
 
 /**
- * The plan in force; it never goes back to a lower version.
+ * Holds the current plan, which never returns to a lower version.
  *
- * <p>News come by several ways, and a slow one may bring an older version after a newer one. A
- * caller would then find a route or a key gone that it has used a moment before.
+ * <p>Plans arrive over several channels, and a slow one may deliver an older version after a newer
+ * one. Without the check a caller could find a route or a key gone that it has just used.
  */
 public final class PlanInForce {
   private final EventSink events;
   private volatile @Nullable GatewayPlan plan;
 
-  /** Starts without a plan. */
+  /** Creates a holder without a plan. */
   public PlanInForce(EventSink events) {
     this.events = events;
   }
 
-  /** The plan in force; null until one is known. */
+  /** Returns the current plan; null until one is known. */
   public @Nullable GatewayPlan get() {
     return plan;
   }
 
-  /** Puts a plan in force if it is newer; {@code source} says how it came. */
+  /**
+   * Replaces the current plan if {@code offered} is newer; returns whether it was.
+   *
+   * @param source the channel over which the plan arrived
+   */
   public boolean offer(GatewayPlan offered, String source) {
-    GatewayPlan present = plan;
-    if (present != null && offered.version() <= present.version()) {
+    GatewayPlan current = plan;
+    if (current != null && offered.version() <= current.version()) {
       return false;
     }
     plan = offered;
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/plan/PlannedService.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/plan/PlannedService.java
@@ -3,10 +3,13 @@
 import org.teaseldeal.api.Preconditions;
 
 /**
- * What the operator says of a service.
+ * A service as configured by the operator.
  *
- * @param maxConnections that one of its backend servers takes from all callers together
- * @param tokensPerEvent output tokens in one event of a stream, at most; 0 for a plain service
+ * @param name name of the service
+ * @param maxConnections maximum number of connections of all callers together to one of its backend
+ *     servers
+ * @param tokensPerEvent maximum number of output tokens in one event of a stream; 0 for a service
+ *     without streams
  */
 public record PlannedService(String name, int maxConnections, int tokensPerEvent) {
   public PlannedService {
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/plan/PrepaidCustomer.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/plan/PrepaidCustomer.java
@@ -6,10 +6,12 @@
 import org.teaseldeal.api.Preconditions;
 
 /**
- * A customer, the keys that its callers present, and what it has paid for.
+ * A customer, its callers' keys and its prepaid tokens.
  *
- * @param rank takes the place of the route's rank, if there is one
- * @param prepaid tokens that it may use in all; no bound if empty
+ * @param name name of the customer
+ * @param keys keys that the customer's callers present
+ * @param rank priority that replaces the route's rank, if present
+ * @param prepaid total number of tokens that the customer may use; empty for no limit
  */
 public record PrepaidCustomer(
     String name, Set<String> keys, OptionalInt rank, OptionalLong prepaid) {
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/plan/Route.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/plan/Route.java
@@ -6,15 +6,20 @@
 import org.teaseldeal.api.Preconditions;
 
 /**
- * Where the requests of one host and path prefix go, and what may be done with them.
+ * Defines where the requests of one host and path prefix are sent and how they are treated.
  *
- * @param resumable whether a broken stream may go on at another backend server
+ * @param name name of the route
+ * @param host host name that the requests are addressed to
+ * @param pathPrefix beginning of the requests' path; begins and ends with a slash
+ * @param kind whether requests may be repeated, and how they are answered
+ * @param resumable whether a broken stream may be resumed at another backend server
  * @param keyless whether callers need no key
- * @param timeout the longest that a caller is kept waiting for its whole answer
- * @param aim until when the first part of an answer is on time
- * @param pauseAim the longest pause between parts of a stream that is on time
- * @param rank 0 is the most urgent
- * @param maxAttempts how many backend servers one attempt of a caller may be sent to
+ * @param timeout longest time for which a caller waits for its whole answer
+ * @param aim time within which the first part of an answer counts as on time
+ * @param pauseAim longest pause between two parts of a stream that counts as on time
+ * @param rank priority; 0 is the most urgent
+ * @param maxAttempts number of backend servers to which one attempt of a caller may be sent
+ * @param services services that get the requests, with their weights
  */
 public record Route(
     String name,
@@ -29,11 +34,14 @@
     int rank,
     int maxAttempts,
     List<WeightedService> services) {
-  /** Callers leave a stream after the longest of these, as they have said. */
-  private static final Duration SHORTEST_SILENCE_BORNE = Duration.ofSeconds(2);
+  /**
+   * Callers abandon a stream after the longest of this time and the two multiples below, as agreed
+   * with them.
+   */
+  private static final Duration MIN_SILENCE_TIMEOUT = Duration.ofSeconds(2);
 
-  private static final int AIMS_BORNE = 4;
-  private static final int PAUSES_BORNE = 8;
+  private static final int AIM_FACTOR = 4;
+  private static final int PAUSE_FACTOR = 8;
 
   public Route {
     Preconditions.requireText(name, "route name");
@@ -48,7 +56,7 @@
     services = List.copyOf(services);
   }
 
-  /** Whether a request that may have run may be sent again. */
+  /** Returns whether a request that may have run may be sent again. */
   public boolean repeatable() {
     return switch (kind) {
       case IDEMPOTENT -> true;
@@ -58,23 +66,23 @@
   }
 
   /**
-   * How long a caller waits for the next part of its answer before it leaves.
+   * Returns how long a caller waits for the next part of its answer before it disconnects.
    *
-   * @param patience until when it wants the whole answer
+   * @param answerTimeout how long it waits for the whole answer
    */
-  public Duration silenceBorne(Duration patience) {
+  public Duration silenceBorne(Duration answerTimeout) {
     if (!kind.streamed()) {
-      return patience;
+      return answerTimeout;
     }
-    Duration longest = SHORTEST_SILENCE_BORNE;
+    Duration longest = MIN_SILENCE_TIMEOUT;
     for (Duration each :
-        List.of(aim.multipliedBy(AIMS_BORNE), pauseAim.multipliedBy(PAUSES_BORNE))) {
+        List.of(aim.multipliedBy(AIM_FACTOR), pauseAim.multipliedBy(PAUSE_FACTOR))) {
       longest = each.compareTo(longest) > 0 ? each : longest;
     }
-    return longest.compareTo(patience) < 0 ? longest : patience;
+    return longest.compareTo(answerTimeout) < 0 ? longest : answerTimeout;
   }
 
-  /** Draws a service in proportion to the weights. */
+  /** Chooses a service at random in proportion to the weights. */
   public String drawService(RandomGenerator random) {
     if (services.size() == 1) {
       return services.getFirst().service();
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/plan/RouteKind.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/plan/RouteKind.java
@@ -2,13 +2,15 @@
 
 import java.util.Locale;
 
-/** What may be repeated of a route's requests, and how they are answered. */
+/** Defines whether a route's requests may be repeated, and how they are answered. */
 public enum RouteKind {
-  /** Idempotent: may run more than once. */
+  /** Requests are idempotent and may run more than once. */
   IDEMPOTENT(false),
-  /** Runs at most once for each attempt of the caller. */
+  /** Each attempt of a caller runs at most once. */
   AT_MOST_ONCE(false),
-  /** Runs at most once, unless the route is resumable; the answer is a stream of events. */
+  /**
+   * Each attempt runs at most once unless the route is resumable; the answer is a stream of events.
+   */
   STREAM(true);
 
   private final boolean streamed;
@@ -17,12 +19,12 @@
     this.streamed = streamed;
   }
 
-  /** The name in logs: lower case with hyphens. */
+  /** Returns the name used in logs: lower case with hyphens. */
   public String label() {
     return name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
 
-  /** Whether the answer is a stream of server-sent events. */
+  /** Returns whether the answer is a stream of server-sent events. */
   public boolean streamed() {
     return streamed;
   }
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/plan/RouteTableTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/plan/RouteTableTests.java
@@ -16,19 +16,19 @@
               route("other", "other.example", "/a/")));
 
   @Test
-  void takesTheLongestPrefixOfTheHost() {
+  void choosesTheLongestPrefixOfTheHost() {
     assertEquals(Optional.of("long"), found("desk.example", "/a/b/c?x=/a/"));
     assertEquals(Optional.of("short"), found("desk.example", "/a/bc"));
     assertEquals(Optional.of("other"), found("other.example", "/a/b/c"));
   }
 
   @Test
-  void comparesHostsWithoutCaseAndPort() {
+  void ignoresCaseAndPortOfHosts() {
     assertEquals(Optional.of("short"), found("Desk.Example:8080", "/a/"));
   }
 
   @Test
-  void findsNothingElsewhere() {
+  void findsNoRouteForOtherHostsOrPaths() {
     assertEquals(Optional.empty(), found("desk.example", "/b/"));
     assertEquals(Optional.empty(), found("nowhere.example", "/a/"));
     assertEquals(Optional.empty(), found("desk.example", "/a"));
