--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/AdmissionQueue.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/AdmissionQueue.java
@@ -15,26 +15,31 @@
 import org.teaseldeal.api.Preconditions;
 
 /**
- * The requests that wait for a backend server of one pool.
+ * The queue of requests that wait for a backend server of one pool.
  *
- * <p>Load pattern: a burst, and a few customers that send most of it. A queue without a bound
- * answers everyone too late; one in order of arrival gives the hot customers all of it. So a
- * request waits only if its turn is likely to come before its deadline, urgent classes go first,
- * and within a class the customers take turns in proportion to their weights, counted in work
- * rather than requests, so that long work doesn't buy its customer more than short work does.
+ * <p>In a burst, a few customers may send most of the requests. A queue without a bound would
+ * answer all of them too late, and a FIFO queue would give the hot customers all capacity.
+ * Therefore a request is queued only if its turn is likely to come before its deadline, urgent
+ * priority classes go first, and within a class the customers take turns in proportion to their
+ * weights. Turns are counted in work instead of requests, so that a customer with long requests
+ * does not get more capacity than one with short requests.
  *
- * <p>Fair turns are start-time fair queueing: a customer that was idle starts level with the
- * others, neither with saved-up turns nor with a debt.
+ * <p>The turns follow start-time fair queueing: a customer that was idle starts level with the
+ * others, with neither credit nor debt.
  *
- * @param <T> what waits
+ * @param <T> type of the queued items
  */
 public final class AdmissionQueue<T> {
   /**
-   * One waiting request.
+   * A queued request.
    *
+   * @param item the request itself
+   * @param customer the customer that sent it
    * @param weight the customer's share relative to the other customers'
-   * @param rank its class, lower first
-   * @param cost the work it is expected to be, in any unit that all requests of the pool share
+   * @param rank its priority class; lower ranks go first
+   * @param cost expected amount of work, in any unit that all requests of the pool share
+   * @param deadline time after which the request must not start any more
+   * @param since when the request was queued
    */
   public record Waiting<T>(
       T item,
@@ -49,43 +54,46 @@
       Preconditions.require(cost > 0, "cost was %s, expected more than 0".formatted(cost));
     }
 
-    /** A request of the usual cost. */
+    /** Creates a request of cost 1. */
     public Waiting(
         T item, CustomerId customer, int weight, int rank, Instant deadline, Instant since) {
       this(item, customer, weight, rank, 1, deadline, since);
     }
   }
 
-  /** Whether a request may wait, and if not, when to come back. */
+  /** The result of offering a request to the queue. */
   public sealed interface Verdict {
-    /** It waits. */
+    /** The request has been queued. */
     record Queued() implements Verdict {}
 
-    /** It would be served too late; after {@code comeBack} the queue is expected to be short. */
+    /**
+     * The request was not queued because it would be served too late. The queue is expected to be
+     * short after {@code comeBack}.
+     */
     record TooLate(Duration comeBack) implements Verdict {}
   }
 
   /**
-   * One start in twenty goes to a class that urgent ones would starve. At 5% the urgent class loses
-   * less than the noise of its own waits, and batch work still ends within twenty times its own
-   * time instead of never.
+   * One in this many starts goes to a lower priority class that urgent ones would otherwise starve.
+   * At 5 % the urgent class loses less than the variation of its own waits, and batch work still
+   * ends within twenty times its own duration instead of never.
    */
-  private static final int STARTS_PER_FLOOR_START = 20;
+  private static final int STARTS_PER_LOWER_CLASS_START = 20;
 
-  private static final CustomerId EVERYONE = CustomerId.parse("all/all");
+  private static final CustomerId SINGLE_LANE_CUSTOMER = CustomerId.parse("all/all");
 
-  private static final Duration SHORTEST_COME_BACK = Duration.ofMillis(200);
+  private static final Duration MIN_RETRY_AFTER = Duration.ofMillis(200);
 
   private static final class Node<T> {
-    private final Waiting<T> waiting;
-    private boolean gone;
+    private final Waiting<T> entry;
+    private boolean removed;
 
     Node(Waiting<T> waiting) {
-      this.waiting = waiting;
+      this.entry = waiting;
     }
   }
 
-  /** One customer's requests of one class, in order of arrival. */
+  /** The queued requests of one customer in one priority class, in order of arrival. */
   private static final class Lane<T> {
     private final Deque<Node<T>> nodes = new ArrayDeque<>();
     private int size;
@@ -93,58 +101,59 @@
     private double finishTag;
   }
 
-  /** One class. */
-  private static final class Level<T> {
+  /** The queued requests of one priority class. */
+  private static final class PriorityClass<T> {
     private final TreeMap<CustomerId, Lane<T>> lanes = new TreeMap<>();
     private double virtualTime;
     private int size;
-    private int passedOver;
+    private int timesPassedOver;
   }
 
-  private final TreeMap<Integer, Level<T>> levels = new TreeMap<>();
+  private final TreeMap<Integer, PriorityClass<T>> levels = new TreeMap<>();
   private final Map<T, Node<T>> nodes = new HashMap<>();
   private final PriorityQueue<Node<T>> byDeadline =
-      new PriorityQueue<>(Comparator.comparing((Node<T> node) -> node.waiting.deadline()));
+      new PriorityQueue<>(Comparator.comparing((Node<T> node) -> node.entry.deadline()));
 
   private final QueueRule rule;
 
-  /** A queue with fair turns. */
+  /** Creates a fair queue. */
   public AdmissionQueue() {
     this(QueueRule.FAIR);
   }
 
-  /** A queue by another rule. */
+  /** Creates a queue with the given rule. */
   public AdmissionQueue(QueueRule rule) {
     this.rule = rule;
   }
 
   /**
-   * Queues a request or turns it away at once.
+   * Queues a request or rejects it immediately.
    *
-   * @param drainPerSecond requests of the pool that this instance can start in a second; see {@link
-   *     DrainRate}
+   * @param drainPerSecond number of the pool's requests that this instance can start per second;
+   *     see {@link DrainRate}
    */
   public Verdict offer(Waiting<T> request, double drainPerSecond, Instant now) {
     if (rule == QueueRule.UNBOUNDED) {
-      add(inOneLane(request));
+      add(withoutCustomer(request));
       return new Verdict.Queued();
     }
     Duration expected = expectedWait(request, drainPerSecond);
     if (now.plus(expected).isAfter(request.deadline())) {
       return new Verdict.TooLate(
-          expected.compareTo(SHORTEST_COME_BACK) < 0 ? SHORTEST_COME_BACK : expected);
+          expected.compareTo(MIN_RETRY_AFTER) < 0 ? MIN_RETRY_AFTER : expected);
     }
     add(request);
     return new Verdict.Queued();
   }
 
-  private static <T> Waiting<T> inOneLane(Waiting<T> request) {
-    return new Waiting<>(request.item(), EVERYONE, 1, 0, request.deadline(), request.since());
+  private static <T> Waiting<T> withoutCustomer(Waiting<T> request) {
+    return new Waiting<>(
+        request.item(), SINGLE_LANE_CUSTOMER, 1, 0, request.deadline(), request.since());
   }
 
-  /** Takes the request whose turn it is. */
+  /** Removes and returns the request whose turn it is. */
   public Optional<Waiting<T>> poll() {
-    Level<T> level = nextLevel();
+    PriorityClass<T> level = nextClass();
     if (level == null) {
       return Optional.empty();
     }
@@ -153,60 +162,61 @@
             .filter(candidate -> candidate.size > 0)
             .min(Comparator.comparingDouble(candidate -> startTag(level, candidate)))
             .orElseThrow();
-    Node<T> node = firstLive(lane);
+    Node<T> node = removeFirstQueued(lane);
     level.virtualTime = startTag(level, lane);
-    lane.finishTag = level.virtualTime + node.waiting.cost() / node.waiting.weight();
-    forget(node);
-    return Optional.of(node.waiting);
+    lane.finishTag = level.virtualTime + node.entry.cost() / node.entry.weight();
+    unlink(node);
+    return Optional.of(node.entry);
   }
 
-  /** Takes out one request whose deadline has passed. */
+  /** Removes and returns one request whose deadline has passed. */
   public Optional<Waiting<T>> pollExpired(Instant now) {
     while (!byDeadline.isEmpty()) {
       Node<T> node = byDeadline.peek();
-      if (!node.gone && now.isBefore(node.waiting.deadline())) {
+      if (!node.removed && now.isBefore(node.entry.deadline())) {
         return Optional.empty();
       }
       byDeadline.remove();
-      if (!node.gone) {
-        forget(node);
-        return Optional.of(node.waiting);
+      if (!node.removed) {
+        unlink(node);
+        return Optional.of(node.entry);
       }
     }
     return Optional.empty();
   }
 
-  /** Takes a request out whose caller is gone. */
+  /** Removes a request whose caller has disconnected; returns whether it was queued. */
   public boolean remove(T item) {
     Node<T> node = nodes.get(item);
     if (node == null) {
       return false;
     }
-    forget(node);
+    unlink(node);
     return true;
   }
 
-  /** How many wait. */
+  /** Returns the number of queued requests. */
   public int size() {
     return nodes.size();
   }
 
   /**
-   * How long a request would wait.
+   * Returns how long a request would wait.
    *
-   * <p>A customer waits for its own lane at its own share, and never longer than for everyone:
-   * counting all that waits would turn a light customer away for a hot customer's backlog.
+   * <p>A customer waits for its own lane at its own share, and never longer than for all queued
+   * requests. Counting all queued requests would reject a light customer because of a hot
+   * customer's backlog.
    */
   private Duration expectedWait(Waiting<T> request, double drainPerSecond) {
-    int urgent =
+    int aheadByRank =
         levels.headMap(request.rank()).values().stream().mapToInt(level -> level.size).sum();
-    Level<T> level = levels.get(request.rank());
-    double ahead = urgent + (level == null ? 0 : aheadInLevel(level, request));
+    PriorityClass<T> level = levels.get(request.rank());
+    double ahead = aheadByRank + (level == null ? 0 : aheadInClass(level, request));
     double rate = Math.max(drainPerSecond, 0.1);
     return Duration.ofMillis((long) (1000 * ahead / rate));
   }
 
-  private double aheadInLevel(Level<T> level, Waiting<T> request) {
+  private double aheadInClass(PriorityClass<T> level, Waiting<T> request) {
     Lane<T> own = level.lanes.get(request.customer());
     int ownSize = own == null ? 0 : own.size;
     double otherWeights =
@@ -220,12 +230,12 @@
   }
 
   private void add(Waiting<T> request) {
-    Level<T> level = levels.computeIfAbsent(request.rank(), rank -> new Level<>());
+    PriorityClass<T> level = levels.computeIfAbsent(request.rank(), rank -> new PriorityClass<>());
     Lane<T> lane = level.lanes.computeIfAbsent(request.customer(), customer -> new Lane<>());
     Node<T> node = new Node<>(request);
     Preconditions.require(
         nodes.put(request.item(), node) == null,
-        "item %s waits already, expected one that does not".formatted(request.item()));
+        "item %s is already queued, expected one that is not".formatted(request.item()));
     lane.weight = request.weight();
     lane.nodes.addLast(node);
     lane.size++;
@@ -233,42 +243,42 @@
     byDeadline.add(node);
   }
 
-  private @Nullable Level<T> nextLevel() {
-    Level<T> chosen = null;
-    for (Level<T> level : levels.values()) {
+  private @Nullable PriorityClass<T> nextClass() {
+    PriorityClass<T> chosen = null;
+    for (PriorityClass<T> level : levels.values()) {
       if (level.size == 0) {
         continue;
       }
       if (chosen == null) {
         chosen = level;
-      } else if (++level.passedOver >= STARTS_PER_FLOOR_START - 1) {
+      } else if (++level.timesPassedOver >= STARTS_PER_LOWER_CLASS_START - 1) {
         chosen = level;
         break;
       }
     }
     if (chosen != null) {
-      chosen.passedOver = 0;
+      chosen.timesPassedOver = 0;
     }
     return chosen;
   }
 
-  private static <T> double startTag(Level<T> level, Lane<T> lane) {
+  private static <T> double startTag(PriorityClass<T> level, Lane<T> lane) {
     return Math.max(level.virtualTime, lane.finishTag);
   }
 
-  private static <T> Node<T> firstLive(Lane<T> lane) {
+  private static <T> Node<T> removeFirstQueued(Lane<T> lane) {
     Node<T> node = lane.nodes.removeFirst();
-    while (node.gone) {
+    while (node.removed) {
       node = lane.nodes.removeFirst();
     }
     return node;
   }
 
-  private void forget(Node<T> node) {
-    node.gone = true;
-    nodes.remove(node.waiting.item());
-    Level<T> level = levels.get(node.waiting.rank());
-    Lane<T> lane = level == null ? null : level.lanes.get(node.waiting.customer());
+  private void unlink(Node<T> node) {
+    node.removed = true;
+    nodes.remove(node.entry.item());
+    PriorityClass<T> level = levels.get(node.entry.rank());
+    Lane<T> lane = level == null ? null : level.lanes.get(node.entry.customer());
     if (level == null || lane == null) {
       return;
     }
@@ -276,12 +286,15 @@
     lane.size--;
     if (lane.size == 0) {
       lane.nodes.clear();
-      dropIfLevel(level, node.waiting.customer(), lane);
+      dropIfIdle(level, node.entry.customer(), lane);
     }
   }
 
-  /** An empty lane that owes nothing is the same as none; keeping it would grow with customers. */
-  private static <T> void dropIfLevel(Level<T> level, CustomerId customer, Lane<T> lane) {
+  /**
+   * Drops an empty lane without debt, which is equivalent to no lane; keeping it would make the
+   * memory use grow with the number of customers.
+   */
+  private static <T> void dropIfIdle(PriorityClass<T> level, CustomerId customer, Lane<T> lane) {
     if (lane.finishTag <= level.virtualTime) {
       level.lanes.remove(customer);
     }
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/ComeBackTime.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/ComeBackTime.java
@@ -4,21 +4,21 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Spreads the times at which refused callers are told to come back.
+ * Adds jitter to the retry times of refused callers.
  *
- * <p>Load pattern: a burst refused within a moment. If all were told the same time, they would come
- * back as the same burst. Spread evenly over half as long again, they return at most at twice the
- * rate at which the queue drained them, which the queue's bound absorbs.
+ * <p>If a burst of requests is refused at one moment and all callers get the same retry time, they
+ * return as the same burst. Spread evenly over an additional half of that time, they return at no
+ * more than twice the rate at which the queue drains, which the queue's bound absorbs.
  */
 public final class ComeBackTime {
-  private static final double SPREAD = 0.5;
-  private static final Duration LONGEST = Duration.ofSeconds(30);
+  private static final double JITTER = 0.5;
+  private static final Duration MAX_EXPECTED = Duration.ofSeconds(30);
 
   private ComeBackTime() {}
 
-  /** A time to come back, from {@code expected} to half as long again. */
+  /** Returns a random retry time between {@code expected}, limited to 30 s, and 1.5 times that. */
   public static Duration spread(Duration expected, RandomGenerator random) {
-    Duration bounded = expected.compareTo(LONGEST) > 0 ? LONGEST : expected;
-    return bounded.plusMillis((long) (bounded.toMillis() * SPREAD * random.nextDouble()));
+    Duration bounded = expected.compareTo(MAX_EXPECTED) > 0 ? MAX_EXPECTED : expected;
+    return bounded.plusMillis((long) (bounded.toMillis() * JITTER * random.nextDouble()));
   }
 }
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/DesiredEngineState.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/DesiredEngineState.java
@@ -11,14 +11,16 @@
 import org.teaseldeal.api.EngineState;
 
 /**
- * What an engine is to have, and the orders that lead there from what it reports.
+ * The desired state of an engine, from which the orders are derived that lead there from its
+ * reported state.
  *
- * <p>No two of the orders touch the same thing, so they may arrive in any order. Models are loaded
- * before others are unloaded, so that an engine with room for both is never without one.
+ * <p>No two of the orders affect the same object, so they may arrive in any order. Models are
+ * loaded before others are unloaded, so that an engine with room for both is never without a model.
  *
- * @param models versions by name of all its models; empty to leave them as they are, so that a
- *     forgotten setting doesn't empty a fleet
- * @param adapters versions by name of adapters that it must have; others stay
+ * @param models the engine's models as versions by name; empty to leave the models unchanged, so
+ *     that a missing setting does not unload all models of a fleet
+ * @param adapters adapters that the engine must have, as versions by name; other adapters stay
+ * @param role the engine's role; empty to leave it unchanged
  */
 public record DesiredEngineState(
     SortedMap<String, String> models, SortedMap<String, String> adapters, Optional<String> role) {
@@ -32,7 +34,7 @@
     this(new TreeMap<>(models), new TreeMap<>(adapters), role);
   }
 
-  /** What has to be ordered; nothing if {@code reported} agrees. */
+  /** Returns the orders to send; none if {@code reported} equals the desired state. */
   public List<EngineOrder> ordersFrom(EngineState reported) {
     List<EngineOrder> orders = new ArrayList<>();
     addMissing(EngineOrder.Kind.LOAD_MODEL, models, reported.models(), orders);
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/DrainAdmission.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/DrainAdmission.java
@@ -4,37 +4,46 @@
 import java.time.Instant;
 
 /**
- * Which requests an instance still takes while it stops.
+ * Decides which requests an instance still accepts during its shutdown.
  *
- * <p>Load pattern: many instances are replaced in turn, and the balancer goes on sending callers to
- * those that stop, as too few others are left of their data centre. Taken to the end, their
- * requests run and are cut off in the middle when the process is killed; refused from the start,
- * the callers that the balancer sends before it knows are turned away for nothing. So for the time
- * that a balancer takes to notice, everything is taken that usually ends in time; after it, what
- * ends before the process does for certain, at its deadline. All others are told at once that they
- * have not run: they get their answer from another instance after about a tenth of a second, while
- * an answer that breaks off costs its caller all the time that it has waited, and may not be
- * repeated.
+ * <p>If many instances are replaced in turn, the load balancer keeps sending callers to stopping
+ * instances, because too few others remain in their data centre. If all these requests were
+ * accepted until the end, they would be cut off when the process is killed. If all were refused
+ * from the start, callers that the balancer sends before it notices the shutdown would be rejected
+ * needlessly. Therefore, until a balancer has had time to notice, all requests are accepted that
+ * usually end in time; afterwards only those that are certain to end before the process does,
+ * because of their deadline. All others are refused immediately as not run: their callers get an
+ * answer from another instance after about a tenth of a second, whereas an aborted answer costs the
+ * caller all the time waited, and the request may not be repeatable.
  *
  * @param began when the instance was told to stop
- * @param ends when it cuts off what is left
+ * @param ends when the instance aborts the remaining requests
  */
 public record DrainAdmission(Instant began, Instant ends) {
-  /** The balancer asks each second and goes by two answers; connections come until then. */
+  /**
+   * Time until the balancer has noticed the shutdown: it checks the health every second and needs
+   * two results; connections arrive until then.
+   */
   public static final Duration BALANCER_NOTICES = Duration.ofMillis(2600);
 
-  /** When to come back: at once, to another instance. */
-  private static final Duration COME_BACK = Duration.ofMillis(100);
+  /** Retry time of refused callers: almost immediate, since another instance serves them. */
+  private static final Duration RETRY_AFTER = Duration.ofMillis(100);
 
-  /** Where there is little time, half of it is left for what was taken before. */
-  private static final int NOTICE_PART = 2;
+  /**
+   * If there is little time, half of it (one part in 2) is reserved for the requests accepted
+   * before.
+   */
+  private static final int NOTICE_DIVISOR = 2;
 
-  /** What is first sent to a server later than this before the end is seldom answered in time. */
-  private static final Duration SHORTEST_RUN = Duration.ofMillis(300);
+  /**
+   * A request that is first sent to a server later than this before the end is rarely answered in
+   * time.
+   */
+  private static final Duration MIN_RUN_TIME = Duration.ofMillis(300);
 
-  private static final int SHORTEST_RUN_PART = 4;
+  private static final int MIN_RUN_DIVISOR = 4;
 
-  /** Where {@code began} is not before {@code ends}, nothing is taken. */
+  /** Accepts no requests if {@code began} is not before {@code ends}. */
   public DrainAdmission {
     if (ends.isBefore(began)) {
       ends = began;
@@ -42,34 +51,36 @@
   }
 
   /**
-   * Whether a request is taken.
+   * Returns whether a request is accepted.
    *
-   * @param read when all of it had arrived; a body may come long after its head
+   * @param read when the whole request had arrived; a body may arrive long after its head
    * @param deadline until when its caller waits
-   * @param usual how long nearly all of its kind have taken lately; zero if not known
+   * @param usual time within which nearly all recent requests of its kind ended; zero if unknown
    */
   public boolean admits(Instant read, Instant deadline, Duration usual) {
-    if (!read.isBefore(lastSends())) {
+    if (!read.isBefore(lastDispatch())) {
       return false;
     }
     boolean endsForCertain = !deadline.isAfter(ends);
     boolean usuallyEnds = !read.plus(usual).isAfter(ends);
-    return endsForCertain || (read.isBefore(noticed()) && usuallyEnds);
+    return endsForCertain || (read.isBefore(balancerNoticed()) && usuallyEnds);
   }
 
-  /** From when on the balancer sends callers elsewhere, if it has an elsewhere. */
-  Instant noticed() {
-    return began.plus(shorter(BALANCER_NOTICES, total().dividedBy(NOTICE_PART)));
+  /**
+   * Returns the time from which the balancer sends callers to other instances, if there are any.
+   */
+  Instant balancerNoticed() {
+    return began.plus(shorter(BALANCER_NOTICES, total().dividedBy(NOTICE_DIVISOR)));
   }
 
-  /** From when on no request is sent to a server for the first time. */
-  Instant lastSends() {
-    return ends.minus(shorter(SHORTEST_RUN, total().dividedBy(SHORTEST_RUN_PART)));
+  /** Returns the time from which no request is sent to a server for the first time. */
+  Instant lastDispatch() {
+    return ends.minus(shorter(MIN_RUN_TIME, total().dividedBy(MIN_RUN_DIVISOR)));
   }
 
-  /** When a caller that is turned away should come back. */
+  /** Returns the retry time of a refused caller. */
   public Duration comeBack() {
-    return COME_BACK;
+    return RETRY_AFTER;
   }
 
   private Duration total() {
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/DrainPhases.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/DrainPhases.java
@@ -4,122 +4,148 @@
 import java.time.Instant;
 
 /**
- * The phases of an instance's stop: what is still taken, and when the process may end.
+ * The phases of an instance's shutdown: which requests are still accepted in each, and when the
+ * process may end.
  *
- * <p>Both are decided here, as an instance that takes requests and ends by rules of their own cuts
- * off what it took between its last look and its end: the server runs the request and the caller
- * sees a closed connection. The order is enough against it: first everything is refused, and only
- * then is it asked whether answers are outstanding; after that none can come up but refusals.
+ * <p>Both are decided here. If acceptance and shutdown followed separate rules, an instance could
+ * accept a request between its last check for outstanding answers and its end; a backend server
+ * would then run the request while the caller sees a closed connection. The order of the phases
+ * prevents this: first all requests are refused, and only then is it checked whether answers are
+ * outstanding. After that, only refusals can become outstanding.
  *
- * <p>The clock has to go on while the process is frozen, as the time until it is killed does, and
- * must not follow steps of the time of day, which would end a stop before its answers.
+ * <p>The clock has to continue while the process is frozen, as the time until the process is killed
+ * does too. It must not follow steps of the wall clock, which would end the shutdown before its
+ * answers have been sent.
  */
 public final class DrainPhases {
-  /** What a stopping instance does; only ever followed by a later one. */
+  /** A phase of the shutdown. A phase is only ever followed by a later one. */
   public enum Phase {
-    /** Takes what usually ends in time: the balancer doesn't know yet. */
+    /**
+     * Accepts requests that usually end in time, because the load balancer does not yet know of the
+     * shutdown.
+     */
     ACCEPTING,
-    /** Takes what ends in time for certain. */
+    /** Accepts only requests that are certain to end in time. */
     SHORT_ONLY,
-    /** Refuses everything, also what waits and has not run, and finishes what runs. */
+    /**
+     * Refuses all new requests and those that wait and have not run, and completes the running
+     * ones.
+     */
     REFUSING,
-    /** Breaks off what still runs, as the process is about to be killed. */
+    /** Aborts the requests that are still running, because the process is about to be killed. */
     BREAKING_OFF,
-    /** Takes no new connections; answers what comes on those that it has. */
+    /** Accepts no new connections; answers requests that arrive on existing ones. */
     CLOSING,
-    /** Reads nothing more, so that nothing new comes up; lets the last answers leave. */
+    /** Reads no more requests, and flushes the last answers. */
     LEAVING,
     /** The process may end. */
     DONE
   }
 
   /**
-   * What still holds up the end.
+   * The work that is still outstanding before the process may end.
    *
-   * @param unanswered requests whose answers haven't left the process
-   * @param tokensReturned whether the log says that the instance holds no tokens
+   * @param unanswered number of requests whose answers have not left the process
    */
   public record Left(int unanswered, boolean tokensReturned) {}
 
-  /** Kept for closing down before the process is killed. */
-  private static final Duration RESERVE = Duration.ofMillis(900);
+  /** Time reserved for closing down before the process is killed. */
+  private static final Duration MAX_RESERVE = Duration.ofMillis(900);
 
-  /** Of a short grace most is left for callers. */
-  private static final int RESERVE_PART = 4;
+  /** With a short grace period, at most this fraction of it (one part in 4) is reserved. */
+  private static final int RESERVE_DIVISOR = 4;
 
-  /** Of the reserve, the time in which the last answers leave; the rest is for the process. */
-  private static final int FLUSH_PART = 2;
+  /**
+   * The part of the reserve in which the last answers are flushed (one part in 2); the rest is for
+   * ending the process.
+   */
+  private static final int FLUSH_DIVISOR = 2;
 
-  /** A few tries to tell the log; when it is away, starting again serves callers better. */
-  private static final Duration LONGEST_RETURN = Duration.ofMillis(800);
+  /**
+   * Longest time to wait until tokens have been returned through the log: enough for a few
+   * attempts. If the log is unavailable, restarting the process sooner serves callers better.
+   */
+  private static final Duration MAX_RETURN_WAIT = Duration.ofMillis(800);
 
-  /** Requests on connections that were just accepted are here within some milliseconds. */
-  private static final Duration LAST_CALL = Duration.ofMillis(60);
+  /**
+   * Time for the requests on connections that were just accepted; they arrive within some
+   * milliseconds.
+   */
+  private static final Duration LAST_REQUESTS_WAIT = Duration.ofMillis(60);
 
-  /** An answer leaves in less, unless its caller has stopped reading. */
-  private static final Duration LAST_FLUSH = Duration.ofMillis(60);
+  /**
+   * Time for flushing the last answers; an answer takes less unless its caller has stopped reading.
+   */
+  private static final Duration FLUSH_TIME = Duration.ofMillis(60);
 
   private final DrainAdmission admission;
-  private final Instant flushed;
+  private final Instant flushDeadline;
   private Phase phase = Phase.ACCEPTING;
-  private Instant since;
+  private Instant phaseSince;
 
   /**
-   * Begins a stop.
+   * Begins a shutdown.
    *
-   * @param grace from {@code began} until the process is killed
+   * @param began when the shutdown began
+   * @param grace time from {@code began} until the process is killed
    */
   public DrainPhases(Instant began, Duration grace) {
-    Duration part = grace.dividedBy(RESERVE_PART);
-    Duration reserve = part.compareTo(RESERVE) < 0 ? part : RESERVE;
+    Duration part = grace.dividedBy(RESERVE_DIVISOR);
+    Duration reserve = part.compareTo(MAX_RESERVE) < 0 ? part : MAX_RESERVE;
     admission = new DrainAdmission(began, began.plus(grace).minus(reserve));
-    flushed = admission.ends().plus(reserve.dividedBy(FLUSH_PART));
-    since = began;
+    flushDeadline = admission.ends().plus(reserve.dividedBy(FLUSH_DIVISOR));
+    phaseSince = began;
   }
 
-  /** What is taken in {@link Phase#ACCEPTING} and {@link Phase#SHORT_ONLY}. */
+  /**
+   * Returns the rule for accepting requests in {@link Phase#ACCEPTING} and {@link
+   * Phase#SHORT_ONLY}.
+   */
   public DrainAdmission admission() {
     return admission;
   }
 
   /**
-   * Goes on to the next phase if it is time; one phase at a time, so that each one's work is done
-   * before the next looks at what is left.
+   * Advances to the next phase if it is due, and returns the present phase. Advances by one phase
+   * at a time, so that the work of each phase is done before the next one checks what is
+   * outstanding.
    */
-  public Phase next(Instant now, Left left) {
-    Phase next = following(now, left);
+  public Phase next(Instant now, Left outstanding) {
+    Phase next = nextPhase(now, outstanding);
     if (next != phase) {
       phase = next;
-      since = now;
+      phaseSince = now;
     }
     return phase;
   }
 
-  private Phase following(Instant now, Left left) {
-    boolean idle = left.unanswered() == 0;
+  private Phase nextPhase(Instant now, Left outstanding) {
+    boolean idle = outstanding.unanswered() == 0;
     return switch (phase) {
-      case ACCEPTING -> now.isBefore(admission.noticed()) ? phase : Phase.SHORT_ONLY;
-      case SHORT_ONLY -> idle || !now.isBefore(admission.lastSends()) ? Phase.REFUSING : phase;
-      case REFUSING -> afterRefusing(now, left);
+      case ACCEPTING -> now.isBefore(admission.balancerNoticed()) ? phase : Phase.SHORT_ONLY;
+      case SHORT_ONLY -> idle || !now.isBefore(admission.lastDispatch()) ? Phase.REFUSING : phase;
+      case REFUSING -> afterRefusing(now, outstanding);
       case BREAKING_OFF -> Phase.CLOSING;
-      case CLOSING -> lasted(now, LAST_CALL) ? Phase.LEAVING : phase;
-      case LEAVING -> idle || (late(now) && lasted(now, LAST_FLUSH)) ? Phase.DONE : phase;
+      case CLOSING -> hasLasted(now, LAST_REQUESTS_WAIT) ? Phase.LEAVING : phase;
+      case LEAVING ->
+          idle || (pastFlushDeadline(now) && hasLasted(now, FLUSH_TIME)) ? Phase.DONE : phase;
       case DONE -> Phase.DONE;
     };
   }
 
-  private Phase afterRefusing(Instant now, Left left) {
-    if (left.unanswered() == 0 && (left.tokensReturned() || lasted(now, LONGEST_RETURN))) {
+  private Phase afterRefusing(Instant now, Left outstanding) {
+    if (outstanding.unanswered() == 0
+        && (outstanding.tokensReturned() || hasLasted(now, MAX_RETURN_WAIT))) {
       return Phase.CLOSING;
     }
     return now.isBefore(admission.ends()) ? phase : Phase.BREAKING_OFF;
   }
 
-  private boolean late(Instant now) {
-    return !now.isBefore(flushed);
+  private boolean pastFlushDeadline(Instant now) {
+    return !now.isBefore(flushDeadline);
   }
 
-  private boolean lasted(Instant now, Duration duration) {
-    return !now.isBefore(since.plus(duration));
+  private boolean hasLasted(Instant now, Duration duration) {
+    return !now.isBefore(phaseSince.plus(duration));
   }
 }
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/DrawOrder.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/DrawOrder.java
@@ -7,50 +7,60 @@
 import java.util.random.RandomGenerator;
 
 /**
- * When an instance asks others for idle tokens of a customer, and in which order.
+ * Decides when an instance asks its peers for idle tokens of a customer, and in which order.
  *
- * <p>Load pattern: all instances are cut off from the log at once, and still reach each other. What
- * each may use at once is less than one large request, since a loss of power loses it, so most
- * large requests would wait for seconds; together the instances have enough for all of them. So an
- * instance that lacks tokens draws on what others may use at once.
+ * <p>All instances may be partitioned from the shared log at once and still reach each other. The
+ * tokens that each may use immediately are fewer than one large request needs, because they are
+ * lost in a loss of power, so most large requests would wait for seconds. Together the instances
+ * have enough for all of them. Therefore an instance that lacks tokens obtains those that its peers
+ * may use immediately.
  *
- * <p>Load pattern: many instances lack tokens of the same customer in the same moment. If all asked
- * the one with the most, each but the first would come in vain. So those with much are likely to be
- * asked first, and no more than that.
+ * <p>Many instances may lack tokens of the same customer at the same moment. If all asked the peer
+ * with the most tokens, all but the first would ask in vain. Therefore the order is random, and
+ * peers with more tokens are only more likely to be asked first.
  */
 public final class DrawOrder {
-  /** A log that can be reached has granted a wish by then, several times over. */
-  public static final Duration ASK_AFTER = Duration.ofMillis(60);
+  /**
+   * How long a request waits before peers are asked. An available log grants a claim within a
+   * fraction of this time.
+   */
+  public static final Duration FIRST_ROUND_DELAY = Duration.ofMillis(60);
 
-  /** Between rounds of asking: what others may use grows slowly while the log is away. */
-  public static final Duration ROUND_PAUSE = Duration.ofMillis(200);
+  /**
+   * Interval between rounds; the tokens that peers may use grow slowly while the log is
+   * unavailable.
+   */
+  public static final Duration ROUND_INTERVAL = Duration.ofMillis(200);
 
-  /** How long a request may wait for what others have; a round of asking ends well within it. */
-  public static final Duration LONGEST_ROUND = Duration.ofMillis(250);
+  /** How long a request may wait for tokens of peers; a round ends well within this time. */
+  public static final Duration MAX_ROUND_TIME = Duration.ofMillis(250);
 
-  /** An instance that can't be reached is left out for about the time that a restart takes. */
-  public static final Duration UNREACHABLE_PAUSE = Duration.ofSeconds(2);
+  /** How long an unreachable peer is skipped: about the duration of a restart. */
+  public static final Duration UNREACHABLE_SKIP_TIME = Duration.ofSeconds(2);
 
-  /** Instances asked in a round: their answers come one after the other, in a few milliseconds. */
-  private static final int MOST_ASKED = 8;
+  /**
+   * Maximum number of peers asked in a round. They answer one after the other, within a few
+   * milliseconds in total.
+   */
+  private static final int MAX_PEERS_ASKED = 8;
 
-  /** Where an instance comes; the heaviest first. */
-  private record Place(String instance, double weight) {}
+  /** The position of a peer in the order; the one with the highest weight comes first. */
+  private record RankedPeer(String instance, double weight) {}
 
   private DrawOrder() {}
 
   /**
-   * The instances to ask, one after the other.
+   * Returns the peers to ask, one after the other.
    *
-   * @param idle what each said to have idle; those without any are left out
+   * @param idle number of idle tokens that each peer has published; peers without any are left out
    */
-  public static List<String> of(Map<String, Long> idle, RandomGenerator random) {
+  public static List<String> peersToAsk(Map<String, Long> idle, RandomGenerator random) {
     return idle.entrySet().stream()
         .filter(entry -> entry.getValue() > 0)
-        .map(entry -> new Place(entry.getKey(), entry.getValue() * random.nextDouble()))
-        .sorted(Comparator.comparingDouble(Place::weight).reversed())
-        .limit(MOST_ASKED)
-        .map(Place::instance)
+        .map(entry -> new RankedPeer(entry.getKey(), entry.getValue() * random.nextDouble()))
+        .sorted(Comparator.comparingDouble(RankedPeer::weight).reversed())
+        .limit(MAX_PEERS_ASKED)
+        .map(RankedPeer::instance)
         .toList();
   }
 }
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/LeaseSizing.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/LeaseSizing.java
@@ -3,12 +3,13 @@
 import java.time.Duration;
 
 /**
- * How large a lease an instance asks for.
+ * Computes how many tokens an instance requests for its lease.
  *
- * <p>Load pattern: steady spending with outages of the log. A lease too small runs dry in an
- * outage, and requests are refused although the budget has tokens; one too large hoards the tail of
- * a budget and strands more when its holder dies. The horizon is therefore the outage that should
- * go unnoticed, and the share of what remains keeps one instance from taking the tail.
+ * <p>A lease that is too small is used up in an outage of the log, and requests are refused
+ * although the budget has tokens. A lease that is too large hoards the last tokens of a budget, and
+ * more of them are stranded when its holder dies. Therefore the horizon is the longest outage that
+ * should go unnoticed, and the limit to a share of the remaining tokens keeps one instance from
+ * taking all of the rest.
  */
 public final class LeaseSizing {
   private final Duration horizon;
@@ -22,12 +23,12 @@
   }
 
   /**
-   * The tokens to ask for.
+   * Returns the number of tokens to request.
    *
-   * @param tokensPerSecond the present rate of spending at this instance
-   * @param needed what a waiting request needs at least
-   * @param held what is unreserved at hand
-   * @param remaining what the ledger shows as unleased
+   * @param tokensPerSecond present rate of consumption at this instance
+   * @param needed tokens that a waiting request needs at least
+   * @param held unreserved tokens that this instance already has
+   * @param remaining tokens that the ledger shows as not leased
    */
   public long wanted(double tokensPerSecond, long needed, long held, long remaining) {
     long target = Math.max(minimum, (long) (tokensPerSecond * horizon.toMillis() / 1000.0));
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/LoadCollectorChoice.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/LoadCollectorChoice.java
@@ -5,41 +5,45 @@
 import java.util.Set;
 
 /**
- * Which instances collect what the others have outstanding at the backend servers, and tell each
- * the sum.
+ * Chooses the instances that collect the numbers of requests that all instances have outstanding at
+ * the backend servers, and that send the sums back (collectors).
  *
- * <p>Load pattern: each of many instances tells all others, so that what an instance hears grows
- * with the fleet and what the fleet sends with its square, whatever callers ask for. With as many
- * collectors as each has instances to report to it, an instance hears one sender, and a collector
- * hears and tells as many as the square root of the fleet, twice.
+ * <p>If each of many instances sent its numbers to all others, the traffic received by an instance
+ * would grow with the size of the fleet, and the fleet's total traffic with the square of that
+ * size, independent of the callers' load. If there are as many collectors as instances report to
+ * each collector, an ordinary instance receives from one sender, and a collector receives from and
+ * sends to a number of instances that is about the square root of the fleet's size, twice.
  *
- * <p>All instances work the collectors out alike from the names in the fleet. Where two don't agree
- * for a moment, some loads are counted twice or not at all for that moment, and nothing else.
+ * <p>All instances derive the same collectors from the names in the fleet. While two instances
+ * disagree for a moment, some loads are counted twice or not at all; nothing else is affected.
  */
 public final class LoadCollectorChoice {
   /**
-   * Up to so many instances all collect and tell each other directly: a collector between them
-   * would save few messages, and cost a second hop.
+   * Largest fleet in which all instances are collectors and report directly to each other. In such
+   * a fleet a collector in between would save few messages and cost a second hop.
    */
-  private static final int ALL_COLLECT = 16;
+  private static final int MAX_FLEET_WITHOUT_SELECTION = 16;
 
   private LoadCollectorChoice() {}
 
   /**
-   * The instances that collect.
+   * Returns the collectors.
    *
-   * @param instances the names of all, in any order
+   * @param instances the names of all instances, in any order
    */
   public static Set<String> of(Collection<String> instances) {
-    if (instances.size() <= ALL_COLLECT) {
+    if (instances.size() <= MAX_FLEET_WITHOUT_SELECTION) {
       return Set.copyOf(instances);
     }
     int collectors = (int) Math.ceil(Math.sqrt(instances.size()));
-    return Set.copyOf(RendezvousHash.ranked("collector", instances).subList(0, collectors));
+    return Set.copyOf(RendezvousHash.order("collector", instances).subList(0, collectors));
   }
 
-  /** The order in which {@code instance} turns to collectors, so that each is first for as many. */
+  /**
+   * Returns the order in which {@code instance} tries the collectors; each collector is first for
+   * about the same number of instances.
+   */
   public static List<String> order(String instance, Collection<String> collectors) {
-    return RendezvousHash.ranked(instance, collectors);
+    return RendezvousHash.order(instance, collectors);
   }
 }
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/PlacementPolicy.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/PlacementPolicy.java
@@ -5,9 +5,12 @@
 import java.util.Optional;
 import java.util.random.RandomGenerator;
 
-/** Ways to choose the backend server of a request; the first two are baselines to beat. */
+/**
+ * Policies for choosing the backend server of a request. The first two are baselines for
+ * comparison.
+ */
 public enum PlacementPolicy {
-  /** Takes the servers in turn, whatever their load. */
+  /** Chooses the servers in turn, regardless of their load. */
   ROUND_ROBIN {
     @Override
     public Optional<ServerView> choose(
@@ -18,7 +21,7 @@
     }
   },
 
-  /** Takes the server with the least outstanding work that is open. */
+  /** Chooses the open server with the least outstanding work. */
   LEAST_OUTSTANDING {
     @Override
     public Optional<ServerView> choose(
@@ -28,11 +31,11 @@
   },
 
   /**
-   * Takes the less loaded of two servers drawn at random among those that are open.
+   * Chooses the less loaded of two open servers drawn at random.
    *
-   * <p>Several instances that see the same lagging report would all send to the one server that it
-   * shows idle. Drawing two at random spreads them, and the comparison still avoids a server that
-   * is known to be busy.
+   * <p>Several instances that see the same outdated load report would all send their requests to
+   * the one server that it shows as idle. Drawing two servers at random spreads the requests, and
+   * the comparison still avoids servers known to be busy.
    */
   TWO_CHOICES {
     @Override
@@ -51,7 +54,11 @@
   private static final Comparator<ServerView> BY_LOAD =
       Comparator.comparingDouble(ServerView::load);
 
-  /** Chooses a server, or none if none may be given the request now. */
+  /**
+   * Chooses a server; empty if no server may be given the request now.
+   *
+   * @param turn counter of choices, for policies that choose in turn
+   */
   public abstract Optional<ServerView> choose(
       List<ServerView> servers, long turn, RandomGenerator random);
 }
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/PrepaidLease.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/PrepaidLease.java
@@ -4,60 +4,74 @@
 import org.teaseldeal.api.Preconditions;
 
 /**
- * How many idle tokens of a prepaid total an instance keeps for the time that it can't ask for
+ * Computes how many idle tokens of a prepaid total an instance keeps for times when it can't claim
  * more.
  *
- * <p>Load pattern: steady spending while an instance is cut off from the log for seconds, all
- * instances at once. Whatever isn't at hand then is refused although the total covers it. So an
- * instance keeps what it is likely to need over the longest usual cut, and two of its largest
- * requests besides: a light customer's next request is larger than its mean demand.
+ * <p>All instances may be partitioned from the shared log at once for seconds while tokens are
+ * consumed steadily. Requests for which no tokens are available locally are then refused although
+ * the total covers them. Therefore an instance keeps the tokens that it is likely to need during
+ * the longest usual partition, plus two of its largest requests, because the next request of a
+ * customer with little traffic exceeds the mean demand.
  *
- * <p>Load pattern: a balancer that gives instances uneven shares, and customers who keep to a few
- * of them. With even parts, some instances refuse in a cut while others hold tokens that nobody
- * asks them for. So what is left is shared by demand, as the instances tell it each other.
+ * <p>A load balancer may give instances uneven shares, and customers may use only a few instances.
+ * With equal parts, some instances would refuse requests during a partition while others hold
+ * tokens for which they get no requests. Therefore the remaining tokens are shared in proportion to
+ * the demand that the instances report to each other.
  *
- * <p>A part of what is at hand when an instance is killed is lost, as nobody can tell whether it
- * was spent. So some of what is left stays with nobody, for those that need it first, and one that
- * has had no request of a customer keeps little of it.
+ * <p>Some of the tokens that an instance holds when it is killed are lost, because it is unknown
+ * whether they were spent. Therefore part of the remaining tokens stays unassigned for the instance
+ * that needs them first, and an instance without requests of a customer keeps few of that
+ * customer's tokens.
  *
- * @param pool tokens that are neither spent nor given to requests, as far as is known
- * @param instances that share the pool, this one included
+ * @param total the customer's total in tokens
+ * @param unreserved tokens that are neither spent nor reserved, as far as known
+ * @param instances number of instances that share the pool, including this one
  */
-public record PrepaidLease(long total, long pool, int instances) {
-  /** The cut that should go unnoticed; those seen last seven to nine seconds. */
-  private static final Duration HORIZON = Duration.ofSeconds(9);
+public record PrepaidLease(long total, long unreserved, int instances) {
+  /** Duration of a partition that should go unnoticed; typical ones last seven to nine seconds. */
+  private static final Duration COVERED_PARTITION = Duration.ofSeconds(9);
 
-  /** Demand over some seconds varies by about a third at one request a second. */
-  private static final double MARGIN = 1.3;
+  /**
+   * Factor for variation: at one request per second, the demand over some seconds varies by about a
+   * third.
+   */
+  private static final double DEMAND_MARGIN = 1.3;
 
   /**
-   * The parts of the pool that instances keep at most, by their demand and evenly. An instance that
-   * is killed after seconds without the log loses what it kept, see {@link LeaseRelease}.
+   * Fractions of the pool that instances keep at most: by demand, and evenly. An instance that is
+   * killed after seconds without the log loses the tokens it kept; see {@link IdleTokenRelease}.
    */
-  private static final double KEPT_BY_DEMAND = 0.75;
+  private static final double MAX_FRACTION_BY_DEMAND = 0.75;
 
-  private static final double KEPT_EVENLY = 0.1;
+  private static final double MAX_FRACTION_EVENLY = 0.1;
 
-  /** What an instance keeps without demand: one request of a light customer. */
-  private static final double FLOOR_SHARE = 0.02;
+  /**
+   * Fraction of the total that an instance keeps without demand: one request of a customer with
+   * little traffic.
+   */
+  private static final double MIN_FRACTION_OF_TOTAL = 0.02;
 
   public PrepaidLease {
-    Preconditions.requireNotNegative(pool, "pool");
+    Preconditions.requireNotNegative(unreserved, "pool");
     Preconditions.requirePositive(instances, "instances");
   }
 
   /**
-   * The idle tokens to keep.
+   * Returns the number of idle tokens to keep.
    *
-   * @param tokensPerSecond that this instance's requests set aside
-   * @param ofAll the same of all instances together, this one included
-   * @param largest of its recent requests
+   * @param tokensPerSecond rate at which this instance's requests reserve tokens
+   * @param fleetTokensPerSecond the same rate of all instances together, including this one
+   * @param largest size of the largest recent request at this instance
    */
-  public long target(double tokensPerSecond, double ofAll, long largest) {
-    double demand = tokensPerSecond * HORIZON.toSeconds() * MARGIN + 2.0 * largest;
-    double wanted = Math.max(demand, total * FLOOR_SHARE);
-    double share = ofAll > 0 ? Math.min(1, tokensPerSecond / ofAll) : 1.0 / instances;
-    double most = pool * (KEPT_BY_DEMAND * share + KEPT_EVENLY / instances);
-    return (long) Math.min(wanted, most);
+  public long target(double tokensPerSecond, double fleetTokensPerSecond, long largest) {
+    double demand = tokensPerSecond * COVERED_PARTITION.toSeconds() * DEMAND_MARGIN + 2.0 * largest;
+    double wanted = Math.max(demand, total * MIN_FRACTION_OF_TOTAL);
+    double share =
+        fleetTokensPerSecond > 0
+            ? Math.min(1, tokensPerSecond / fleetTokensPerSecond)
+            : 1.0 / instances;
+    double maxOfPool =
+        unreserved * (MAX_FRACTION_BY_DEMAND * share + MAX_FRACTION_EVENLY / instances);
+    return (long) Math.min(wanted, maxOfPool);
   }
 }
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/PromptPlacement.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/PromptPlacement.java
@@ -10,39 +10,44 @@
 import org.teaseldeal.api.Preconditions;
 
 /**
- * Chooses the engine of a prompt so that prompts with the same beginning meet where it is cached.
+ * Chooses the engine of a prompt so that prompts with a common prefix meet where the prefix is
+ * cached.
  *
- * <p>Load pattern: many subjects, each with a long beginning that its prompts share, over engines
- * whose caches hold a part of them. Spread at random, each beginning is read again at every engine,
- * and the caches hold many copies of few. So a prompt goes where its beginning lies, or to the
- * beginning's home, the first engine by rendezvous hash, which all instances work out alike.
+ * <p>There may be many subjects, each with a long prefix that its prompts share, and engines whose
+ * caches hold only some of these prefixes. If prompts were spread at random, every engine would
+ * process every prefix again, and the caches would hold many copies of few prefixes. Therefore a
+ * prompt goes to an engine that has its prefix cached, or otherwise to the home of the prefix: the
+ * first engine by rendezvous hashing, which all instances compute alike.
  *
- * <p>Load pattern: all caches are empty, after a start or a crash of engines, and each prompt has
- * to be read whole. The hash alone then gives some engines twice the work of others. So a beginning
- * that lies nowhere yet leaves its home for the next one if that is busier than the least busy
- * engine, counting all that is to be read there, by more than the prompt's own reading.
+ * <p>After a start or a crash of engines all caches are empty, and each prompt has to be processed
+ * in full. The hash alone would give some engines twice the work of others. Therefore a prefix that
+ * is cached nowhere moves from its home to the next one if the home is busier than the least busy
+ * engine by more than the prompt's own processing time, counting all prompt tokens still to be
+ * processed there.
  *
- * <p>Load pattern: one subject takes a third of the requests, or a prompt of fifty thousand tokens
- * keeps an engine busy for a second. Where the beginning lies, callers wait while others idle. So
- * an engine is passed over as soon as the first token is expected there later than it is on time; a
- * hot subject is cached at just as many engines as it needs.
+ * <p>One subject may account for a third of the requests, or a prompt of 50 000 tokens may keep an
+ * engine busy for a second. At the engine with the cached prefix callers would wait while other
+ * engines are idle. Therefore an engine is skipped as soon as its first token is expected later
+ * than the target time; the prefix of a hot subject is then cached at just as many engines as it
+ * needs.
  */
 public final class PromptPlacement {
   /**
-   * An engine, and what the prompt would be there.
+   * An engine, with the cost of the prompt at this engine.
    *
-   * @param running requests that it is thought to have
-   * @param promptTokensAhead of requests sent there whose answer hasn't begun
-   * @param uncachedTokens of the prompt that it would have to read
-   * @param holdsBeginning whether all that the prompt shares with others is thought to be cached
-   * @param slowness its time to answer relative to the others'
+   * @param id the engine
+   * @param running estimated number of requests running at the engine
+   * @param promptTokensAhead prompt tokens of requests sent there whose answer has not begun
+   * @param uncachedTokens tokens of the prompt that the engine would have to process
+   * @param holdsPrefix whether the prompt's whole shared prefix is assumed to be cached there
+   * @param slowness the engine's answer time relative to the other engines'
    */
   public record Candidate(
       BackendServerId id,
       int running,
       long promptTokensAhead,
       long uncachedTokens,
-      boolean holdsBeginning,
+      boolean holdsPrefix,
       double slowness) {
     public Candidate {
       Preconditions.requireNotNegative(running, "running");
@@ -50,78 +55,90 @@
       Preconditions.requireNotNegative(uncachedTokens, "uncached tokens");
     }
 
-    /** The wait for the first token of the prompt. */
+    /** Returns the expected time to the prompt's first token. */
     private double expectedMillis() {
-      double reading = (promptTokensAhead + uncachedTokens) / TOKENS_PER_MILLI;
-      return (reading + running * MILLIS_PER_RUNNING) * slowness;
+      double reading = (promptTokensAhead + uncachedTokens) / TOKENS_PER_MS;
+      return (reading + running * MS_PER_RUNNING_REQUEST) * slowness;
     }
 
-    private double ownReadingMillis() {
-      return uncachedTokens / TOKENS_PER_MILLI * slowness;
+    private double ownPrefillMillis() {
+      return uncachedTokens / TOKENS_PER_MS * slowness;
     }
   }
 
   /**
    * A prompt to place.
    *
-   * @param beginning names what it shares with others; empty if nothing
-   * @param aim until when the first token is on time
+   * @param prefix identifies the prefix that the prompt shares with others; empty if it shares none
+   * @param aim time within which the first token counts as on time
    */
-  public record Prompt(String beginning, Duration aim) {}
+  public record Prompt(String prefix, Duration aim) {}
 
-  /** Prompt tokens that an engine reads in a millisecond, from the sheets of those in use. */
-  private static final double TOKENS_PER_MILLI = 60;
+  /**
+   * Prompt tokens that an engine processes per millisecond, according to the data sheets of the
+   * engines in use.
+   */
+  private static final double TOKENS_PER_MS = 60;
 
-  /** What each running request adds to the wait: its step's part of the time between chunks. */
-  private static final double MILLIS_PER_RUNNING = 0.5;
+  /**
+   * Milliseconds that each running request adds to the wait: its part of the time between two
+   * chunks.
+   */
+  private static final double MS_PER_RUNNING_REQUEST = 0.5;
 
   /**
-   * The part of the aim that the first token may be expected after where the beginning lies. The
-   * whole of it: a beginning that is read again elsewhere costs its engine as much time as the wait
-   * saves.
+   * Fraction of the target time up to which an engine that has the prefix cached is kept. It is the
+   * whole target time, because processing the prefix again elsewhere costs that engine as much time
+   * as it saves the caller.
    */
-  private static final double HOME_PATIENCE = 1.0;
+  private static final double CACHED_AIM_FRACTION = 1.0;
 
-  /** Homes of a beginning that are tried in turn before any engine will do. */
-  private static final int HOMES = 3;
+  /** Number of homes of a prefix that are tried in order before any other engine is used. */
+  private static final int HOMES_TRIED = 3;
 
   /**
-   * How much busier than others a home may be, in the prompt's own reading time. An instance that
-   * has just started doesn't know what is cached: the home may be about to save all of that time.
+   * How much busier than the least busy engine a home may be, in multiples of the prompt's own
+   * processing time. An instance that has just started does not know what is cached, and the home
+   * may save all of that time.
    */
-  private static final double HOME_LEAD = 1.0;
+  private static final double HOME_LOAD_TOLERANCE = 1.0;
 
   private PromptPlacement() {}
 
-  /** Chooses among {@code engines}; none only if there are none. */
+  /** Chooses one of {@code engines}; empty only if there are none. */
   public static Optional<BackendServerId> choose(
       List<Candidate> engines, Prompt prompt, RandomGenerator random) {
     Optional<Candidate> soonest = soonest(engines, random);
-    if (prompt.beginning().isEmpty() || soonest.isEmpty()) {
+    if (prompt.prefix().isEmpty() || soonest.isEmpty()) {
       return soonest.map(Candidate::id);
     }
     double soonestMillis = soonest.get().expectedMillis();
-    double patience = Math.max(soonestMillis, prompt.aim().toMillis() * HOME_PATIENCE);
-    List<Candidate> holders = engines.stream().filter(Candidate::holdsBeginning).toList();
+    double keepMillis = Math.max(soonestMillis, prompt.aim().toMillis() * CACHED_AIM_FRACTION);
+    List<Candidate> holders = engines.stream().filter(Candidate::holdsPrefix).toList();
     return soonest(holders, random)
-        .filter(holder -> holder.expectedMillis() <= patience)
+        .filter(holder -> holder.expectedMillis() <= keepMillis)
         .or(() -> home(engines, prompt, soonestMillis))
         .or(() -> soonest)
         .map(Candidate::id);
   }
 
-  /** The first of a beginning's homes that isn't much busier than the least busy engine. */
+  /** Returns the first home of the prefix that is not much busier than the least busy engine. */
   private static Optional<Candidate> home(
       List<Candidate> engines, Prompt prompt, double soonestMillis) {
     return engines.stream()
-        .sorted(Comparator.comparingLong(engine -> score(engine, prompt.beginning())))
-        .limit(HOMES)
+        .sorted(Comparator.comparingLong(engine -> score(engine, prompt.prefix())))
+        .limit(HOMES_TRIED)
         .filter(
-            home -> home.expectedMillis() <= soonestMillis + home.ownReadingMillis() * HOME_LEAD)
+            home ->
+                home.expectedMillis()
+                    <= soonestMillis + home.ownPrefillMillis() * HOME_LOAD_TOLERANCE)
         .findFirst();
   }
 
-  /** The engine that is expected to answer first; of equal ones, any. */
+  /**
+   * Returns the engine with the earliest expected first token; a random one of several equal
+   * engines.
+   */
   private static Optional<Candidate> soonest(List<Candidate> engines, RandomGenerator random) {
     Candidate best = null;
     double bestMillis = Double.MAX_VALUE;
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/PromptReading.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/PromptReading.java
@@ -3,31 +3,34 @@
 import java.time.Duration;
 
 /**
- * Whether an engine can have read a prompt by the time that it broke off.
+ * Tells whether an engine can have processed a prompt by the time at which its answer broke off.
  *
- * <p>Load pattern: engines that reset the connections of many requests as these arrive, within
- * milliseconds, while a customer's total runs out. Charged in full, each such prompt takes from the
- * customer what nobody used, and its later requests are refused although the total covers them.
+ * <p>Engines may reset the connections of many requests within milliseconds of their arrival, while
+ * a customer's total is nearly used up. If each such prompt were charged in full, the customer
+ * would pay for tokens that were never used, and its later requests would be refused although the
+ * total covers them.
  *
- * <p>A run begins with its first token, and for that the whole of the prompt has to be read. So an
- * engine that broke off sooner than any engine could have read the prompt has used nothing of it.
+ * <p>A run begins with its first token, for which the whole prompt has to be processed. So an
+ * engine that broke off sooner than any engine could have processed the prompt has not used any of
+ * its tokens.
  */
 public final class PromptReading {
   /**
-   * Half more than the 66 tokens that the fastest engines in use read in a millisecond, so that a
-   * faster one isn't taken for one that has not read.
+   * Prompt tokens per millisecond of an assumed fastest engine. The fastest engines in use process
+   * 66 tokens per millisecond; the margin of half of that avoids mistaking a faster engine for one
+   * that has not processed the prompt.
    */
-  private static final long FASTEST_TOKENS_PER_MILLI = 100;
+  private static final long FASTEST_TOKENS_PER_MS = 100;
 
   private PromptReading() {}
 
   /**
-   * Whether a prompt may have been read.
+   * Returns whether a prompt may have been processed.
    *
-   * @param tokens of the prompt that no engine can have had in its cache
-   * @param since the request was sent
+   * @param tokens number of tokens of the prompt that no engine can have cached
+   * @param since time since the request was sent
    */
   public static boolean mayBeDone(long tokens, Duration since) {
-    return since.toNanos() * FASTEST_TOKENS_PER_MILLI >= tokens * Duration.ofMillis(1).toNanos();
+    return since.toNanos() * FASTEST_TOKENS_PER_MS >= tokens * Duration.ofMillis(1).toNanos();
   }
 }
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/QueueRule.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/QueueRule.java
@@ -1,15 +1,17 @@
 package org.teaseldeal.decisions;
 
-/** How requests wait for a backend server; the second is a baseline to beat. */
+/**
+ * Rules for the requests that wait for a backend server. The second is a baseline for comparison.
+ */
 public enum QueueRule {
-  /** Fair turns among customers, bounded by each request's deadline. */
+  /** Weighted fair queueing among customers, bounded by each request's deadline. */
   FAIR,
 
   /**
-   * In order of arrival and never refused for its length.
+   * First in, first out, without a bound on the queue's length.
    *
-   * <p>Requests whose deadline passes while they wait are dropped all the same: a baseline that ran
-   * them for nobody would be too easy to beat.
+   * <p>Requests whose deadline passes while they wait are dropped nevertheless; a baseline that
+   * still ran them would be too easy to beat.
    */
   UNBOUNDED
 }
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/RecentDurations.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/RecentDurations.java
@@ -4,34 +4,37 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** How long the last few requests of a kind have taken. */
+/** The durations of the most recent requests of one kind. */
 public final class RecentDurations {
-  /** Enough to tell nine in ten from the rest, and soon replaced when the load changes. */
-  private static final int KEPT = 64;
+  /**
+   * Number of durations kept: enough for a 90th percentile, and few enough to be replaced soon when
+   * the load changes.
+   */
+  private static final int MAX_KEPT = 64;
 
-  /** Fewer tell nothing about the slow ones among them. */
-  private static final int ENOUGH = 10;
+  /** Minimum number of durations for a meaningful 90th percentile. */
+  private static final int MIN_SAMPLES = 10;
 
-  private static final int NEARLY_ALL_PERCENT = 90;
+  private static final int PERCENTILE = 90;
 
-  private final Deque<Duration> last = new ArrayDeque<>();
+  private final Deque<Duration> recent = new ArrayDeque<>();
 
-  /** Counts one. */
+  /** Records the duration of one request. */
   public void add(Duration duration) {
-    if (last.size() == KEPT) {
-      last.removeFirst();
+    if (recent.size() == MAX_KEPT) {
+      recent.removeFirst();
     }
-    last.addLast(duration);
+    recent.addLast(duration);
   }
 
-  /** What nine in ten have taken at most; zero where too few are known. */
+  /** Returns the 90th percentile; zero if too few durations are known. */
   public Duration ofNearlyAll() {
-    if (last.size() < ENOUGH) {
+    if (recent.size() < MIN_SAMPLES) {
       return Duration.ZERO;
     }
-    return last.stream()
+    return recent.stream()
         .sorted()
-        .skip((long) last.size() * NEARLY_ALL_PERCENT / 100 - 1)
+        .skip((long) recent.size() * PERCENTILE / 100 - 1)
         .findFirst()
         .orElse(Duration.ZERO);
   }
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/RelayChoice.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/RelayChoice.java
@@ -6,84 +6,93 @@
 import java.util.Optional;
 
 /**
- * Whether a call goes straight to a service or by another instance that reaches it.
+ * Decides whether a call goes directly to a service or through another instance that reaches it (a
+ * relay).
  *
- * <p>Load pattern: the service turns some instances away for many seconds and serves the others.
- * Those turned away go on with what they last knew: leases run dry and their callers are refused
- * although the budget has tokens, and settings grow stale. Another instance can make their calls.
+ * <p>A service may reject some instances for many seconds while it serves the others. The rejected
+ * instances would continue with outdated state: leases are used up and callers are refused although
+ * the budget has tokens, and settings become stale. Other instances can relay their calls.
  *
- * <p>Load pattern: nobody reaches the service, or an instance reaches nobody. Relays help nothing
- * then, and each call that waits for one delays the moment in which the service is found to be
- * back. So once some relays have failed in turn, calls go straight for a while.
+ * <p>If no instance reaches the service, or an instance reaches no other, relays don't help, and
+ * each call that waits for a relay delays the moment at which the service is found to be available
+ * again. Therefore calls go directly for a while after several relays in a row have failed.
  */
 public final class RelayChoice {
-  /** How often a call is made directly while relays work: how late its return is noticed. */
-  private static final Duration PROBE_EVERY = Duration.ofMillis(500);
+  /**
+   * Interval between direct calls while relays work; it bounds how late the return of the service
+   * is noticed.
+   */
+  private static final Duration PROBE_INTERVAL = Duration.ofMillis(500);
 
-  /** Direct calls only, after all relays failed: two or three of them, at their usual pauses. */
-  private static final Duration RELAYS_REST = Duration.ofMillis(800);
+  /**
+   * How long only direct calls are made after the relays of a round have failed: enough for two or
+   * three direct calls at their usual interval.
+   */
+  private static final Duration RELAY_PAUSE = Duration.ofMillis(800);
 
   /**
-   * Relays that fail in turn before calls go straight. Where the service serves half of the
-   * instances, eight in a row fail once in 256 times; the next round goes on with others.
+   * Maximum number of relays that fail in a row before calls go directly. If the service serves
+   * half of the instances, eight relays in a row fail once in 256 rounds; the next round continues
+   * with other relays.
    */
-  private static final int MOST_IN_A_ROUND = 8;
+  private static final int MAX_FAILURES_PER_ROUND = 8;
 
-  private boolean directWorks = true;
+  private boolean directAvailable = true;
   private Instant nextProbe = Instant.MIN;
-  private Instant relaysRestUntil = Instant.MIN;
-  private int turn;
-  private int failedInTurn;
+  private Instant relaysPausedUntil = Instant.MIN;
+  private int relayIndex;
+  private int consecutiveFailures;
 
   /**
-   * Creates a choice.
+   * Creates the choice of one instance.
    *
-   * @param firstTurn different at each instance, so that not all take the same relay
+   * @param firstTurn start position in the list of relays; different at each instance, so that not
+   *     all instances use the same relay
    */
   public RelayChoice(int firstTurn) {
-    this.turn = firstTurn;
+    this.relayIndex = firstTurn;
   }
 
-  /** The relay of the next call; empty if it goes straight to the service. */
+  /** Returns the relay of the next call; empty if the call goes directly to the service. */
   public Optional<String> next(List<String> relays, Instant now) {
-    if (directWorks || relays.isEmpty() || now.isBefore(relaysRestUntil)) {
+    if (directAvailable || relays.isEmpty() || now.isBefore(relaysPausedUntil)) {
       return Optional.empty();
     }
     if (!now.isBefore(nextProbe)) {
-      nextProbe = now.plus(PROBE_EVERY);
+      nextProbe = now.plus(PROBE_INTERVAL);
       return Optional.empty();
     }
-    return Optional.of(relays.get(Math.floorMod(turn, relays.size())));
+    return Optional.of(relays.get(Math.floorMod(relayIndex, relays.size())));
   }
 
-  /** Whether calls go by relays now. */
+  /** Returns whether calls currently go through relays. */
   public boolean relaying() {
-    return !directWorks;
+    return !directAvailable;
   }
 
-  /** Takes note of what became of a direct call. */
+  /** Records the outcome of a direct call. */
   public void onDirect(boolean reached, Instant now) {
-    if (!reached && directWorks) {
-      nextProbe = now.plus(PROBE_EVERY);
+    if (!reached && directAvailable) {
+      nextProbe = now.plus(PROBE_INTERVAL);
     }
-    directWorks = reached;
+    directAvailable = reached;
   }
 
   /**
-   * Takes note of what became of a relayed call; after a failure the next relay has its turn.
+   * Records the outcome of a relayed call; after a failure the next relay is used.
    *
-   * @param relays how many there are
+   * @param relays number of relays available
    */
   public void onRelayed(boolean reached, int relays, Instant now) {
     if (reached) {
-      failedInTurn = 0;
+      consecutiveFailures = 0;
       return;
     }
-    turn++;
-    failedInTurn++;
-    if (failedInTurn >= Math.min(relays, MOST_IN_A_ROUND)) {
-      failedInTurn = 0;
-      relaysRestUntil = now.plus(RELAYS_REST);
+    relayIndex++;
+    consecutiveFailures++;
+    if (consecutiveFailures >= Math.min(relays, MAX_FAILURES_PER_ROUND)) {
+      consecutiveFailures = 0;
+      relaysPausedUntil = now.plus(RELAY_PAUSE);
     }
   }
 }
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/RetryBudget.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/RetryBudget.java
@@ -1,11 +1,11 @@
 package org.teaseldeal.decisions;
 
 /**
- * Lets retries be at most a share of first attempts.
+ * Limits retries to a share of first attempts.
  *
- * <p>Load pattern: servers that fail under load. Without a bound each failure adds work to the
- * servers that are left, which then fail too. A share of 10% adds at most a tenth to the load; the
- * small reserve lets an idle fleet retry at all.
+ * <p>If servers fail under load, unlimited retries would turn each failure into additional work for
+ * the remaining servers, which would then fail too. A share of 10 % adds at most a tenth to the
+ * load; the small reserve allows retries in a fleet with little traffic.
  */
 public final class RetryBudget {
   private static final double RESERVE = 10;
@@ -17,12 +17,12 @@
     this.share = share;
   }
 
-  /** Counts a first attempt. */
+  /** Records a first attempt. */
   public void onFirstAttempt() {
     tokens = Math.min(RESERVE + 100 * share, tokens + share);
   }
 
-  /** Takes the right to one retry, if there is one. */
+  /** Takes one retry out of the budget; returns whether one was available. */
   public boolean tryRetry() {
     if (tokens < 1) {
       return false;
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/RetryWindow.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/RetryWindow.java
@@ -6,36 +6,41 @@
 import org.teaseldeal.api.Preconditions;
 
 /**
- * Lets an instance's repeats stay within its part of a bound that the whole fleet must keep.
+ * Limits an instance's retries to its part of a limit for the whole fleet.
  *
- * <p>Load pattern: many requests fail at once, and each instance sends its own again. The bound is
- * a share of the requests of any window plus a fixed reserve for all instances together. An
- * instance keeps to the share of its own requests and to its even part of the reserve, so the sum
- * holds with no message between them. Without it a failing service gets twice the load just when it
- * can least take it.
+ * <p>If many requests fail at once, each instance retries its own. The fleet's limit is a share of
+ * the requests in any time window plus a fixed reserve for all instances together. Each instance
+ * keeps to the share of its own requests and to its even part of the reserve, so the sum stays
+ * within the limit without messages between instances. Without a limit, a failing service would get
+ * twice the load when it can least handle it.
  */
 public final class RetryWindow {
-  /** Steps that the window slides in; a tenth of the window is counted too long at worst. */
+  /**
+   * Number of buckets of the sliding window; at worst, a request counts for a tenth of the window
+   * too long.
+   */
   private static final int BUCKETS = 11;
 
   /**
-   * The part of the bound that is used. Requests reach an instance and its repeats a server at
-   * different moments, and instances come and go; a tenth covers both at today's sizes.
+   * Fraction of the limit that is used. An instance sees a request and a server sees its retry at
+   * different moments, and instances join and leave; a tenth covers both at the present fleet
+   * sizes.
    */
-  private static final double USED_PART = 0.9;
+  private static final double USED_FRACTION = 0.9;
 
   private final double share;
   private final double reserve;
   private final long bucketMillis;
-  private final int[] firsts = new int[BUCKETS];
-  private final int[] repeats = new int[BUCKETS];
-  private long newest = Long.MIN_VALUE;
+  private final int[] firstAttempts = new int[BUCKETS];
+  private final int[] retries = new int[BUCKETS];
+  private long newestBucket = Long.MIN_VALUE;
 
   /**
    * Creates a window.
    *
-   * @param share repeats for each request
-   * @param reserve repeats that all instances together may send besides, in a window
+   * @param share number of retries allowed per request
+   * @param reserve number of additional retries that all instances together may send per window
+   * @param window length of the window
    */
   public RetryWindow(double share, double reserve, Duration window) {
     Preconditions.requirePositive(window.toMillis(), "window");
@@ -44,40 +49,40 @@
     this.bucketMillis = window.toMillis() / (BUCKETS - 1);
   }
 
-  /** Counts a request's first sending. */
+  /** Records the first attempt of a request. */
   public void onFirst(Instant now) {
-    firsts[slide(now)]++;
+    firstAttempts[slide(now)]++;
   }
 
   /**
-   * Takes the right to one repeat, if there is one.
+   * Takes one retry out of the window; returns whether one was available.
    *
-   * @param instances that share the reserve, this one included
+   * @param instances number of instances that share the reserve, including this one
    */
   public boolean tryRepeat(Instant now, int instances) {
     Preconditions.requirePositive(instances, "instances");
     int bucket = slide(now);
-    double allowed = USED_PART * (share * sum(firsts) + reserve / instances);
-    if (sum(repeats) + 1 > allowed) {
+    double allowed = USED_FRACTION * (share * sum(firstAttempts) + reserve / instances);
+    if (sum(retries) + 1 > allowed) {
       return false;
     }
-    repeats[bucket]++;
+    retries[bucket]++;
     return true;
   }
 
   private int slide(Instant now) {
     long bucket = now.toEpochMilli() / bucketMillis;
-    if (newest == Long.MIN_VALUE || bucket - newest >= BUCKETS) {
-      Arrays.fill(firsts, 0);
-      Arrays.fill(repeats, 0);
-      newest = bucket;
+    if (newestBucket == Long.MIN_VALUE || bucket - newestBucket >= BUCKETS) {
+      Arrays.fill(firstAttempts, 0);
+      Arrays.fill(retries, 0);
+      newestBucket = bucket;
     }
-    while (newest < bucket) {
-      newest++;
-      firsts[index(newest)] = 0;
-      repeats[index(newest)] = 0;
+    while (newestBucket < bucket) {
+      newestBucket++;
+      firstAttempts[index(newestBucket)] = 0;
+      retries[index(newestBucket)] = 0;
     }
-    return index(newest);
+    return index(newestBucket);
   }
 
   private static int index(long bucket) {
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/ServerHealth.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/ServerHealth.java
@@ -13,49 +13,60 @@
 import org.teaseldeal.api.Preconditions;
 
 /**
- * Which servers of a pool are left out for a while, and how fast they come back.
+ * Ejects unhealthy backend servers of a pool for a while (outlier ejection), and ramps them up when
+ * they return.
  *
- * <p>Load pattern: one server among many that fails each request or is many times slower. A failing
- * server answers fast, so it looks idle and draws ever more requests; a slow one holds the requests
- * that happen to be sent there. Without a floor the opposite harm comes: an overload makes all
- * servers slow, all are left out, and the rest break down.
+ * <p>One server among many may fail every request or be many times slower than the others. A
+ * failing server answers fast, so it looks idle and attracts ever more requests; a slow server
+ * delays the requests that happen to be sent to it. The number of ejected servers is limited: an
+ * overload makes all servers slow, and if all were ejected, the remaining ones would break down.
  *
- * <p>Thresholds: five failures in a row are beyond chance at an error rate of a few percent (0.05⁵
- * is one in three million). Slow means four times the pool's median over at least twenty answers:
- * queueing alone spreads means by two to three. The floor leaves two thirds of the servers in, so
- * that what is left carries at most half as much again.
+ * <p>Thresholds: at an error rate of a few percent, five failures in a row are beyond chance (0.05⁵
+ * is one in three million). A server is slow if its mean time is four times the pool's median over
+ * at least eight answers; queueing alone makes means differ by a factor of two to three. At least
+ * two thirds of the servers stay in, so that each remaining server gets at most half as much load
+ * again.
  */
 public final class ServerHealth {
-  private static final int FAILURES_IN_A_ROW = 5;
+  private static final int MAX_CONSECUTIVE_FAILURES = 5;
   private static final double SLOW_RATIO = 4;
-  private static final int SLOW_SAMPLES = 8;
+  private static final int MIN_EJECTION_SAMPLES = 8;
 
-  /** Weighing is a matter of degree and soon corrected, so it may start on less. */
-  private static final int WEIGHED_SAMPLES = 2;
+  /**
+   * Weighting by speed is gradual and quickly corrected, so it may start with fewer samples than an
+   * ejection.
+   */
+  private static final int MIN_WEIGHTING_SAMPLES = 2;
 
   private static final double MAX_EJECTED_SHARE = 1.0 / 3;
-  private static final double GAIN = 0.1;
+  private static final double MIN_GAIN = 0.1;
   private static final double FIRST_RAMP_SHARE = 0.1;
 
-  /** What was seen of one server. */
-  private static final class Record {
-    private int failuresInRow;
+  /** The observations of one server. */
+  private static final class Observations {
+    private int consecutiveFailures;
     private int samples;
     private double meanSeconds;
     private double overdueSeconds;
     private int ejections;
     private Instant ejectedUntil = Instant.MIN;
-    private Instant rampFrom = Instant.MIN;
+    private Instant rampStart = Instant.MIN;
   }
 
   private final Duration firstEjection;
   private final Duration longestEjection;
   private final Duration ramp;
-  private final Map<BackendServerId, Record> records = new HashMap<>();
+  private final Map<BackendServerId, Observations> records = new HashMap<>();
   private double median;
-  private boolean medianKnown;
+  private boolean medianValid;
 
-  /** Creates a record of servers that are left out for {@code firstEjection}, then longer. */
+  /**
+   * Creates the health records of a pool.
+   *
+   * @param firstEjection duration of a server's first ejection; it doubles with each further one
+   * @param longestEjection upper limit of the duration of an ejection
+   * @param ramp time over which a new or returning server's limit rises to its full value
+   */
   public ServerHealth(Duration firstEjection, Duration longestEjection, Duration ramp) {
     Preconditions.requirePositive(firstEjection.toMillis(), "first ejection");
     Preconditions.requirePositive(ramp.toMillis(), "ramp");
@@ -64,151 +75,167 @@
     this.ramp = ramp;
   }
 
-  /** Starts the ramp of servers not seen before, and forgets those not listed any more. */
+  /**
+   * Starts the ramp of servers not seen before, and drops the records of servers no longer listed.
+   *
+   * @param firstList whether this is the first list since this instance started
+   */
   public void onListed(Set<BackendServerId> listed, Instant now, boolean firstList) {
-    medianKnown = false;
+    medianValid = false;
     records.keySet().retainAll(listed);
     for (BackendServerId server : listed) {
       records.computeIfAbsent(
           server,
           id -> {
-            Record record = new Record();
-            // At the instance's own start all servers are new to it, but none is cold.
-            record.rampFrom = firstList ? Instant.MIN : now;
-            return record;
+            Observations observations = new Observations();
+            // When this instance starts, all servers are new to it, but none of them has cold
+            // caches.
+            observations.rampStart = firstList ? Instant.MIN : now;
+            return observations;
           });
     }
   }
 
-  /** Forgets a server whose process is another from now on; the next list starts its ramp. */
+  /** Drops the record of a server whose process was replaced; the next list starts its ramp. */
   public void forget(BackendServerId server) {
-    medianKnown = false;
+    medianValid = false;
     records.remove(server);
   }
 
   /**
-   * Counts an answer.
+   * Records an answer.
    *
-   * @param work how much work it was, such as output tokens; 1 where calls are alike. Without it, a
-   *     server that happened to get the long requests would look slow.
+   * @param took time from sending the request to the end of the answer
+   * @param work amount of work, such as the number of output tokens; 1 if all calls are alike.
+   *     Without it, a server that happened to get the long requests would look slow.
    */
   public void onAnswered(BackendServerId server, Duration took, double work) {
     Preconditions.require(work > 0, "work was %s, expected more than 0".formatted(work));
-    Record record = record(server);
-    record.failuresInRow = 0;
-    record.samples++;
-    medianKnown = false;
+    Observations observations = observations(server);
+    observations.consecutiveFailures = 0;
+    observations.samples++;
+    medianValid = false;
     double seconds = took.toNanos() / 1e9 / work;
-    record.overdueSeconds = 0;
-    double gain = Math.max(GAIN, 1.0 / record.samples);
-    record.meanSeconds += gain * (seconds - record.meanSeconds);
+    observations.overdueSeconds = 0;
+    double gain = Math.max(MIN_GAIN, 1.0 / observations.samples);
+    observations.meanSeconds += gain * (seconds - observations.meanSeconds);
   }
 
   /**
-   * Takes the age of a request that still runs as a lower bound of what it will take.
+   * Records the age of a running request as a lower bound of the time that it will take.
    *
-   * <p>Answers alone tell of a slow server only after the time that it is slow by; until then it is
-   * sent its share. A request that is overdue tells sooner.
+   * <p>Answers reveal a slow server only after the time by which it is slow; until then the server
+   * gets its normal share of requests. An overdue request reveals it earlier.
    */
   public void onStillRunning(BackendServerId server, Duration age, double work) {
     Preconditions.require(work > 0, "work was %s, expected more than 0".formatted(work));
-    record(server).overdueSeconds = age.toNanos() / 1e9 / work;
+    observations(server).overdueSeconds = age.toNanos() / 1e9 / work;
   }
 
-  /** Counts a failure that is the server's. */
+  /** Records a failure caused by the server. */
   public void onFailed(BackendServerId server) {
-    record(server).failuresInRow++;
+    observations(server).consecutiveFailures++;
   }
 
-  /** Leaves out servers that have become unfit, as far as the floor allows. */
+  /** Ejects servers that have become unhealthy, as far as the limit of ejected servers allows. */
   public void update(Instant now) {
-    double present = medianSeconds();
-    List<Map.Entry<BackendServerId, Record>> unfit =
+    double poolMedian = medianSeconds();
+    List<Map.Entry<BackendServerId, Observations>> unhealthy =
         records.entrySet().stream()
-            .filter(entry -> !isOut(entry.getValue(), now))
-            .filter(entry -> unfit(entry.getValue(), present))
+            .filter(entry -> !isEjected(entry.getValue(), now))
+            .filter(entry -> isUnhealthy(entry.getValue(), poolMedian))
             .sorted(worstFirst())
             .toList();
-    long out = records.values().stream().filter(record -> isOut(record, now)).count();
-    long mayBeOut = (long) Math.floor(records.size() * MAX_EJECTED_SHARE);
-    for (Map.Entry<BackendServerId, Record> entry : unfit) {
-      if (out >= mayBeOut) {
+    long ejectedCount =
+        records.values().stream().filter(observations -> isEjected(observations, now)).count();
+    long maxEjected = (long) Math.floor(records.size() * MAX_EJECTED_SHARE);
+    for (Map.Entry<BackendServerId, Observations> entry : unhealthy) {
+      if (ejectedCount >= maxEjected) {
         return;
       }
       eject(entry.getValue(), now);
-      out++;
+      ejectedCount++;
     }
   }
 
-  /** Whether the server may be given requests. */
+  /** Returns whether the server may be given requests. */
   public boolean isIn(BackendServerId server, Instant now) {
-    Record record = records.get(server);
-    return record == null || !isOut(record, now);
+    Observations observations = records.get(server);
+    return observations == null || !isEjected(observations, now);
   }
 
-  /** The servers that are left out now. */
+  /** Returns the servers that are ejected now. */
   public Set<BackendServerId> ejected(Instant now) {
     return records.entrySet().stream()
-        .filter(entry -> isOut(entry.getValue(), now))
+        .filter(entry -> isEjected(entry.getValue(), now))
         .map(Map.Entry::getKey)
         .collect(Collectors.toSet());
   }
 
   /**
-   * The part of its limit that a server may be given, from a tenth to all of it.
+   * Returns the fraction of its limit that a server may be given, from a tenth to 1.
    *
-   * <p>A server that is new or comes back has cold caches and looks idle; given its whole limit at
-   * once, it gets a batch of cold work that all ends late.
+   * <p>A server that is new or returns has cold caches and looks idle. If it were given its whole
+   * limit at once, it would get a batch of uncached work that all ends late.
    */
   public double rampShare(BackendServerId server, Instant now) {
-    Record record = records.get(server);
-    if (record == null || record.rampFrom.equals(Instant.MIN)) {
+    Observations observations = records.get(server);
+    if (observations == null || observations.rampStart.equals(Instant.MIN)) {
       return 1;
     }
-    double part = (double) Duration.between(record.rampFrom, now).toMillis() / ramp.toMillis();
+    double part =
+        (double) Duration.between(observations.rampStart, now).toMillis() / ramp.toMillis();
     return Math.clamp(part, FIRST_RAMP_SHARE, 1);
   }
 
   /**
-   * The server's mean time to answer relative to the pool's median; 1 while too little is known.
+   * Returns the server's mean answer time relative to the pool's median; 1 while too little is
+   * known.
    */
   public double slowness(BackendServerId server) {
-    Record record = records.get(server);
-    double present = medianSeconds();
-    if (record == null || present <= 0) {
+    Observations observations = records.get(server);
+    double poolMedian = medianSeconds();
+    if (observations == null || poolMedian <= 0) {
       return 1;
     }
-    boolean known = record.samples >= WEIGHED_SAMPLES || record.ejections > 0;
-    double answered = known && record.meanSeconds > 0 ? record.meanSeconds / present : 1;
-    double overdue = record.overdueSeconds / present;
+    boolean known = observations.samples >= MIN_WEIGHTING_SAMPLES || observations.ejections > 0;
+    double answered =
+        known && observations.meanSeconds > 0 ? observations.meanSeconds / poolMedian : 1;
+    double overdue = observations.overdueSeconds / poolMedian;
     return Math.max(overdue >= SLOW_RATIO ? Math.max(answered, overdue) : answered, 0.1);
   }
 
-  private boolean unfit(Record record, double present) {
+  private boolean isUnhealthy(Observations observations, double poolMedian) {
     boolean slow =
-        record.samples >= SLOW_SAMPLES && present > 0 && record.meanSeconds >= SLOW_RATIO * present;
-    return slow || record.failuresInRow >= FAILURES_IN_A_ROW;
+        observations.samples >= MIN_EJECTION_SAMPLES
+            && poolMedian > 0
+            && observations.meanSeconds >= SLOW_RATIO * poolMedian;
+    return slow || observations.consecutiveFailures >= MAX_CONSECUTIVE_FAILURES;
   }
 
-  private void eject(Record record, Instant now) {
-    long factor = 1L << Math.min(record.ejections, 16);
-    Duration out = firstEjection.multipliedBy(factor);
-    record.ejections++;
-    record.ejectedUntil = now.plus(out.compareTo(longestEjection) > 0 ? longestEjection : out);
-    record.rampFrom = record.ejectedUntil;
-    // It is judged anew when it comes back, by what it does then; until its first answer it is
-    // taken to be as slow as it was, or each return would cost a batch of slow answers.
-    record.failuresInRow = 0;
-    record.samples = 0;
-    medianKnown = false;
-    record.overdueSeconds = 0;
+  private void eject(Observations observations, Instant now) {
+    long factor = 1L << Math.min(observations.ejections, 16);
+    Duration ejectedCount = firstEjection.multipliedBy(factor);
+    observations.ejections++;
+    observations.ejectedUntil =
+        now.plus(ejectedCount.compareTo(longestEjection) > 0 ? longestEjection : ejectedCount);
+    observations.rampStart = observations.ejectedUntil;
+    // A returning server is judged by its new answers. Until the first one it is assumed to be as
+    // slow as before; otherwise each return would cost a batch of slow answers.
+    observations.consecutiveFailures = 0;
+    observations.samples = 0;
+    medianValid = false;
+    observations.overdueSeconds = 0;
   }
 
-  /** The median is asked for once a server and request, and changes once an answer. */
+  /**
+   * Returns the cached median; it is read once per server and request, and changes only once per
+   * answer.
+   */
   private double medianSeconds() {
-    if (!medianKnown) {
+    if (!medianValid) {
       median = computeMedian();
-      medianKnown = true;
+      medianValid = true;
     }
     return median;
   }
@@ -216,32 +243,32 @@
   private double computeMedian() {
     double[] means =
         records.values().stream()
-            .filter(record -> record.samples >= SLOW_SAMPLES)
-            .mapToDouble(record -> record.meanSeconds)
+            .filter(observations -> observations.samples >= MIN_EJECTION_SAMPLES)
+            .mapToDouble(observations -> observations.meanSeconds)
             .sorted()
             .toArray();
     return means.length == 0 ? 0 : means[(means.length - 1) / 2];
   }
 
-  private static Comparator<Map.Entry<BackendServerId, Record>> worstFirst() {
-    return Comparator.<Map.Entry<BackendServerId, Record>>comparingInt(
-            entry -> -entry.getValue().failuresInRow)
+  private static Comparator<Map.Entry<BackendServerId, Observations>> worstFirst() {
+    return Comparator.<Map.Entry<BackendServerId, Observations>>comparingInt(
+            entry -> -entry.getValue().consecutiveFailures)
         .thenComparingDouble(entry -> -entry.getValue().meanSeconds)
         .thenComparing(Map.Entry::getKey);
   }
 
-  private static boolean isOut(Record record, Instant now) {
-    return now.isBefore(record.ejectedUntil);
+  private static boolean isEjected(Observations observations, Instant now) {
+    return now.isBefore(observations.ejectedUntil);
   }
 
-  private Record record(BackendServerId server) {
-    return records.computeIfAbsent(server, id -> new Record());
+  private Observations observations(BackendServerId server) {
+    return records.computeIfAbsent(server, id -> new Observations());
   }
 
-  /** Mean seconds of each server with enough answers, for dumps. */
+  /** Returns the mean seconds per unit of work of each server, for dumps. */
   public Map<BackendServerId, Double> means() {
     Map<BackendServerId, Double> means = new TreeMap<>();
-    records.forEach((id, record) -> means.put(id, record.meanSeconds));
+    records.forEach((id, observations) -> means.put(id, observations.meanSeconds));
     return means;
   }
 }
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/ServerView.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/ServerView.java
@@ -4,14 +4,16 @@
 import org.teaseldeal.api.Preconditions;
 
 /**
- * What an instance knows of a backend server when it places a request.
+ * What an instance knows about a backend server when it places a request.
  *
- * @param own requests that this instance has outstanding there, exact
- * @param others requests that other instances are thought to have outstanding there, lagging
- * @param limit requests that the whole fleet may have outstanding there
- * @param slowness its mean time to answer relative to the pool's median
+ * @param id the server
+ * @param own number of requests that this instance has outstanding there, exact
+ * @param others estimated number of requests that other instances have outstanding there; known
+ *     with a delay
+ * @param limit maximum number of requests that the whole fleet may have outstanding there
+ * @param slowness its mean answer time relative to the pool's median
  * @param open whether it may be given another request; see {@link SharedLimit}
- * @param local whether it stands in this instance's data centre
+ * @param local whether it is in this instance's data centre
  */
 public record ServerView(
     BackendServerId id,
@@ -29,20 +31,20 @@
         slowness > 0, "slowness was %s, expected more than 0".formatted(slowness));
   }
 
-  /** A server that is as fast as the others and open while below its limit. */
+  /** Creates the view of a server of average speed that is open while below its limit. */
   public ServerView(BackendServerId id, int own, int others, int limit, boolean local) {
     this(id, own, others, limit, 1, own + others < limit, local);
   }
 
-  /** Requests outstanding there as far as is known. */
+  /** Returns the known number of requests outstanding at the server. */
   public int outstanding() {
     return own + others;
   }
 
   /**
-   * The wait that one more request would meet, relative to an idle server of usual speed.
+   * Returns the wait that one more request would have, relative to an idle server of average speed.
    *
-   * <p>The request itself counts, so that a slow server is worse than a fast one when both are
+   * <p>The new request itself counts, so that a slow server ranks behind a fast one when both are
    * idle.
    */
   public double load() {
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/TokenHolderChoice.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/TokenHolderChoice.java
@@ -7,50 +7,54 @@
 import java.util.stream.IntStream;
 
 /**
- * Which instances divide a customer's prepaid total among them. The others ask one of these for the
- * tokens of each request.
+ * Chooses the instances that divide a customer's prepaid total among them (holders). The other
+ * instances ask one of the holders for the tokens of each request.
  *
- * <p>Load pattern: a fleet of many instances, each with few requests of each customer. Divided
- * among all, a total gives each instance less than one request needs, so each request waits for the
- * shared log, which is asked by all of them at once; when the log is away, callers are refused
- * though most of the total is idle. A few holders each have a lease of many requests and see a
- * steady demand, and what is written to the log grows with their number, not with the fleet.
+ * <p>In a large fleet each instance may get few requests of each customer. If a total were divided
+ * among all instances, each would get fewer tokens than one request needs, so each request would
+ * wait for the shared log, which all instances would use at once; while the log is unavailable,
+ * callers would be refused although most of the total is idle. A few holders each have a lease for
+ * many requests and see a steady demand, and the traffic to the log grows with the number of
+ * holders instead of the size of the fleet.
  *
- * <p>All instances work the holders out alike from the names in the fleet. Where two don't agree
- * for a moment, a total has more holders for that moment, and nothing else.
+ * <p>All instances derive the same holders from the names in the fleet. While two instances
+ * disagree for a moment, a total has more holders; nothing else is affected.
  */
 public final class TokenHolderChoice {
-  /** Up to so many instances all hold: each lease covers several requests. */
-  private static final int ALL_HOLD = 16;
+  /** Largest fleet in which all instances are holders; each lease then covers several requests. */
+  private static final int MAX_FLEET_WITHOUT_SELECTION = 16;
 
-  /** Enough that the loss of some is borne, and few enough that a lease covers many requests. */
-  private static final int HOLDERS = 6;
+  /**
+   * Number of holders of a group: enough to tolerate the loss of some, and few enough for a lease
+   * to cover many requests.
+   */
+  private static final int HOLDERS_PER_GROUP = 6;
 
   /**
-   * Customers are divided into groups, so that one instance does not hold for all of them; into as
-   * many at any size, so that no customer's holders change with the number of groups. Holders renew
-   * their notes five times a second, and the shared log takes 500 appends a second: so many groups
-   * take up a third of it.
+   * Number of groups into which customers are divided, so that no single instance holds tokens for
+   * all of them. The number is the same for every fleet size, so that no customer's holders change
+   * with it. A holder writes its notes five times a second, and the shared log accepts 500 appends
+   * per second: this many groups use a third of that.
    */
   private static final int GROUPS = 5;
 
   private TokenHolderChoice() {}
 
   /**
-   * The instances that hold parts of a customer's total.
+   * Returns the holders of a customer's total.
    *
-   * @param instances the names of all, in any order
+   * @param instances the names of all instances, in any order
    */
   public static Set<String> of(String customer, Collection<String> instances) {
-    if (instances.size() <= ALL_HOLD) {
+    if (instances.size() <= MAX_FLEET_WITHOUT_SELECTION) {
       return Set.copyOf(instances);
     }
     return ofGroup(Math.floorMod(RendezvousHash.hash(customer), GROUPS), instances);
   }
 
-  /** The instances that hold parts of any customer's total. */
+  /** Returns the holders of all groups of customers. */
   public static Set<String> ofAny(Collection<String> instances) {
-    if (instances.size() <= ALL_HOLD) {
+    if (instances.size() <= MAX_FLEET_WITHOUT_SELECTION) {
       return Set.copyOf(instances);
     }
     return IntStream.range(0, GROUPS)
@@ -60,11 +64,15 @@
   }
 
   private static Set<String> ofGroup(long group, Collection<String> instances) {
-    return Set.copyOf(RendezvousHash.ranked("group " + group, instances).subList(0, HOLDERS));
+    return Set.copyOf(
+        RendezvousHash.order("group " + group, instances).subList(0, HOLDERS_PER_GROUP));
   }
 
-  /** The order in which {@code asker} asks holders, so that each is asked first by as many. */
+  /**
+   * Returns the order in which {@code asker} asks the holders; each holder is first for about the
+   * same number of instances.
+   */
   public static List<String> order(String asker, Collection<String> holders) {
-    return RendezvousHash.ranked(asker, holders);
+    return RendezvousHash.order(asker, holders);
   }
 }
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/package-info.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/package-info.java
@@ -1,7 +1,8 @@
 /**
- * Decisions under load: what is let in, what waits, what is turned away, where work goes.
+ * Load management policies: admission, queueing, load shedding, retries and placement of requests.
  *
- * <p>Every class here can be read and tested without a network; time and randomness are arguments.
+ * <p>The classes are independent of the network and testable without it; time and randomness are
+ * passed as arguments.
  */
 @NullMarked
 package org.teaseldeal.decisions;
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/CallPatienceTests.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/AdaptiveTimeoutTests.java
@@ -12,27 +12,27 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class CallPatienceTests {
+class AdaptiveTimeoutTests {
   private static final Duration SHORTEST = Duration.ofMillis(700);
   private static final Duration LONGEST = Duration.ofMillis(2400);
 
-  private static final int CALL_MILLIS = 190;
+  private static final int CALL_MS = 190;
 
-  /** The service refuses a call at once if more are waiting. */
-  private static final int LONGEST_QUEUE = 2_000 / CALL_MILLIS;
+  /** Longest queue of the service; it refuses further calls immediately. */
+  private static final int LONGEST_QUEUE = 2_000 / CALL_MS;
 
-  private static final long REFUSED_PAUSE_MILLIS = 500;
+  private static final long REFUSED_PAUSE_MS = 500;
 
-  /** A caller that sends its call again until it is answered. */
+  /** A caller that repeats its call until it is answered. */
   private static final class Caller {
-    private final CallPatience patience;
+    private final AdaptiveTimeout timeout;
     private long sentAt;
     private long pauseUntil;
     private boolean waits;
     private int answered;
 
     Caller(Duration shortest) {
-      patience = new CallPatience(shortest, LONGEST);
+      timeout = new AdaptiveTimeout(shortest, LONGEST);
     }
   }
 
@@ -40,18 +40,19 @@
   private record Queued(Caller caller, long sentAt) {}
 
   /**
-   * Callers of a service that has become ninety times slower still get their answers. Nine call
-   * without a pause, each call takes 190 ms, one after the other; whoever gives up sends again and
-   * leaves its call in the queue. It holds also where the first call is given up before it is done.
+   * Guards against a service that answers no call any more after it has become ninety times slower.
+   * Nine callers call without a pause, and the service processes the calls one after the other,
+   * each in 190 ms. A caller that gives up repeats its call and leaves the first one in the queue.
+   * The callers have to get answers even if the shortest timeout is below the duration of a call.
    */
   @ParameterizedTest
   @ValueSource(longs = {150, 700})
-  void getsAnswersOfAServiceThatWorksOffCallsSlowly(long shortestMillis) {
+  void getsAnswersFromAServiceThatProcessesCallsSlowly(long shortestMillis) {
     Duration shortest = Duration.ofMillis(shortestMillis);
     List<Caller> callers = Stream.generate(() -> new Caller(shortest)).limit(9).toList();
     Queue<Queued> queue = new ArrayDeque<>();
     for (long now = 0; now < 20_000; now += 10) {
-      if (now % CALL_MILLIS == 0 && !queue.isEmpty()) {
+      if (now % CALL_MS == 0 && !queue.isEmpty()) {
         answer(queue.remove(), now);
       }
       for (Caller caller : callers) {
@@ -59,23 +60,23 @@
       }
     }
     int answered = callers.stream().mapToInt(caller -> caller.answered).sum();
-    int possible = 20_000 / CALL_MILLIS;
+    int possible = 20_000 / CALL_MS;
     assertTrue(
         answered >= possible / 2,
         "%d answers, expected half of the %d that are possible".formatted(answered, possible));
   }
 
   private static void step(Caller caller, long now, Queue<Queued> queue) {
-    boolean gaveUp = caller.waits && now - caller.sentAt > caller.patience.present().toMillis();
+    boolean gaveUp = caller.waits && now - caller.sentAt > caller.timeout.current().toMillis();
     if (gaveUp) {
       caller.waits = false;
-      caller.patience.onUnanswered();
+      caller.timeout.onUnanswered();
     }
     if (caller.waits || now < caller.pauseUntil) {
       return;
     }
     if (queue.size() > LONGEST_QUEUE) {
-      caller.pauseUntil = now + REFUSED_PAUSE_MILLIS;
+      caller.pauseUntil = now + REFUSED_PAUSE_MS;
       return;
     }
     caller.waits = true;
@@ -88,17 +89,17 @@
     if (caller.waits && caller.sentAt == done.sentAt()) {
       caller.waits = false;
       caller.answered++;
-      caller.patience.onAnswered(Duration.ofMillis(now - done.sentAt()));
+      caller.timeout.onAnswered(Duration.ofMillis(now - done.sentAt()));
     }
   }
 
   @Test
-  void isShortAgainOnceAnswersComeFast() {
-    CallPatience patience = new CallPatience(SHORTEST, LONGEST);
-    patience.onUnanswered();
-    patience.onUnanswered();
-    assertEquals(LONGEST, patience.present());
-    patience.onAnswered(Duration.ofMillis(4));
-    assertEquals(SHORTEST, patience.present());
+  void returnsToTheShortestTimeoutAfterAFastAnswer() {
+    AdaptiveTimeout timeout = new AdaptiveTimeout(SHORTEST, LONGEST);
+    timeout.onUnanswered();
+    timeout.onUnanswered();
+    assertEquals(LONGEST, timeout.current());
+    timeout.onAnswered(Duration.ofMillis(4));
+    assertEquals(SHORTEST, timeout.current());
   }
 }
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/AdmissionQueueTests.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/AdmissionQueueTests.java
@@ -23,7 +23,7 @@
   private final AdmissionQueue<String> queue = new AdmissionQueue<>();
 
   private Verdict offer(
-      String item, String customer, int weight, int rank, double cost, int patience) {
+      String item, String customer, int weight, int rank, double cost, int timeoutSeconds) {
     Waiting<String> waiting =
         new Waiting<>(
             item,
@@ -31,15 +31,17 @@
             weight,
             rank,
             cost,
-            NOW.plusSeconds(patience),
+            NOW.plusSeconds(timeoutSeconds),
             NOW);
     return queue.offer(waiting, DRAIN, NOW);
   }
 
   private List<String> pollAll() {
     List<String> items = new ArrayList<>();
-    for (Optional<Waiting<String>> next = queue.poll(); next.isPresent(); next = queue.poll()) {
-      items.add(next.get().item());
+    for (Optional<Waiting<String>> polled = queue.poll();
+        polled.isPresent();
+        polled = queue.poll()) {
+      items.add(polled.get().item());
     }
     return items;
   }
@@ -56,7 +58,7 @@
     }
 
     @Test
-    void takesEverythingInOrderOfArrival() {
+    void queuesEverythingInOrderOfArrival() {
       offer("hot-1", "hot", 2);
       offer("hot-2", "hot", 2);
       offer("light", "light", 0);
@@ -69,7 +71,7 @@
   @Nested
   class Order {
     @Test
-    void alternatesBetweenCustomersWhateverTheirBacklogs() {
+    void alternatesBetweenCustomersRegardlessOfBacklogs() {
       for (int i = 0; i < 4; i++) {
         offer("a" + i, "a", 1, 0, 1, 10);
       }
@@ -88,7 +90,7 @@
     }
 
     @Test
-    void countsLongWorkAsManyTurns() {
+    void countsTurnsByWork() {
       offer("long0", "a", 1, 0, 3, 10);
       offer("long1", "a", 1, 0, 3, 10);
       for (int i = 0; i < 4; i++) {
@@ -98,7 +100,7 @@
     }
 
     @Test
-    void givesUrgentClassesAllButOneStartInTwenty() {
+    void givesLowerClassesOneStartInTwenty() {
       for (int i = 0; i < 60; i++) {
         offer("urgent" + i, "a", 1, 0, 1, 60);
       }
@@ -110,7 +112,7 @@
     }
 
     @Test
-    void givesACustomerThatWasIdleNoSavedUpTurns() {
+    void givesAnIdleCustomerNoCredit() {
       for (int i = 0; i < 10; i++) {
         offer("a" + i, "a", 1, 0, 1, 10);
       }
@@ -119,15 +121,15 @@
       }
       offer("b0", "b", 1, 0, 1, 10);
       offer("b1", "b", 1, 0, 1, 10);
-      List<String> next = pollAll();
-      assertTrue(next.indexOf("b1") >= 2, "order was " + next);
+      List<String> polled = pollAll();
+      assertTrue(polled.indexOf("b1") >= 2, "order was " + polled);
     }
   }
 
   @Nested
   class Bound {
     @Test
-    void turnsAwayWhatWouldWaitPastItsDeadlineAndSaysWhenToComeBack() {
+    void rejectsARequestThatWouldMissItsDeadline() {
       for (int i = 0; i < 20; i++) {
         offer("a" + i, "a", 1, 0, 1, 60);
       }
@@ -138,7 +140,7 @@
     }
 
     @Test
-    void takesALightCustomerInDespiteAHotOnesBacklog() {
+    void acceptsALightCustomerDespiteAHotCustomersBacklog() {
       for (int i = 0; i < 100; i++) {
         offer("hot" + i, "hot", 1, 0, 1, 60);
       }
@@ -146,16 +148,16 @@
     }
 
     @Test
-    void refusesAnItemThatWaitsAlready() {
+    void rejectsAnItemThatIsAlreadyQueued() {
       offer("a", "a", 1, 0, 1, 60);
       assertThrows(IllegalArgumentException.class, () -> offer("a", "a", 1, 0, 1, 60));
     }
   }
 
   @Nested
-  class Leaving {
+  class Removal {
     @Test
-    void takesOutExpiredRequestsOnly() {
+    void pollsOnlyExpiredRequests() {
       offer("short", "a", 1, 0, 1, 1);
       offer("long", "a", 1, 0, 1, 60);
       assertEquals("short", queue.pollExpired(NOW.plusSeconds(1)).orElseThrow().item());
@@ -164,7 +166,7 @@
     }
 
     @Test
-    void forgetsARequestWhoseCallerIsGone() {
+    void removesARequestWhoseCallerHasDisconnected() {
       offer("a", "a", 1, 0, 1, 60);
       offer("b", "a", 1, 0, 1, 60);
       assertTrue(queue.remove("a"));
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/ComeBackTimeTests.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/ComeBackTimeTests.java
@@ -8,7 +8,7 @@
 
 class ComeBackTimeTests {
   @Test
-  void neverNamesATimeBeforeTheQueueIsExpectedToBeShort() {
+  void neverRetriesBeforeTheExpectedTime() {
     SplittableRandom random = new SplittableRandom(3);
     for (int i = 0; i < 1_000; i++) {
       long millis = ComeBackTime.spread(Duration.ofSeconds(2), random).toMillis();
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/DesiredEngineStateTests.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/DesiredEngineStateTests.java
@@ -16,7 +16,7 @@
           Map.of("clerk", "3", "small", "1"), Map.of("wool", "7"), Optional.of("decode"));
 
   @Test
-  void ordersWhatIsMissingOrOfAnotherVersionAndUnloadsTheRestLast() {
+  void loadsMissingVersionsAndUnloadsOthersLast() {
     EngineState reported =
         new EngineState(Map.of("clerk", "2", "old", "9"), Map.of("silk", "1"), "mixed");
     assertEquals(
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void ordersNothingOfAnEngineThatAgrees() {
+  void ordersNothingIfTheStateIsReached() {
     EngineState reported =
         new EngineState(
             Map.of("clerk", "3", "small", "1"), Map.of("wool", "7", "silk", "1"), "decode");
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void leavesAloneWhatNothingIsSaidOf() {
+  void leavesUnspecifiedStateUnchanged() {
     DesiredEngineState nothing = new DesiredEngineState(Map.of(), Map.of(), Optional.empty());
     EngineState reported = new EngineState(Map.of("clerk", "2"), Map.of("silk", "1"), "mixed");
     assertEquals(List.of(), nothing.ordersFrom(reported));
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/DrainAdmissionTests.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/DrainAdmissionTests.java
@@ -12,58 +12,57 @@
   private final DrainAdmission admission = new DrainAdmission(BEGAN, BEGAN.plusSeconds(7));
 
   @Test
-  void takesEverythingUntilTheBalancerHasNoticed() {
+  void admitsEverythingUntilTheBalancerHasNoticed() {
     assertTrue(admits(Duration.ofMillis(2_500), Duration.ofSeconds(15)));
   }
 
   /**
-   * A caller gets its whole answer from another instance. The balancer still sends it to one that
-   * was told to stop five seconds ago and will be killed in two; its stream may last fifteen. It is
-   * refused as not run, in place of a stream that breaks off.
+   * Guards against aborted streams late in a shutdown. The balancer may send a request to an
+   * instance that was told to stop almost five seconds ago and will be killed in two; the stream
+   * may last fifteen seconds. The request has to be refused as not run.
    */
   @Test
-  void refusesLateWhatMayOutlastTheInstance() {
+  void laterRefusesRequestsThatMayOutlastTheInstance() {
     assertFalse(admits(Duration.ofMillis(4_800), Duration.ofSeconds(15)));
     assertFalse(admits(Duration.ofMillis(6_500), Duration.ofSeconds(1)));
   }
 
   @Test
-  void takesLateWhatEndsInTime() {
+  void laterAdmitsRequestsThatEndInTime() {
     assertTrue(admits(Duration.ofMillis(4_800), Duration.ofSeconds(1)));
   }
 
   /**
-   * A caller's stream breaks off after it has run for four seconds. The balancer didn't know of the
-   * stop yet, so it was taken, though streams of its route have taken five seconds lately and four
-   * and a half were left.
+   * Guards against aborted streams early in a shutdown. The balancer has not noticed the shutdown
+   * yet, but recent streams of the route took five seconds and only four and a half are left.
    */
   @Test
-  void refusesEarlyWhatUsuallyOutlastsTheInstance() {
+  void refusesRequestsThatUsuallyOutlastTheInstance() {
     assertFalse(admits(Duration.ofMillis(2_500), Duration.ofSeconds(15), Duration.ofSeconds(5)));
     assertTrue(admits(Duration.ofMillis(1_500), Duration.ofSeconds(15), Duration.ofSeconds(5)));
   }
 
-  /** Told to stop with a second to go, half of it is kept for what was taken before. */
+  /** With a grace period of one second, half of it is reserved for requests accepted before. */
   @Test
-  void takesNothingLongToTheEndOfAShortGrace() {
+  void admitsNothingLongInTheSecondHalfOfAShortGrace() {
     DrainAdmission hasty = new DrainAdmission(BEGAN, BEGAN.plusSeconds(1));
     Instant read = BEGAN.plusMillis(600);
     assertFalse(hasty.admits(read, read.plusSeconds(15), Duration.ZERO));
     assertTrue(hasty.admits(read, read.plusMillis(300), Duration.ZERO));
   }
 
-  /** What would be sent in the last moment is cut off or late; it is refused instead. */
+  /** Guards against requests that are sent to a server so late that they are aborted or late. */
   @Test
-  void takesNothingInTheLastMoment() {
+  void admitsNothingShortlyBeforeTheEnd() {
     assertFalse(admits(Duration.ofMillis(6_800), Duration.ofMillis(100)));
   }
 
-  private boolean admits(Duration after, Duration patience) {
-    return admits(after, patience, Duration.ZERO);
+  private boolean admits(Duration after, Duration timeout) {
+    return admits(after, timeout, Duration.ZERO);
   }
 
-  private boolean admits(Duration after, Duration patience, Duration usual) {
+  private boolean admits(Duration after, Duration timeout, Duration usual) {
     Instant read = BEGAN.plus(after);
-    return admission.admits(read, read.plus(patience), usual);
+    return admission.admits(read, read.plus(timeout), usual);
   }
 }
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/DrainPhasesTests.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/DrainPhasesTests.java
@@ -21,27 +21,31 @@
   private final DrainPhases phases = new DrainPhases(BEGAN, GRACE);
 
   @Test
-  void takeEverythingUntilTheBalancerHasNoticed() {
+  void acceptsEverythingUntilTheBalancerHasNoticed() {
     assertEquals(Phase.ACCEPTING, phases.next(BEGAN.plusMillis(2_599), NOTHING));
     assertEquals(Phase.SHORT_ONLY, phases.next(BEGAN.plusMillis(2_600), NOTHING));
   }
 
-  /** The end is looked for only when nothing is taken any more, and not in the same step. */
+  /**
+   * Guards against requests accepted after the check for outstanding answers: the check happens
+   * only when nothing is accepted any more, and not in the same step.
+   */
   @Test
-  void refuseBeforeTheyAskWhetherAnswersAreOutstanding() {
+  void refusesBeforeCheckingForOutstandingAnswers() {
     Instant noticed = BEGAN.plusMillis(2_600);
     phases.next(noticed, NOTHING);
     assertEquals(Phase.REFUSING, phases.next(noticed, NOTHING));
     assertEquals(Phase.REFUSING, phases.next(noticed, new Left(1, true)));
     assertEquals(Phase.CLOSING, phases.next(noticed, NOTHING));
-    assertEquals(Phase.CLOSING, phases.next(noticed, NOTHING), "no time for the last requests");
+    assertEquals(
+        Phase.CLOSING, phases.next(noticed, NOTHING), "expected time for the last requests");
     assertEquals(Phase.LEAVING, phases.next(noticed.plusMillis(60), NOTHING));
     assertEquals(Phase.LEAVING, phases.next(noticed.plusMillis(60), new Left(1, true)));
     assertEquals(Phase.DONE, phases.next(noticed.plusMillis(60), NOTHING));
   }
 
   @Test
-  void waitALittleForTokensToBeReturned() {
+  void waitsBrieflyForTokensToBeReturned() {
     Left held = new Left(0, false);
     Instant noticed = BEGAN.plusMillis(2_600);
     phases.next(noticed, held);
@@ -51,50 +55,51 @@
   }
 
   @Test
-  void leaveMostOfAShortGraceToCallers() {
+  void leavesMostOfAShortGraceToCallers() {
     DrainPhases shortGrace = new DrainPhases(BEGAN, Duration.ofSeconds(1));
     assertEquals(BEGAN.plusMillis(750), shortGrace.admission().ends());
     assertEquals(Phase.SHORT_ONLY, shortGrace.next(BEGAN.plusMillis(375), NOTHING));
   }
 
   /**
-   * Callers come on connections old and new until the process has ended, some with slow bodies and
-   * some that wait for tokens that never come; servers take their time, and the process may be
-   * frozen for a while. Each request that is read is answered or truly refused, and only a run that
-   * began before the balancer knew, or stood while the process was frozen, is ever broken off.
+   * Guards against lost or aborted requests during a shutdown. Requests arrive on old and new
+   * connections until the process has ended, some with slow bodies and some waiting for tokens that
+   * never arrive; servers take their time, and the process may be frozen for a while. Each request
+   * that is read must be answered or refused as not run, and a run may be aborted only if it began
+   * before the balancer noticed the shutdown or the process was frozen.
    */
   @Test
-  void cutOffNothingThatFitsOverManySeeds() {
+  void abortsNothingThatFitsIntoTheGrace() {
     for (long seed = 0; seed < SEEDS; seed++) {
       StoppingInstance instance = new StoppingInstance(seed);
       instance.run();
       String label = "seed " + seed;
       assertEquals(List.of(), instance.unanswered(), label);
-      assertEquals(List.of(), instance.takenAfterRefusing(), label);
+      assertEquals(List.of(), instance.acceptedAfterRefusing(), label);
       assertTrue(instance.endedBeforeKill(), label);
-      for (Request request : instance.brokenOff()) {
+      for (Request request : instance.aborted()) {
         assertTrue(instance.hadNoTime(request), label + ": " + request);
       }
     }
   }
 
   @Test
-  void meetAllKindsOfRequestsInTheSeeds() {
+  void seedsCoverAllKindsOfRequests() {
     boolean refusedWaiting = false;
-    boolean brokenOff = false;
+    boolean aborted = false;
     boolean frozen = false;
     for (long seed = 0; seed < 200; seed++) {
       StoppingInstance instance = new StoppingInstance(seed);
       instance.run();
       refusedWaiting |= instance.refusedWaiting() > 0;
-      brokenOff |= !instance.brokenOff().isEmpty();
+      aborted |= !instance.aborted().isEmpty();
       frozen |= instance.frozen();
     }
-    assertTrue(refusedWaiting && brokenOff && frozen);
+    assertTrue(refusedWaiting && aborted && frozen);
   }
 
   @Test
-  void admitNothingWhereTheGraceIsOver() {
+  void admitsNothingAfterTheGrace() {
     DrainAdmission admission = phases.admission();
     Instant late = BEGAN.plus(GRACE);
     assertFalse(admission.admits(late, late.plusMillis(1), Duration.ZERO));
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/DrawOrderTests.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/DrawOrderTests.java
@@ -13,38 +13,41 @@
   private final Random random = new Random(5);
 
   /**
-   * Callers of many instances get their tokens as a cut begins. Eight instances lack tokens of one
-   * customer in the same moment, and two have much and six some; those asked first differ.
+   * Guards against instances that all ask the same peer at the beginning of a network partition.
+   * Eight instances lack tokens of one customer at the same moment; two peers have many tokens and
+   * six have some, so the peers asked first have to differ.
    */
   @Test
-  void spreadsThoseThatAskAtOnce() {
+  void spreadsInstancesThatAskAtTheSameTime() {
     Map<String, Long> idle = new HashMap<>();
     for (int i = 0; i < 8; i++) {
       idle.put("instance-" + i, i < 2 ? 30_000L : 10_000L);
     }
     Map<String, Integer> firsts = new HashMap<>();
     for (int i = 0; i < 800; i++) {
-      firsts.merge(DrawOrder.of(idle, random).getFirst(), 1, Integer::sum);
+      firsts.merge(DrawOrder.peersToAsk(idle, random).getFirst(), 1, Integer::sum);
     }
     int most = firsts.values().stream().mapToInt(Integer::intValue).max().orElseThrow();
-    assertTrue(most < 400, "one was asked first %d of 800 times, expected less".formatted(most));
+    assertTrue(
+        most < 400,
+        "one peer was asked first %d of 800 times, expected less than 400".formatted(most));
     assertTrue(
         firsts.getOrDefault("instance-0", 0) > firsts.getOrDefault("instance-5", 0),
-        "one with much was not asked first more often than one with some");
+        "expected a peer with many tokens to be asked first more often than one with some");
   }
 
   @Test
-  void leavesOutThoseWithoutAny() {
-    assertEquals(List.of("b"), DrawOrder.of(Map.of("a", 0L, "b", 5L), random));
+  void leavesOutPeersWithoutIdleTokens() {
+    assertEquals(List.of("b"), DrawOrder.peersToAsk(Map.of("a", 0L, "b", 5L), random));
   }
 
-  /** A request waits for a few instances at most, also in a fleet of hundreds. */
+  /** Guards against requests that wait for the answers of many peers in a fleet of hundreds. */
   @Test
-  void asksAFewOfALargeFleet() {
+  void asksFewPeersInALargeFleet() {
     Map<String, Long> idle = new HashMap<>();
     for (int i = 0; i < 400; i++) {
       idle.put("instance-" + i, 1_000L);
     }
-    assertEquals(8, DrawOrder.of(idle, random).size());
+    assertEquals(8, DrawOrder.peersToAsk(idle, random).size());
   }
 }
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/LoadCollectorChoiceTests.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/LoadCollectorChoiceTests.java
@@ -13,7 +13,7 @@
 
 class LoadCollectorChoiceTests {
   @Test
-  void letsAllInstancesOfASmallFleetCollect() {
+  void choosesAllInstancesOfASmallFleet() {
     Set<String> fleet = Set.copyOf(names("instance", 9));
     assertEquals(fleet, LoadCollectorChoice.of(fleet));
   }
@@ -24,14 +24,19 @@
     assertEquals(LoadCollectorChoice.of(fleet), LoadCollectorChoice.of(fleet.reversed()));
   }
 
-  /** Guards against collectors that grow with the fleet, as each tells all others. */
+  /**
+   * Guards against a number of collectors that grows in proportion to the fleet, since each one
+   * sends to all others.
+   */
   @Test
-  void growsWithTheSquareRootOfTheFleet() {
+  void choosesTheSquareRootOfTheFleetSize() {
     assertEquals(10, LoadCollectorChoice.of(names("instance", 95)).size());
     assertEquals(21, LoadCollectorChoice.of(names("instance", 420)).size());
   }
 
-  /** Guards against a fleet whose instances all turn elsewhere when one joins. */
+  /**
+   * Guards against a fleet in which all instances change their collectors when one instance joins.
+   */
   @Test
   void keepsMostCollectorsWhenAnInstanceJoins() {
     Set<String> before = LoadCollectorChoice.of(names("instance", 95));
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/LoadRun.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/LoadSimulation.java
@@ -23,11 +23,11 @@
 import org.teaseldeal.api.TeamId;
 
 /**
- * Plays one load against several instances and servers in virtual time, with the decisions or a
- * baseline in the instances' place.
+ * Simulates one load against several instances and servers in virtual time, with the decisions
+ * under test or with a baseline in the instances.
  */
-final class LoadRun {
-  /** What stands in the instances. */
+final class LoadSimulation {
+  /** The policy that the instances follow. */
   enum Policy {
     ROUND_ROBIN_UNBOUNDED,
     LEAST_OUTSTANDING_UNBOUNDED,
@@ -35,9 +35,9 @@
   }
 
   /** One request of the load. */
-  record Arrival(long atMicros, String customer, long workMicros, long patienceMicros) {}
+  record Arrival(long atMicros, String customer, long workMicros, long timeoutMicros) {}
 
-  /** How the answers of one customer, or of a span of time, came out. */
+  /** Counts the outcomes of the requests of one customer, or of one second. */
   static final class Tally {
     int sent;
     int inTime;
@@ -109,10 +109,10 @@
     final ServerHealth health =
         new ServerHealth(Duration.ofSeconds(2), Duration.ofSeconds(30), Duration.ofSeconds(2));
     final Map<BackendServerId, Integer> own = new HashMap<>();
-    final Map<BackendServerId, Integer> lastWord = new HashMap<>();
-    final Map<BackendServerId, Integer> ownAtLastWord = new HashMap<>();
+    final Map<BackendServerId, Integer> othersAtLastReport = new HashMap<>();
+    final Map<BackendServerId, Integer> ownAtLastReport = new HashMap<>();
     final Set<Job> running = new LinkedHashSet<>();
-    int underWay;
+    int inFlight;
 
     Instance() {
       Set<BackendServerId> ids = new TreeSet<>();
@@ -140,7 +140,7 @@
                   arrival.workMicros() / 1e5,
                   instant(latestStart(arrival)),
                   instant(now)),
-              drain.perSecond(underWay),
+              drain.perSecond(inFlight),
               instant(now));
       if (verdict instanceof AdmissionQueue.Verdict.TooLate) {
         tally(arrival).refused++;
@@ -148,9 +148,12 @@
       pump();
     }
 
-    /** A request that starts with less time left than the usual one takes would end late. */
+    /**
+     * Returns the latest start; a request that starts with less time left than most requests take
+     * would end late.
+     */
     private long latestStart(Arrival arrival) {
-      return arrival.atMicros() + arrival.patienceMicros() - drain.usualLongest().toNanos() / 1000;
+      return arrival.atMicros() + arrival.timeoutMicros() - drain.usualLongest().toNanos() / 1000;
     }
 
     private Server baseline() {
@@ -181,25 +184,26 @@
     }
 
     private ServerView view(Server server) {
-      int mine = own.getOrDefault(server.id, 0);
-      int others = lastWord.getOrDefault(server.id, 0);
+      int ownRequests = own.getOrDefault(server.id, 0);
+      int others = othersAtLastReport.getOrDefault(server.id, 0);
       if (policy != Policy.DECISIONS) {
-        return new ServerView(server.id, mine, others, slotsPerServer, true);
+        return new ServerView(server.id, ownRequests, others, slotsPerServer, true);
       }
       SharedLimit limit =
-          new SharedLimit(slotsPerServer, mine, ownAtLastWord.getOrDefault(server.id, 0), others);
+          new SharedLimit(
+              slotsPerServer, ownRequests, ownAtLastReport.getOrDefault(server.id, 0), others);
       boolean open =
           health.isIn(server.id, instant(now))
-              && limit.hasRoom(underWay, slotsPerServer * servers.size(), instances.size());
+              && limit.hasRoom(inFlight, slotsPerServer * servers.size(), instances.size());
       return new ServerView(
-          server.id, mine, others, slotsPerServer, health.slowness(server.id), open, true);
+          server.id, ownRequests, others, slotsPerServer, health.slowness(server.id), open, true);
     }
 
     private void start(Job job, Server server) {
       job.startedMicros = now;
       job.server = server;
       running.add(job);
-      underWay++;
+      inFlight++;
       own.merge(server.id, 1, Integer::sum);
       server.take(job);
     }
@@ -225,7 +229,7 @@
     }
 
     void onEnd(Server server, Job job) {
-      underWay--;
+      inFlight--;
       running.remove(job);
       own.merge(server.id, -1, Integer::sum);
       Duration took = Duration.ofNanos(1000 * (now - job.startedMicros));
@@ -235,7 +239,7 @@
       pump();
     }
 
-    private void watchRunning() {
+    private void reportRunning() {
       Set<Server> seen = new HashSet<>();
       for (Job job : running) {
         Server server = Objects.requireNonNull(job.server);
@@ -247,18 +251,18 @@
     }
 
     void onHeartbeat() {
-      ownAtLastWord.clear();
-      ownAtLastWord.putAll(own);
+      ownAtLastReport.clear();
+      ownAtLastReport.putAll(own);
       for (Server server : servers) {
         int others =
             instances.stream()
                 .filter(other -> other != this)
                 .mapToInt(other -> other.own.getOrDefault(server.id, 0))
                 .sum();
-        lastWord.put(server.id, others);
+        othersAtLastReport.put(server.id, others);
       }
       if (policy == Policy.DECISIONS) {
-        watchRunning();
+        reportRunning();
         pump();
       }
     }
@@ -285,7 +289,7 @@
   private long turn;
   private int expired;
 
-  LoadRun(
+  LoadSimulation(
       Policy policy, int instances, int servers, int slotsPerServer, Map<Integer, Double> slow) {
     this.policy = policy;
     this.slotsPerServer = slotsPerServer;
@@ -298,14 +302,14 @@
     }
   }
 
-  /** Plays the load to its end. */
-  LoadRun play(List<Arrival> arrivals) {
+  /** Simulates the load to its end. */
+  LoadSimulation play(List<Arrival> arrivals) {
     long end = 0;
     for (Arrival arrival : arrivals) {
       Instance instance = instances.get(random.nextInt(instances.size()));
       tally(arrival).sent++;
       at(arrival.atMicros(), () -> instance.onArrival(arrival));
-      end = Math.max(end, arrival.atMicros() + arrival.patienceMicros());
+      end = Math.max(end, arrival.atMicros() + arrival.timeoutMicros());
     }
     for (long beat = HEARTBEAT_MICROS; beat < end; beat += HEARTBEAT_MICROS) {
       at(beat, () -> instances.forEach(Instance::onHeartbeat));
@@ -349,7 +353,7 @@
 
   private void record(Job job, Server server) {
     long took = now - job.arrival.atMicros();
-    boolean inTime = took <= job.arrival.patienceMicros();
+    boolean inTime = took <= job.arrival.timeoutMicros();
     servedBy.merge(server.id, 1, Integer::sum);
     for (Tally tally : List.of(tally(job.arrival), secondOf(job.arrival))) {
       tally.tookMicros.add(took);
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/PrepaidLeaseTests.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/PrepaidLeaseTests.java
@@ -7,7 +7,7 @@
 
 class PrepaidLeaseTests {
   @Test
-  void coversTheDemandOfACut() {
+  void coversTheDemandOfAPartition() {
     long target = new PrepaidLease(4_000_000, 4_000_000, 7).target(20_000, 140_000, 12_000);
     assertTrue(
         target >= 9 * 20_000,
@@ -15,23 +15,23 @@
   }
 
   @Test
-  void leavesAPartOfThePoolToTheOthers() {
+  void leavesPartOfTheUnreservedTokensUnassigned() {
     long target = new PrepaidLease(4_000_000, 70_000, 7).target(20_000, 140_000, 12_000);
     assertTrue(7 * target <= 70_000, "7 instances would keep %d of 70000".formatted(7 * target));
   }
 
   @Test
-  void keepsLittleForACustomerWithoutRequests() {
+  void keepsFewTokensForACustomerWithoutRequests() {
     assertEquals(80_000, new PrepaidLease(4_000_000, 4_000_000, 7).target(0, 0, 0));
   }
 
   /**
-   * Callers at the instance that most of a customer's requests come to are served through a cut.
-   * Two of seven instances have all of the demand and little is left; their leases cover it, and
-   * the five others hold hardly anything.
+   * Guards against refused callers at the instances that get most of a customer's requests, during
+   * a network partition. Two of seven instances have all of the demand and few tokens remain; their
+   * leases have to cover the demand, and the five others hold few tokens.
    */
   @Test
-  void sharesWhatIsLeftByDemand() {
+  void sharesTheRemainingTokensByDemand() {
     PrepaidLease lease = new PrepaidLease(4_000_000, 400_000, 7);
     long busy = lease.target(18_000, 36_000, 12_000);
     long quiet = lease.target(0, 36_000, 0);
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/PromptPlacementTests.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/PromptPlacementTests.java
@@ -19,7 +19,7 @@
   private final Random random = new Random(3);
 
   @Test
-  void sendsPromptsOfOneBeginningToOneEngine() {
+  void sendsPromptsWithOnePrefixToOneEngine() {
     BackendServerId home = choose(idle(13), "subject-1").id();
     for (int i = 0; i < 20; i++) {
       assertEquals(home, choose(idle(13), "subject-1").id());
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void spreadsBeginningsOverTheEngines() {
+  void spreadsPrefixesOverTheEngines() {
     Map<BackendServerId, Integer> homes = new HashMap<>();
     for (int i = 0; i < 1300; i++) {
       homes.merge(choose(idle(13), "subject-" + i).id(), 1, Integer::sum);
@@ -37,57 +37,60 @@
   }
 
   /**
-   * Callers are on time though all caches are empty. Each prompt has to be read whole, at six
-   * tenths of what the engines can read together; by the hash alone some engines would get twice as
-   * much as others, and a fifth of the first tokens would come late.
+   * Guards against late first tokens while all caches are empty. Each prompt has to be processed in
+   * full, at 60 % of the capacity of all engines together. With the hash alone, some engines would
+   * get twice as much work as others, and a fifth of the first tokens would be late.
    */
   @Test
-  void evensOutWhatIsReadWhileNothingIsCached() {
+  void balancesTheLoadWhileNothingIsCached() {
     int engines = 8;
     long promptTokens = 17_000;
-    double[] ahead = new double[engines];
+    double[] aheadTokens = new double[engines];
     int late = 0;
     int prompts = 600;
     for (int i = 0; i < prompts; i++) {
       List<PromptPlacement.Candidate> candidates = new ArrayList<>();
       for (int engine = 0; engine < engines; engine++) {
-        candidates.add(reading(engine, (long) ahead[engine], promptTokens));
+        candidates.add(uncached(engine, (long) aheadTokens[engine], promptTokens));
       }
       PromptPlacement.Prompt prompt = new PromptPlacement.Prompt("subject-" + i, AIM);
       BackendServerId chosen = PromptPlacement.choose(candidates, prompt, random).orElseThrow();
       int index = Integer.parseInt(chosen.name().substring(1));
-      ahead[index] += promptTokens;
-      late += ahead[index] / READ_PER_MILLI > AIM.toMillis() * READING_PART_OF_AIM ? 1 : 0;
+      aheadTokens[index] += promptTokens;
+      late += aheadTokens[index] / TOKENS_PER_MS > AIM.toMillis() * PREFILL_AIM_FRACTION ? 1 : 0;
       double gapMillis =
-          -Math.log(1 - random.nextDouble()) * promptTokens / (0.6 * engines * READ_PER_MILLI);
+          -Math.log(1 - random.nextDouble()) * promptTokens / (0.6 * engines * TOKENS_PER_MS);
       for (int engine = 0; engine < engines; engine++) {
-        ahead[engine] = Math.max(0, ahead[engine] - gapMillis * READ_PER_MILLI);
+        aheadTokens[engine] = Math.max(0, aheadTokens[engine] - gapMillis * TOKENS_PER_MS);
       }
     }
     assertTrue(
         late * 50 <= prompts, "%d of %d were late, expected one in fifty".formatted(late, prompts));
   }
 
-  private static final double READ_PER_MILLI = 60;
+  private static final double TOKENS_PER_MS = 60;
 
-  /** The rest of the aim goes on the way to the engine and on its steps. */
-  private static final double READING_PART_OF_AIM = 0.75;
+  /**
+   * Fraction of the target time that is available for processing the prompt; the rest is needed for
+   * the way to the engine and its steps.
+   */
+  private static final double PREFILL_AIM_FRACTION = 0.75;
 
-  private static PromptPlacement.Candidate reading(int engine, long ahead, long tokens) {
+  private static PromptPlacement.Candidate uncached(int engine, long aheadTokens, long tokens) {
     return new PromptPlacement.Candidate(
-        new BackendServerId("e" + engine), 0, ahead, tokens, false, 1);
+        new BackendServerId("e" + engine), 0, aheadTokens, tokens, false, 1);
   }
 
   /**
-   * Callers of a large prompt get their home also from an instance that has just started. It knows
-   * of nothing cached; read whole, the prompt would be late anywhere, and only its home may have
-   * it.
+   * Guards against large prompts that an instance sends away from their home just after its start,
+   * when it knows of no cached prefix. Processed in full, the prompt would be late at any engine,
+   * and only its home may have it cached.
    */
   @Test
-  void keepsTheHomeOfAPromptThatWouldBeLateIfReadWhole() {
+  void keepsTheHomeOfAPromptThatWouldBeLateAnywhere() {
     List<PromptPlacement.Candidate> engines = new ArrayList<>();
     for (int engine = 0; engine < 8; engine++) {
-      engines.add(reading(engine, 0, 80_000));
+      engines.add(uncached(engine, 0, 80_000));
     }
     PromptPlacement.Prompt prompt = new PromptPlacement.Prompt("large", AIM);
     BackendServerId home = PromptPlacement.choose(engines, prompt, random).orElseThrow();
@@ -96,9 +99,12 @@
     }
   }
 
-  /** The beginning lies at an engine that isn't its home: callers are sent there. */
+  /**
+   * Guards against prompts that are sent to their home although their prefix is cached at another
+   * engine.
+   */
   @Test
-  void goesWhereTheBeginningLies() {
+  void choosesTheEngineWithTheCachedPrefix() {
     BackendServerId home = choose(idle(13), "subject-1").id();
     BackendServerId holder = new BackendServerId(home.name().equals("e0") ? "e1" : "e0");
     List<PromptPlacement.Candidate> engines =
@@ -113,11 +119,12 @@
   }
 
   /**
-   * Callers of a hot subject are on time. Its home reads other prompts for longer than the first
-   * token may take, so the next home by the same hash gets the prompt, and not any engine.
+   * Guards against late first tokens of a hot subject. Its home needs longer for other prompts than
+   * the first token may take, so the prompt has to go to the next home by the same hash, and not to
+   * a random engine.
    */
   @Test
-  void passesABusyHomeOver() {
+  void skipsABusyHome() {
     BackendServerId home = choose(idle(13), "hot").id();
     BackendServerId next = choose(busy(home, 50_000), "hot").id();
     assertNotEquals(home, next);
@@ -125,13 +132,13 @@
   }
 
   @Test
-  void keepsAHomeThatIsOnlyALittleBusy() {
+  void keepsASlightlyBusyHome() {
     BackendServerId home = choose(idle(13), "hot").id();
     assertEquals(home, choose(busy(home, 6_000), "hot").id());
   }
 
   @Test
-  void takesTheSoonestEngineWithoutABeginning() {
+  void choosesTheSoonestEngineWithoutAPrefix() {
     List<PromptPlacement.Candidate> engines =
         new ArrayList<>(busy(new BackendServerId("e0"), 9_000));
     PromptPlacement.Prompt prompt = new PromptPlacement.Prompt("", AIM);
@@ -141,9 +148,8 @@
     }
   }
 
-  private PromptPlacement.Candidate choose(
-      List<PromptPlacement.Candidate> engines, String beginning) {
-    PromptPlacement.Prompt prompt = new PromptPlacement.Prompt(beginning, AIM);
+  private PromptPlacement.Candidate choose(List<PromptPlacement.Candidate> engines, String prefix) {
+    PromptPlacement.Prompt prompt = new PromptPlacement.Prompt(prefix, AIM);
     BackendServerId id = PromptPlacement.choose(engines, prompt, random).orElseThrow();
     return engines.stream().filter(engine -> engine.id().equals(id)).findFirst().orElseThrow();
   }
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/PromptReadingTests.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/PromptReadingTests.java
@@ -8,13 +8,13 @@
 
 class PromptReadingTests {
   @Test
-  void isNotDoneSoonerThanAnyEngineReads() {
+  void isNotCompleteBeforeTheFastestEngineIsDone() {
     assertFalse(PromptReading.mayBeDone(6_000, Duration.ofMillis(3)));
     assertFalse(PromptReading.mayBeDone(6_000, Duration.ofMillis(59)));
   }
 
   @Test
-  void mayBeDoneOnceTheFastestEngineWouldHaveReadIt() {
+  void mayBeCompleteOnceTheFastestEngineWouldBeDone() {
     assertTrue(PromptReading.mayBeDone(6_000, Duration.ofMillis(60)));
     assertTrue(PromptReading.mayBeDone(0, Duration.ZERO));
   }
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/RecentDurationsTests.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/RecentDurationsTests.java
@@ -9,19 +9,19 @@
   private final RecentDurations durations = new RecentDurations();
 
   @Test
-  void tellNothingOfAFew() {
+  void isZeroForTooFewDurations() {
     addAll(1, 9);
     assertEquals(Duration.ZERO, durations.ofNearlyAll());
   }
 
   @Test
-  void tellWhatNineInTenTookAtMost() {
+  void returnsTheNinetiethPercentile() {
     addAll(1, 50);
     assertEquals(Duration.ofMillis(45), durations.ofNearlyAll());
   }
 
   @Test
-  void forgetTheOldest() {
+  void dropsTheOldestDurations() {
     addAll(5_000, 5_063);
     addAll(1, 64);
     assertEquals(Duration.ofMillis(57), durations.ofNearlyAll());
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/RelayChoiceTests.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/RelayChoiceTests.java
@@ -18,39 +18,39 @@
   private Instant now = Instant.EPOCH;
 
   @Test
-  void goesDirectWhileThatWorks() {
+  void callsDirectlyWhileThatWorks() {
     choice.onDirect(true, now);
     assertEquals(Optional.empty(), choice.next(RELAYS, now));
   }
 
   /**
-   * Callers of an instance that the service turns away notice nothing for long. Its next call goes
-   * by another instance, most of those after it too, and now and then one goes straight; the first
-   * of these that is served ends the detour.
+   * Guards against long disturbances at an instance that the service rejects. The first calls after
+   * the rejection go through a relay, with a direct call at intervals; the first successful direct
+   * call ends the relaying.
    */
   @Test
-  void goesByARelayAndNoticesTheReturnOfTheService() {
+  void relaysCallsUntilTheServiceReturns() {
     choice.onDirect(false, now);
     assertEquals(Optional.of("a"), choice.next(RELAYS, now));
     int direct = calls(Duration.ofSeconds(5), false, true);
-    assertTrue(direct <= 12, "%d of 50 calls went straight, expected a few".formatted(direct));
+    assertTrue(direct <= 12, "%d of 50 calls were direct, expected at most 12".formatted(direct));
     calls(Duration.ofSeconds(1), true, true);
     assertEquals(Optional.empty(), choice.next(RELAYS, now));
   }
 
   /**
-   * Callers are served soon after an outage of the service for all. No relay reaches it either, so
-   * most calls go straight and find out when it is back.
+   * Guards against a late recovery after an outage for all instances. No relay reaches the service
+   * either, so most calls have to go directly and discover its return.
    */
   @Test
-  void goesMostlyDirectWhenRelaysReachNothingEither() {
+  void callsMostlyDirectlyIfNoRelayReachesTheService() {
     choice.onDirect(false, now);
     int direct = calls(Duration.ofSeconds(5), false, false);
-    assertTrue(direct >= 35, "%d of 50 calls went straight, expected most".formatted(direct));
+    assertTrue(direct >= 35, "%d of 50 calls were direct, expected at least 35".formatted(direct));
   }
 
   @Test
-  void takesTheNextRelayAfterAFailure() {
+  void usesTheNextRelayAfterAFailure() {
     choice.onDirect(false, now);
     choice.onRelayed(false, RELAYS.size(), now);
     now = now.plusMillis(900);
@@ -59,8 +59,9 @@
   }
 
   /**
-   * Callers of an instance notice little where the service turns most instances away. Only one of
-   * eight others reaches it; those that don't say so at once, and the one is found within a round.
+   * Guards against long disturbances if the service rejects most instances. Only one of eight
+   * relays reaches it; the others report the failure immediately, and the working one has to be
+   * found within one round.
    */
   @Test
   void findsTheOneRelayThatReachesTheService() {
@@ -75,11 +76,11 @@
   }
 
   /**
-   * Guards against a storm of calls: while nobody reaches the service, each instance of a large
-   * fleet asks all others in turn, and the instances have no time left for their callers.
+   * Guards against a storm of calls: if no instance reaches the service and each instance of a
+   * large fleet tries all relays in turn, the instances have no time left for their callers.
    */
   @Test
-  void asksFewOfManyRelaysInARound() {
+  void limitsTheRelaysTriedInARound() {
     List<String> relays = IntStream.range(0, 67).mapToObj(i -> "instance-" + i).toList();
     choice.onDirect(false, now);
     int relayed = 0;
@@ -90,10 +91,11 @@
       }
     }
     assertTrue(
-        relayed <= 16, "%d calls in a second, expected two rounds of eight".formatted(relayed));
+        relayed <= 16,
+        "%d relayed calls in a second, expected two rounds of eight".formatted(relayed));
   }
 
-  /** Makes a call each {@link #STEP}; returns how many went straight. */
+  /** Makes a call every {@link #STEP}; returns the number of direct calls. */
   private int calls(Duration time, boolean directReached, boolean relayReached) {
     int direct = 0;
     for (Instant end = now.plus(time); now.isBefore(end); now = now.plus(STEP)) {
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/RetryBudgetTests.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/RetryBudgetTests.java
@@ -6,7 +6,7 @@
 
 class RetryBudgetTests {
   @Test
-  void keepsRetriesToItsShareWhenEveryAttemptFails() {
+  void limitsRetriesToTheShareIfEveryAttemptFails() {
     RetryBudget budget = new RetryBudget(0.1);
     int retries = 0;
     for (int i = 0; i < 10_000; i++) {
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/RetryWindowTests.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/RetryWindowTests.java
@@ -12,26 +12,26 @@
   private final RetryWindow window = new RetryWindow(0.2, 54, Duration.ofSeconds(10));
 
   @Test
-  void givesAnInstanceItsPartOfTheReserve() {
-    assertEquals(6, repeats(START, 7));
+  void allowsAnInstanceItsPartOfTheReserve() {
+    assertEquals(6, retries(START, 7));
   }
 
   @Test
-  void addsAShareOfTheRequestsOfTheWindow() {
+  void allowsAShareOfTheRequestsInTheWindow() {
     for (int i = 0; i < 100; i++) {
       window.onFirst(START);
     }
-    assertEquals(24, repeats(START, 7));
+    assertEquals(24, retries(START, 7));
   }
 
   @Test
-  void forgetsWhatTheWindowHasLeft() {
-    int first = repeats(START, 7);
-    assertEquals(0, repeats(START.plusSeconds(5), 7));
-    assertEquals(first, repeats(START.plusSeconds(12), 7));
+  void dropsRetriesThatHaveLeftTheWindow() {
+    int first = retries(START, 7);
+    assertEquals(0, retries(START.plusSeconds(5), 7));
+    assertEquals(first, retries(START.plusSeconds(12), 7));
   }
 
-  private int repeats(Instant now, int instances) {
+  private int retries(Instant now, int instances) {
     int granted = 0;
     while (window.tryRepeat(now, instances)) {
       granted++;
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/ServerHealthTests.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/ServerHealthTests.java
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void leavesOutAServerThatFailsEachRequestAndTakesItBackByDegrees() {
+  void ejectsAFailingServerAndRampsItUpAgain() {
     fail(0, 5);
     health.update(NOW);
     assertFalse(health.isIn(server(0), NOW));
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void staysOutLongerEachTime() {
+  void ejectsForLongerEachTime() {
     fail(0, 5);
     health.update(NOW);
     Instant back = NOW.plusSeconds(2);
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void keepsTwoThirdsInWhenAllFail() {
+  void ejectsAtMostOneThirdIfAllFail() {
     for (int i = 0; i < 9; i++) {
       fail(i, 5 + i);
     }
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void leavesOutAServerManyTimesSlowerThanTheOthers() {
+  void ejectsAServerManyTimesSlowerThanTheOthers() {
     for (int i = 0; i < 9; i++) {
       for (int n = 0; n < 8; n++) {
         health.onAnswered(server(i), Duration.ofMillis(i == 3 ? 1_000 : 100), 1);
@@ -81,7 +81,7 @@
   }
 
   @Test
-  void keepsAServerThatGotTheLongWork() {
+  void keepsAServerThatGotTheLongRequests() {
     for (int i = 0; i < 9; i++) {
       for (int n = 0; n < 8; n++) {
         health.onAnswered(server(i), Duration.ofMillis(i == 3 ? 1_000 : 100), i == 3 ? 10 : 1);
@@ -92,16 +92,19 @@
   }
 
   @Test
-  void startsAServerThatJoinsLaterByDegrees() {
+  void rampsUpAServerThatJoinsLater() {
     servers.add(server(9));
     health.onListed(servers, NOW, false);
     assertEquals(0.1, health.rampShare(server(9), NOW));
     assertEquals(1, health.rampShare(server(0), NOW));
   }
 
-  /** A server that was left out has started again: it is taken in at once, and by degrees. */
+  /**
+   * Guards against a restarted server that stays ejected because of its previous process. It has to
+   * be used again immediately, with a ramp.
+   */
   @Test
-  void startsAServerAnewThatIsAnotherProcess() {
+  void rampsUpARestartedServerThatWasEjected() {
     fail(0, 5);
     health.update(NOW);
     health.forget(server(0));
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/StoppingInstance.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/StoppingInstance.java
@@ -10,43 +10,46 @@
 import org.teaseldeal.decisions.DrainPhases.Left;
 import org.teaseldeal.decisions.DrainPhases.Phase;
 
-/** A fake of an instance that stops, with callers and servers, in virtual time from a seed. */
+/**
+ * Simulates an instance during its shutdown, with callers and servers, in virtual time and derived
+ * from a seed.
+ */
 final class StoppingInstance {
   private static final Duration STEP = Duration.ofMillis(20);
   private static final int REQUESTS = 40;
   private static final Instant BEGAN = Instant.EPOCH;
 
-  /** How a request ended. */
+  /** The outcome of a request. */
   enum Outcome {
     ANSWERED,
-    /** Told that it has not run. */
+    /** Refused as not run. */
     REFUSED,
-    BROKEN_OFF
+    ABORTED
   }
 
-  /** A caller's request; mutable, as it goes through the instance. */
+  /** A caller's request and its mutable state in the instance. */
   static final class Request {
     final Instant read;
     final Instant deadline;
-    final Duration waitsForTokens;
-    final Duration runs;
-    final Duration leaves;
+    final Duration tokenWait;
+    final Duration runTime;
+    final Duration flushTime;
     @Nullable Outcome outcome;
-    @Nullable Phase takenIn;
-    Instant left = Instant.MAX;
+    @Nullable Phase acceptedIn;
+    Instant flushedAt = Instant.MAX;
 
     Request(Random random, Duration grace) {
       read = BEGAN.plusMillis(random.nextLong(grace.toMillis()));
       Duration body = Duration.ofMillis(random.nextInt(10) == 0 ? random.nextInt(3_000) : 0);
       deadline = read.minus(body).plusMillis(100 + random.nextInt(15_000));
       boolean never = random.nextInt(12) == 0;
-      waitsForTokens = never ? Duration.ofDays(1) : Duration.ofMillis(random.nextInt(400));
-      runs = Duration.ofMillis(20 + random.nextInt(random.nextBoolean() ? 500 : 6_000));
-      leaves = Duration.ofMillis(random.nextInt(30));
+      tokenWait = never ? Duration.ofDays(1) : Duration.ofMillis(random.nextInt(400));
+      runTime = Duration.ofMillis(20 + random.nextInt(random.nextBoolean() ? 500 : 6_000));
+      flushTime = Duration.ofMillis(random.nextInt(30));
     }
 
     Instant sent() {
-      return read.plus(waitsForTokens);
+      return read.plus(tokenWait);
     }
 
     boolean waitsAt(Instant now) {
@@ -55,22 +58,23 @@
 
     @Override
     public String toString() {
-      return "read %s, deadline %s, runs %s, taken in %s".formatted(read, deadline, runs, takenIn);
+      return "read %s, deadline %s, runs %s, taken in %s"
+          .formatted(read, deadline, runTime, acceptedIn);
     }
   }
 
   private final Duration grace;
   private final DrainPhases phases;
-  private final List<Request> coming = new ArrayList<>();
-  private final List<Request> taken = new ArrayList<>();
-  private final List<Request> takenAfterRefusing = new ArrayList<>();
+  private final List<Request> arriving = new ArrayList<>();
+  private final List<Request> accepted = new ArrayList<>();
+  private final List<Request> acceptedAfterRefusing = new ArrayList<>();
   private final Instant freezesAt;
   private final Duration freeze;
   private final Duration tokensReturnedAfter;
-  private final boolean stepsFirst;
+  private final boolean advancesFirst;
   private Phase phase = Phase.ACCEPTING;
   private Instant now = BEGAN;
-  private Instant ended = Instant.MAX;
+  private Instant endedAt = Instant.MAX;
   private int refusedWaiting;
 
   StoppingInstance(long seed) {
@@ -78,14 +82,14 @@
     grace = Duration.ofMillis(1_000 + random.nextInt(9_000));
     phases = new DrainPhases(BEGAN, grace);
     for (int i = 0; i < REQUESTS; i++) {
-      coming.add(new Request(random, grace));
+      arriving.add(new Request(random, grace));
     }
-    coming.sort(Comparator.comparing(request -> request.read));
+    arriving.sort(Comparator.comparing(request -> request.read));
     boolean freezes = random.nextInt(4) == 0;
     freezesAt = BEGAN.plusMillis(random.nextLong(grace.toMillis()));
     freeze = freezes ? Duration.ofMillis(random.nextLong(grace.toMillis() / 2)) : Duration.ZERO;
     tokensReturnedAfter = Duration.ofMillis(random.nextInt(10_000));
-    stepsFirst = random.nextBoolean();
+    advancesFirst = random.nextBoolean();
   }
 
   void run() {
@@ -96,21 +100,21 @@
         now = now.plus(freeze);
         thawed = true;
       }
-      // A round of the event loop begins with the servers' answers that have come; after them, it
-      // takes requests and goes on to the next phase, in either order.
-      taken.stream().filter(request -> request.outcome == null).forEach(this::goOn);
-      if (stepsFirst) {
-        step();
+      // A round of the event loop begins with the servers' answers that have arrived. Afterwards
+      // the instance accepts requests and advances to the next phase, in either order.
+      accepted.stream().filter(request -> request.outcome == null).forEach(this::continueRequest);
+      if (advancesFirst) {
+        advance();
       }
-      takeRequests();
-      if (!stepsFirst) {
-        step();
+      acceptRequests();
+      if (!advancesFirst) {
+        advance();
       }
     }
-    ended = now;
+    endedAt = now;
   }
 
-  private void step() {
+  private void advance() {
     if (phase == Phase.DONE) {
       return;
     }
@@ -121,13 +125,13 @@
       refuseWaiting();
     }
     if (phase == Phase.BREAKING_OFF && before != phase) {
-      taken.stream().filter(request -> request.outcome == null).forEach(this::breakOff);
+      accepted.stream().filter(request -> request.outcome == null).forEach(this::abort);
     }
   }
 
-  private void takeRequests() {
-    while (!coming.isEmpty() && !coming.getFirst().read.isAfter(now) && reads()) {
-      arrive(coming.removeFirst());
+  private void acceptRequests() {
+    while (!arriving.isEmpty() && !arriving.getFirst().read.isAfter(now) && reads()) {
+      arrive(arriving.removeFirst());
     }
   }
 
@@ -137,26 +141,26 @@
 
   private void arrive(Request request) {
     boolean refuses = phase.compareTo(Phase.REFUSING) >= 0;
-    taken.add(request);
-    request.takenIn = phase;
+    accepted.add(request);
+    request.acceptedIn = phase;
     if (refuses || !phases.admission().admits(now, request.deadline, Duration.ZERO)) {
       end(request, Outcome.REFUSED);
     } else if (phase.compareTo(Phase.SHORT_ONLY) > 0) {
-      takenAfterRefusing.add(request);
+      acceptedAfterRefusing.add(request);
     }
   }
 
-  private void goOn(Request request) {
+  private void continueRequest(Request request) {
     boolean expired = !now.isBefore(request.deadline);
     if (request.waitsAt(now) && expired) {
       end(request, Outcome.REFUSED);
-    } else if (expired || !now.isBefore(request.sent().plus(request.runs))) {
+    } else if (expired || !now.isBefore(request.sent().plus(request.runTime))) {
       end(request, Outcome.ANSWERED);
     }
   }
 
   private void refuseWaiting() {
-    for (Request request : taken) {
+    for (Request request : accepted) {
       if (request.waitsAt(now)) {
         end(request, Outcome.REFUSED);
         refusedWaiting++;
@@ -164,39 +168,42 @@
     }
   }
 
-  private void breakOff(Request request) {
-    end(request, Outcome.BROKEN_OFF);
+  private void abort(Request request) {
+    end(request, Outcome.ABORTED);
   }
 
   private void end(Request request, Outcome outcome) {
     request.outcome = outcome;
-    request.left = now.plus(request.leaves);
+    request.flushedAt = now.plus(request.flushTime);
   }
 
-  /** Requests that were read and whose answers haven't left. */
+  /** Returns the requests that were read and whose answers have not left the instance. */
   List<Request> unanswered() {
-    return taken.stream().filter(request -> request.left.isAfter(now)).toList();
+    return accepted.stream().filter(request -> request.flushedAt.isAfter(now)).toList();
   }
 
-  List<Request> takenAfterRefusing() {
-    return takenAfterRefusing;
+  List<Request> acceptedAfterRefusing() {
+    return acceptedAfterRefusing;
   }
 
-  List<Request> brokenOff() {
-    return taken.stream().filter(request -> request.outcome == Outcome.BROKEN_OFF).toList();
+  List<Request> aborted() {
+    return accepted.stream().filter(request -> request.outcome == Outcome.ABORTED).toList();
   }
 
-  /** Whether the grace left no time for the run, whatever the instance did after it took it. */
+  /**
+   * Returns whether the grace period was too short for the request's run, independent of what the
+   * instance did after accepting it.
+   */
   boolean hadNoTime(Request request) {
     Instant ends = phases.admission().ends();
-    boolean tooLong = request.sent().plus(request.runs).isAfter(ends);
-    boolean early = request.read.isBefore(phases.admission().noticed());
+    boolean tooLong = request.sent().plus(request.runTime).isAfter(ends);
+    boolean early = request.read.isBefore(phases.admission().balancerNoticed());
     return (tooLong && early) || (frozen() && !freezesAt.plus(freeze).isBefore(ends));
   }
 
   boolean endedBeforeKill() {
     Instant killed = BEGAN.plus(grace);
-    return ended.isBefore(killed) || frozen();
+    return endedAt.isBefore(killed) || frozen();
   }
 
   boolean frozen() {
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/TokenHolderChoiceTests.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/TokenHolderChoiceTests.java
@@ -18,7 +18,7 @@
   private static final List<String> CUSTOMERS = names("customer", 200);
 
   @Test
-  void letsAllInstancesOfASmallFleetHold() {
+  void choosesAllInstancesOfASmallFleet() {
     Set<String> fleet = Set.copyOf(names("instance", 9));
     CUSTOMERS.forEach(customer -> assertEquals(fleet, TokenHolderChoice.of(customer, fleet)));
   }
@@ -33,11 +33,11 @@
   }
 
   /**
-   * Guards against a log that takes up all of its time with notes: whoever holds renews its notes
-   * five times a second, and the log takes 500 appends a second.
+   * Guards against a log that is saturated with notes: a holder writes its notes five times a
+   * second, and the log accepts 500 appends per second.
    */
   @Test
-  void keepsTheNumberOfHoldersBoundedInALargeFleet() {
+  void limitsTheNumberOfHoldersInALargeFleet() {
     for (int size : List.of(17, 68, 90, 420)) {
       List<String> fleet = names("instance", size);
       Set<String> all =
@@ -49,7 +49,10 @@
     }
   }
 
-  /** Guards against a fleet whose holders all change when one instance joins: leases would move. */
+  /**
+   * Guards against a fleet in which all holders change when one instance joins, which would move
+   * all leases.
+   */
   @ParameterizedTest
   @ValueSource(ints = {17, 19, 39, 59, 68, 79, 419})
   void keepsMostHoldersWhenAnInstanceJoins(int size) {
@@ -67,7 +70,7 @@
   }
 
   @Test
-  void spreadsThoseWhoAskOverAllHolders() {
+  void spreadsRequestsOverAllHolders() {
     Set<String> holders = TokenHolderChoice.of("customer-1", names("instance", 68));
     Map<String, Integer> first = new HashMap<>();
     for (String asker : names("asker", 900)) {
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/package-info.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/package-info.java
@@ -1,4 +1,6 @@
-/** Tests of single decisions, and of all of them together under the loads they are made for. */
+/**
+ * Tests of the single policies, and of all of them together under the loads they are designed for.
+ */
 @NullMarked
 package org.teaseldeal.decisions;
 
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/AccountBook.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/AccountBook.java
@@ -23,45 +23,54 @@
  * Divides each customer's prepaid total among the instances, and this instance's part among its
  * requests.
  *
- * <p>Each instance keeps one note for each customer on the shared log: what it has spent, what it
- * may still spend, and what it asks for besides. It alone decides whether its wish is granted, when
- * it reads its own note back: yes if all instances' notes up to there, its wish among them, stay
- * within the total. What others ask for counts as theirs until they write anew, so nobody's yes
- * depends on guessing another's answer, and the sum stays within the total whatever is lost, late,
- * frozen or killed. The newest note of each instance is all that is needed, so a log that keeps
- * only the newest record of a key loses nothing.
+ * <p>Each instance keeps one note per customer on the shared log. The note says how many tokens the
+ * instance has spent, how many it holds, and how many more it claims. Each instance decides on its
+ * own whether its claim is granted, at the moment when it reads its own note back: the claim is
+ * granted if the notes of all instances up to that position, including this claim, stay within the
+ * total. The claims of other instances count as theirs until they write their next note. Therefore
+ * no decision depends on a guess about the decision of another instance, and the sum stays within
+ * the total even if messages are lost or late and processes are paused or killed. Only the newest
+ * note of each instance matters, so a log that keeps only the newest record of each key is
+ * sufficient.
  *
- * <p>A process takes over the note of the one before it on the same machine. It gets back what that
- * one can't have used since the note, if the machine's clocks prove how long ago it was written;
- * the rest is lost to the customer, as nobody can tell whether it was spent. Nobody else's tokens
- * are ever freed by time: a holder that is silent may only be paused.
+ * <p>A process takes over the note of the previous process on the same machine. It reclaims the
+ * tokens that the previous process can't have used since the note, if the machine's clocks prove
+ * how long ago the note was written; the remaining tokens are lost to the customer, because they
+ * may have been spent. Tokens of other instances are never freed by a time-out, since a silent
+ * instance may only be paused.
  */
 public final class AccountBook implements LogParticipant {
-  /** Between notes that only refill or return idle tokens; a request that waits goes at once. */
-  private static final Duration REFILL_PAUSE = Duration.ofMillis(100);
+  /**
+   * Interval between notes that only refill a lease or return idle tokens. A note for a request
+   * that waits is written immediately.
+   */
+  private static final Duration REFILL_INTERVAL = Duration.ofMillis(100);
 
-  /** How long a time of day that was set is not gone by: it may be set back within seconds. */
-  private static final Duration CLOCK_DOUBT = Duration.ofSeconds(20);
+  /**
+   * How long the wall clock is not relied on after it was set, because it may be set back within
+   * seconds.
+   */
+  private static final Duration CLOCK_DISTRUST_PERIOD = Duration.ofSeconds(20);
 
-  private static final Duration RATE_PERIOD = Duration.ofSeconds(1);
-  private static final Duration REPORT_PERIOD = Duration.ofSeconds(5);
+  private static final Duration RATE_INTERVAL = Duration.ofSeconds(1);
+  private static final Duration REPORT_INTERVAL = Duration.ofSeconds(5);
 
   private static final Logger LOG = LoggerFactory.getLogger(AccountBook.class);
 
   private final String instance;
-  private final Function<String, OptionalLong> prepaid;
+  private final Function<String, OptionalLong> prepaidTotal;
   private final TokenHolders holders;
   private final EventSink events;
   private final InstantSource clock;
   private final Supplier<ClockReading> machineClock;
   private final Supplier<Optional<HeartbeatCount>> heartbeats;
-  private final ClockReading started;
-  private final LogReach log;
-  private final TokenRefusals refusals;
+  private final ClockReading clocksAtStart;
+  private final LogAvailability logAvailability;
+  private final RefusalPolicy refusalPolicy;
   private final Map<String, CustomerAccount> accounts = new TreeMap<>();
   private ClockReading lastReading;
-  private boolean logNeeded;
-  private Instant clockSetAt = Instant.EPOCH;
+  private boolean logRequired;
+  private Instant lastClockStep = Instant.EPOCH;
   private boolean recovered;
   private boolean closing;
   private Instant nextRefill = Instant.MIN;
@@ -69,49 +78,51 @@
   private Instant nextReport = Instant.MIN;
 
   /**
-   * Creates the book of {@code instance}.
+   * Creates the accounts of {@code instance}.
    *
-   * @param prepaid gives a customer's total in force; none for a customer without a bound
-   * @param holders of each customer's total
-   * @param started the machine's clocks when this process began
-   * @param machineClock reads them now
-   * @param heartbeats of backend servers so far; empty while none are known
+   * @param prepaidTotal returns a customer's current total; empty for a customer without a limit
+   * @param holders determines the holders of each customer's total
+   * @param clocksAtStart the machine's clocks at the start of this process
+   * @param machineClock reads the machine's clocks
+   * @param heartbeats returns the number of heartbeats received from backend servers so far; empty
+   *     as long as no server is known
    */
   public AccountBook(
       String instance,
-      Function<String, OptionalLong> prepaid,
+      Function<String, OptionalLong> prepaidTotal,
       TokenHolders holders,
       EventSink events,
       InstantSource clock,
-      ClockReading started,
+      ClockReading clocksAtStart,
       Supplier<ClockReading> machineClock,
       Supplier<Optional<HeartbeatCount>> heartbeats) {
     this.instance = instance;
-    this.prepaid = prepaid;
+    this.prepaidTotal = prepaidTotal;
     this.holders = holders;
     this.events = events;
     this.clock = clock;
     this.machineClock = machineClock;
     this.heartbeats = heartbeats;
-    this.started = started;
-    this.log = new LogReach(clock.instant());
-    this.refusals = new TokenRefusals(log);
+    this.clocksAtStart = clocksAtStart;
+    this.logAvailability = new LogAvailability(clock.instant());
+    this.refusalPolicy = new RefusalPolicy(logAvailability);
     this.lastReading = machineClock.get();
   }
 
   /**
-   * Sets aside {@code tokens} of a customer's total, now or as soon as they are granted.
+   * Reserves {@code tokens} of a customer's total, immediately or as soon as they have been
+   * granted.
    *
-   * @param leaves when the caller gives up waiting for its answer to begin
-   * @param deadline when an answer is of no use any more
+   * @param callerTimeout when the caller stops waiting for the answer to begin
+   * @param deadline when the answer is of no use any more
    */
   public void reserve(
       String customer,
       long tokens,
-      Instant leaves,
+      Instant callerTimeout,
       Instant deadline,
       ReservationListener listener) {
-    OptionalLong total = prepaid.apply(customer);
+    OptionalLong total = prepaidTotal.apply(customer);
     if (total.isEmpty()) {
       listener.onReserved(Reservation.NONE);
       return;
@@ -119,21 +130,22 @@
     CustomerAccount account = account(customer);
     account.demand().add(tokens);
     WaitingRequest request =
-        new WaitingRequest(tokens, clock.instant(), leaves, deadline, listener);
-    // One that waits for more than is at hand must not keep those from going that need less.
-    if (log.loaded() && account.take(request, total.getAsLong(), clock.instant())) {
+        new WaitingRequest(tokens, clock.instant(), callerTimeout, deadline, listener);
+    // A waiting request that needs more tokens than are available must not block requests that need
+    // fewer.
+    if (logAvailability.loaded() && account.take(request, total.getAsLong(), clock.instant())) {
       return;
     }
     account.waiting().add(request);
-    refuseHopeless(account, total.getAsLong());
+    refuseUnservable(account, total.getAsLong());
   }
 
   /**
-   * Sets aside {@code tokens} that other instances have given, or none if the customer has no
-   * bound; returns whether it did.
+   * Reserves {@code tokens} from those that other instances have given, or none if the customer has
+   * no limit. Returns whether it did.
    */
   boolean reserveDrawn(String customer, long tokens, ReservationListener listener) {
-    OptionalLong total = prepaid.apply(customer);
+    OptionalLong total = prepaidTotal.apply(customer);
     if (total.isEmpty()) {
       listener.onReserved(Reservation.NONE);
       return true;
@@ -141,52 +153,56 @@
     return account(customer).takeDrawn(tokens, listener);
   }
 
-  /** Tokens that other instances have given and no request has. */
+  /** Returns the number of tokens that other instances have given and that are not reserved. */
   long drawn(String customer) {
     return account(customer).drawn();
   }
 
-  /** Customers of whom this instance has tokens that others gave and no request has. */
-  List<String> drawnCustomers() {
+  /**
+   * Returns the customers for which this instance has unreserved tokens that other instances gave.
+   */
+  List<String> customersWithDrawnTokens() {
     return accounts.values().stream()
         .filter(account -> account.drawn() > 0)
         .map(CustomerAccount::customer)
         .toList();
   }
 
-  /** Takes all such tokens of a customer out of the account; returns how many. */
-  long takeOutDrawn(String customer) {
-    return account(customer).takeOutDrawn();
+  /**
+   * Removes all unreserved tokens of the customer that other instances gave; returns their number.
+   */
+  long removeDrawn(String customer) {
+    return account(customer).removeDrawn();
   }
 
-  /** Takes back tokens that an instance was given and hasn't used. */
+  /** Takes back tokens that another instance was given and has not used. */
   public void takeBack(String customer, long tokens) {
     CustomerAccount account = account(customer);
     account.takeBack(tokens);
     account.serveWaiting(total(account), clock.instant());
   }
 
-  /** Whether other instances may be given tokens of a customer here. */
+  /** Returns whether this instance may give tokens of the customer to other instances. */
   public boolean servesOthers(String customer) {
-    return !closing && prepaid.apply(customer).isPresent();
+    return !closing && prepaidTotal.apply(customer).isPresent();
   }
 
-  /** Tokens of a customer that this instance has at hand. */
+  /** Returns the number of the customer's tokens that are idle at this instance. */
   public long idle(String customer) {
     return account(customer).idle();
   }
 
-  /** Whether more tokens can be asked for now. */
+  /** Returns whether this instance can currently claim more tokens through the log. */
   public boolean asksForMore() {
-    return log.asksForMore();
+    return logAvailability.acceptsClaims();
   }
 
-  /** Forgets a wish whose request is gone. */
+  /** Cancels the token request of a request that has ended. */
   public void withdraw(String customer, ReservationListener listener) {
     account(customer).waiting().removeIf(waiting -> waiting.listener() == listener);
   }
 
-  /** Counts {@code used} of a reservation as spent; the rest is free again. */
+  /** Counts {@code used} tokens of a reservation as spent and frees the rest. */
   public void settle(Reservation reservation, long used) {
     if (reservation.tokens() == 0) {
       return;
@@ -196,109 +212,125 @@
     account.serveWaiting(total(account), clock.instant());
   }
 
-  /** Customers with requests that have waited since {@code since} or longer for their tokens. */
-  List<String> lacking(Instant since) {
+  /**
+   * Returns the customers with requests that have been waiting for tokens since {@code since} or
+   * longer.
+   */
+  List<String> customersWaitingSince(Instant since) {
     return accounts.values().stream()
         .filter(
-            account -> account.waiting().stream().anyMatch(each -> !each.since().isAfter(since)))
+            account ->
+                account.waiting().stream().anyMatch(each -> !each.waitingSince().isAfter(since)))
         .map(CustomerAccount::customer)
         .toList();
   }
 
-  /** Tokens that the waiting requests of a customer lack. */
-  long lack(String customer) {
+  /** Returns the number of tokens that the customer's waiting requests lack. */
+  long shortfall(String customer) {
     CustomerAccount account = account(customer);
-    return account.lack(total(account), clock.instant());
+    return account.missingTokens(total(account), clock.instant());
   }
 
-  /** What other instances said to have idle of a customer's tokens, by instance. */
-  Map<String, Long> idleElsewhere(String customer) {
-    return account(customer).others().idleByInstance();
+  /**
+   * Returns the number of idle tokens of the customer at each other instance, according to its
+   * newest note.
+   */
+  Map<String, Long> idleByPeer(String customer) {
+    return account(customer).peerAccounts().idleByInstance();
   }
 
-  /** Gives another instance up to {@code wanted} tokens; returns how many. */
+  /** Gives another instance up to {@code wanted} tokens; returns the number given. */
   public long give(String customer, long wanted) {
-    OptionalLong total = prepaid.apply(customer);
-    if (!log.loaded() || total.isEmpty()) {
+    OptionalLong total = prepaidTotal.apply(customer);
+    if (!logAvailability.loaded() || total.isEmpty()) {
       return 0;
     }
     return account(customer).give(wanted, total.getAsLong(), clock.instant());
   }
 
-  /** Takes in tokens that another instance has given. */
-  void receive(String customer, long tokens) {
+  /** Adds tokens that another instance has given. */
+  void addDrawn(String customer, long tokens) {
     CustomerAccount account = account(customer);
-    account.receive(tokens);
+    account.addDrawn(tokens);
     account.serveWaiting(total(account), clock.instant());
   }
 
-  /** Tells whether the log can be reached, which decides who may wait for it. */
+  /** Records whether the log can be reached; this decides which requests may wait for it. */
   public void logReachable(boolean reachable) {
-    log.onReachable(reachable, clock.instant());
+    logAvailability.onReachable(reachable, clock.instant());
   }
 
   /**
-   * Gives back all that no request has, from now on; the process is about to end. At once and not
-   * at the end: the log may be away by then, and what is held at the end is lost to the customer.
+   * Returns all unreserved tokens from now on, because the process is about to end. They are
+   * returned immediately and not at the end, since the log may be unavailable then, and tokens that
+   * are held when the process ends are lost to the customer.
    */
   public void close() {
     closing = true;
     accounts.values().forEach(CustomerAccount::close);
   }
 
-  /** Whether the log says of every account that nothing is held here. */
+  /** Returns whether the log says for every account that this instance holds nothing. */
   public boolean allReturned() {
     return accounts.values().stream().allMatch(CustomerAccount::returned);
   }
 
-  /** Refuses what has waited too long, and follows the rates of spending. */
+  /**
+   * Refuses requests that have waited too long, updates the consumption rates and reports the
+   * accounts.
+   */
   public void tick() {
     Instant now = clock.instant();
-    watchClocks(now);
-    recoverOnce();
+    detectClockSteps(now);
+    recoverAfterPowerLoss();
     if (!now.isBefore(nextRate)) {
-      nextRate = now.plus(RATE_PERIOD);
-      accounts.values().forEach(account -> account.demand().follow());
+      nextRate = now.plus(RATE_INTERVAL);
+      accounts.values().forEach(account -> account.demand().update());
     }
     for (CustomerAccount account : accounts.values()) {
       account.serveWaiting(total(account), now);
-      refuseHopeless(account, total(account));
+      refuseUnservable(account, total(account));
     }
-    if (log.loaded() && !now.isBefore(nextReport)) {
-      nextReport = now.plus(REPORT_PERIOD);
+    if (logAvailability.loaded() && !now.isBefore(nextReport)) {
+      nextReport = now.plus(REPORT_INTERVAL);
       accounts.values().forEach(this::report);
     }
   }
 
-  /** Notices when the time of day was set, or the machine suspended. */
-  private void watchClocks(Instant now) {
+  /** Detects that the wall clock was set or that the machine was suspended. */
+  private void detectClockSteps(Instant now) {
     ClockReading reading = machineClock.get();
     if (reading.since(lastReading).isEmpty()) {
-      clockSetAt = now;
+      lastClockStep = now;
     }
     lastReading = reading;
   }
 
-  /** Takes back what earlier processes can't have used, once the heartbeats are known. */
-  private void recoverOnce() {
-    if (recovered || !log.loaded()) {
+  /**
+   * Reclaims tokens that previous processes can't have used, once the count of heartbeats is known.
+   */
+  private void recoverAfterPowerLoss() {
+    if (recovered || !logAvailability.loaded()) {
       return;
     }
-    Optional<HeartbeatCount> counted = heartbeats.get();
-    if (counted.isEmpty()) {
+    Optional<HeartbeatCount> heartbeatCount = heartbeats.get();
+    if (heartbeatCount.isEmpty()) {
       return;
     }
     recovered = true;
     for (CustomerAccount account : accounts.values()) {
       account
-          .recover(started, lastReading, counted.get())
+          .recover(clocksAtStart, lastReading, heartbeatCount.get())
           .ifPresent(takeover -> events.accept(takeover.event()));
     }
   }
 
-  /** What a note says of heartbeats; nothing if the time of day beside it can't be trusted. */
-  private long heartbeatsToNote(Instant now) {
-    return clockSetAt.plus(CLOCK_DOUBT).isAfter(now)
+  /**
+   * Returns the count of heartbeats to put into a note; {@code UNCOUNTED} if it is unknown or if
+   * the wall clock of the same note can't be trusted.
+   */
+  private long heartbeatsForNote(Instant now) {
+    return lastClockStep.plus(CLOCK_DISTRUST_PERIOD).isAfter(now)
         ? SharedNote.Account.UNCOUNTED
         : heartbeats.get().map(HeartbeatCount::count).orElse(SharedNote.Account.UNCOUNTED);
   }
@@ -308,10 +340,10 @@
         new GatewayEvent.AccountLevel(
             account.customer(),
             total(account),
-            account.takenByAll(),
-            account.lost() + account.others().lost(),
+            account.takenByFleet(),
+            account.writtenOff() + account.peerAccounts().writtenOff(),
             account.spent(),
-            account.lost(),
+            account.writtenOff(),
             account.held(),
             account.idle(),
             account.tokensPerSecond()));
@@ -320,31 +352,34 @@
   @Override
   public void onLoaded(List<SharedNote> notes, boolean first) {
     notes.forEach(note -> load(note, first));
-    log.onLoaded();
+    logAvailability.onLoaded();
     Instant now = clock.instant();
     accounts
         .values()
         .forEach(
             account -> {
-              account.allRead();
-              account.decideWish(total(account), now);
+              account.onAllLoaded();
+              account.decideClaim(total(account), now);
             });
   }
 
   /**
-   * Takes in one of the newest notes. What was known of an instance that has none any more, or none
-   * that can be read, stays: no instance takes a note back, so it still holds what it held.
+   * Loads one of the newest notes. If an instance has no note any more, or an unreadable one, the
+   * last known state is kept: instances never withdraw their notes, so the instance still holds
+   * what it held.
    */
   private void load(SharedNote note, boolean first) {
     boolean own = note.instance().equals(instance);
     switch (note) {
-      case SharedNote.Account heard when !own -> account(heard.customer()).others().hear(heard);
-      case SharedNote.Account heard when first ->
-          account(heard.customer()).takeOver(heard, started);
-      case SharedNote.UnreadableAccount hidden when !own ->
-          account(hidden.customer()).others().doubt(hidden.instance());
-      case SharedNote.UnreadableAccount hidden when first -> account(hidden.customer()).doubtPast();
-      case SharedNote.UnreadableAccount hidden -> account(hidden.customer()).renewNote();
+      case SharedNote.Account accountNote when !own ->
+          account(accountNote.customer()).peerAccounts().update(accountNote);
+      case SharedNote.Account accountNote when first ->
+          account(accountNote.customer()).takeOver(accountNote, clocksAtStart);
+      case SharedNote.UnreadableAccount unreadable when !own ->
+          account(unreadable.customer()).peerAccounts().markUnknown(unreadable.instance());
+      case SharedNote.UnreadableAccount unreadable when first ->
+          account(unreadable.customer()).markPastUnknown();
+      case SharedNote.UnreadableAccount unreadable -> account(unreadable.customer()).renewNote();
       default -> {}
     }
   }
@@ -352,63 +387,74 @@
   @Override
   public void onNote(SharedNote note, boolean own) {
     switch (note) {
-      case SharedNote.Account heard when own -> hearOwn(account(heard.customer()), heard);
-      case SharedNote.Account heard -> account(heard.customer()).others().hear(heard);
-      // Of another, nothing was missed: what its note before this one said still holds.
-      case SharedNote.UnreadableAccount hidden when own -> account(hidden.customer()).renewNote();
+      case SharedNote.Account accountNote when own ->
+          onOwnNote(account(accountNote.customer()), accountNote);
+      case SharedNote.Account accountNote ->
+          account(accountNote.customer()).peerAccounts().update(accountNote);
+      // For other instances nothing was missed: what the note before this one said is still valid.
+      case SharedNote.UnreadableAccount unreadable when own ->
+          account(unreadable.customer()).renewNote();
       default -> {}
     }
   }
 
   /**
-   * Decides a wish by the note that asks for it.
+   * Decides this instance's claim when its own note with the claim is read back.
    *
-   * <p>Failure: another writer's note under the own key is read before the own one, which is still
-   * on its way. Symptom, if the wish were decided by it: the others' wishes that come between
-   * aren't counted, and both are granted.
+   * <p>A foreign note under this instance's key can be read before this instance's own note, which
+   * is still on its way to the log. If the claim were decided by the foreign note, claims of other
+   * instances between the two notes would not be counted, and both claims could be granted.
    */
-  private void hearOwn(CustomerAccount account, SharedNote.Account heard) {
-    if (!account.isOwn(heard)) {
-      LOG.warn("another writer's note stands for the account of {}", account.customer());
+  private void onOwnNote(CustomerAccount account, SharedNote.Account accountNote) {
+    if (!account.wroteNote(accountNote)) {
+      LOG.warn(
+          "found a foreign note under this instance's key for the account of customer {}; writing the note again",
+          account.customer());
       account.renewNote();
-    } else if (heard.asked() > 0) {
-      account.decideWish(total(account), clock.instant());
+    } else if (accountNote.claimed() > 0) {
+      account.decideClaim(total(account), clock.instant());
     }
   }
 
   @Override
   public void onWritten() {
     Instant now = clock.instant();
-    accounts.values().forEach(account -> account.written(total(account), now));
+    accounts.values().forEach(account -> account.onWritten(total(account), now));
   }
 
   @Override
   public boolean awaitsOwnNote() {
-    return accounts.values().stream().anyMatch(account -> !account.wishDecided());
+    return accounts.values().stream().anyMatch(account -> !account.claimDecided());
   }
 
-  /** Says whether the log is to be read although nothing is held and nothing waits here. */
-  void needLog(boolean needed) {
-    logNeeded = needed;
+  /**
+   * Sets whether the log has to be read although this instance holds no tokens and no request
+   * waits.
+   */
+  void requireLog(boolean needed) {
+    logRequired = needed;
   }
 
-  /** An instance that holds nothing asks holders, and knows of the totals what they answer. */
+  /**
+   * Returns whether this instance needs the log. An instance that holds no tokens requests them
+   * from holders and needs no other information about the totals.
+   */
   @Override
   public boolean needsLog() {
-    return logNeeded
+    return logRequired
         || holders.holdsAny()
         || !recovered
         || accounts.values().stream().anyMatch(CustomerAccount::needsLog);
   }
 
   @Override
-  public void onLogResting() {
-    log.onResting();
+  public void onLogReadingPaused() {
+    logAvailability.onReadingPaused();
   }
 
   @Override
-  public void onLogNeededAgain() {
-    log.onNeededAgain(clock.instant());
+  public void onLogReadingResumed() {
+    logAvailability.onReadingResumed(clock.instant());
   }
 
   @Override
@@ -420,36 +466,36 @@
   public List<SharedNote> notesToWrite(Instant now) {
     boolean refill = !now.isBefore(nextRefill);
     ClockReading reading = machineClock.get();
-    long counted = heartbeatsToNote(now);
+    long heartbeatCount = heartbeatsForNote(now);
     List<SharedNote> notes = new ArrayList<>();
     for (CustomerAccount account : accounts.values()) {
       account
-          .nextNote(instance, total(account), part(account), refill, reading, counted, now)
+          .nextNote(instance, total(account), share(account), refill, reading, heartbeatCount, now)
           .ifPresent(notes::add);
     }
     if (notes.isEmpty()) {
       return notes;
     }
-    nextRefill = now.plus(REFILL_PAUSE);
+    nextRefill = now.plus(REFILL_INTERVAL);
     for (CustomerAccount account : accounts.values()) {
-      account.renewal(instance, total(account), reading, counted, now).ifPresent(notes::add);
+      account.renewal(instance, total(account), reading, heartbeatCount, now).ifPresent(notes::add);
     }
     return notes;
   }
 
-  private CustomerAccount.Part part(CustomerAccount account) {
+  private CustomerAccount.Share share(CustomerAccount account) {
     String customer = account.customer();
-    return new CustomerAccount.Part(holders.holds(customer), holders.count(customer));
+    return new CustomerAccount.Share(holders.holds(customer), holders.count(customer));
   }
 
-  private void refuseHopeless(CustomerAccount account, long total) {
+  private void refuseUnservable(CustomerAccount account, long total) {
     if (account.waiting().isEmpty()) {
       return;
     }
     Instant now = clock.instant();
     long ahead = 0;
     for (WaitingRequest request : List.copyOf(account.waiting())) {
-      Optional<Problem> problem = refusals.of(account, request, ahead, total, now);
+      Optional<Problem> problem = refusalPolicy.refusal(account, request, ahead, total, now);
       if (problem.isPresent()) {
         account.waiting().remove(request);
         request.listener().onRefused(problem.get());
@@ -460,7 +506,7 @@
   }
 
   private long total(CustomerAccount account) {
-    return prepaid.apply(account.customer()).orElse(0);
+    return prepaidTotal.apply(account.customer()).orElse(0);
   }
 
   private CustomerAccount account(String customer) {
