--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/ClockReading.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/ClockReading.java
@@ -4,50 +4,62 @@
 import java.util.Optional;
 
 /**
- * A machine's steady clock and its time of day, read together.
+ * A reading of a machine's monotonic clock and of its wall clock, taken together.
  *
- * <p>The steady clock goes on while a process is replaced by another on the same machine, and
- * begins anew when the machine loses power. The time of day tells these apart: if both moved by the
- * same amount, it is one run of the machine, and the steady clock's difference is exact. A step of
- * the time of day, a suspension or a loss of power makes them differ, and then nothing is known.
+ * <p>The monotonic clock continues while a process is replaced by another on the same machine, and
+ * starts anew when the machine loses power. Comparing it with the wall clock tells these cases
+ * apart: if both advanced by the same amount, the machine has been running without interruption and
+ * the difference of the monotonic clock is exact. A step of the wall clock, a suspension or a loss
+ * of power makes the two differ, and then the elapsed time is unknown.
  *
- * @param steadyNanos of a clock whose origin means nothing
- * @param wallMillis since 1970
+ * @param steadyNanos monotonic clock in nanoseconds, with an arbitrary origin
+ * @param wallMillis wall clock in milliseconds since 1970
  */
 public record ClockReading(long steadyNanos, long wallMillis) {
-  /** Readings of the two clocks are taken one after the other, and a slow machine may pause. */
-  private static final Duration SAME = Duration.ofMillis(100);
+  /**
+   * Largest difference between the advances of the two clocks within one run of the machine. The
+   * clocks are read one after the other, and a slow machine may pause in between.
+   */
+  private static final Duration MAX_READ_SKEW = Duration.ofMillis(100);
 
   /**
-   * How far the heartbeats may seem to have gone on beyond the time of day: servers start, and a
-   * list that is read again shows some at once.
+   * How far the time derived from heartbeats may exceed the time derived from the wall clock.
+   * Backend servers that start, and a server list that is read again, make the count jump ahead.
    */
   private static final Duration HEARTBEAT_TOLERANCE = Duration.ofMillis(500);
 
-  /** How much a time of day that is being corrected may gain or lose unnoticed in a few seconds. */
-  private static final Duration SLEWED = Duration.ofMillis(200);
+  /**
+   * How much a wall clock that is being slewed may gain or lose within a few seconds without being
+   * noticed.
+   */
+  private static final Duration MAX_SLEW = Duration.ofMillis(200);
 
   /**
-   * The time from {@code earlier} to this reading, if both were taken in one run of the machine.
+   * Returns the time from {@code earlier} to this reading; empty unless both were taken during one
+   * run of the machine.
    */
   public Optional<Duration> since(ClockReading earlier) {
     Duration steady = Duration.ofNanos(steadyNanos - earlier.steadyNanos);
     Duration wall = Duration.ofMillis(wallMillis - earlier.wallMillis);
-    boolean sameRun = steady.minus(wall).abs().compareTo(SAME) <= 0 && !steady.isNegative();
+    boolean sameRun =
+        steady.minus(wall).abs().compareTo(MAX_READ_SKEW) <= 0 && !steady.isNegative();
     return sameRun ? Optional.of(steady) : Optional.empty();
   }
 
   /**
-   * The time from {@code earlier} to this reading at most, as the time of day says, if the
-   * heartbeats of others bear it out; for a machine that lost power between the two.
+   * Returns an upper bound of the time from {@code earlier} to this reading according to the wall
+   * clock; empty unless the count of heartbeats confirms it. Used if the machine lost power in
+   * between.
    *
-   * <p>A time of day that was set back meanwhile would make the time look shorter, and a successor
-   * would take back tokens that were spent. The heartbeats show it: they go on with time.
+   * <p>If the wall clock was set back in between, the time would look too short, and a successor
+   * process would reclaim tokens that had been spent. The heartbeats reveal such a step because
+   * their count keeps advancing with real time.
    *
    * @param heartbeatsEarlier the count at {@code earlier}
-   * @param heartbeats the count at {@code counted}, which is at or after this reading
+   * @param counted the clocks when {@code heartbeats} was counted, at or after this reading
+   * @param heartbeats the count at {@code counted}
    */
-  Optional<Duration> sinceByTimeOfDay(
+  Optional<Duration> sinceByWallClock(
       ClockReading earlier,
       long heartbeatsEarlier,
       ClockReading counted,
@@ -57,7 +69,7 @@
     boolean borneOut =
         !byHeartbeats.isNegative()
             && byHeartbeats.compareTo(untilCounted.plus(HEARTBEAT_TOLERANCE)) <= 0;
-    Duration since = Duration.ofMillis(wallMillis - earlier.wallMillis).plus(SLEWED);
+    Duration since = Duration.ofMillis(wallMillis - earlier.wallMillis).plus(MAX_SLEW);
     return borneOut && !since.isNegative() ? Optional.of(since) : Optional.empty();
   }
 }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/CustomerAccount.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/CustomerAccount.java
@@ -8,91 +8,98 @@
 import java.util.Optional;
 import java.util.Queue;
 import org.jspecify.annotations.Nullable;
-import org.teaseldeal.decisions.LeaseRelease;
+import org.teaseldeal.decisions.IdleTokenRelease;
 import org.teaseldeal.decisions.PrepaidLease;
 import org.teaseldeal.gateway.log.SharedNote;
 
 /**
- * This instance's part of one customer's total, and what others have said of theirs.
+ * This instance's part of one customer's total, and the newest notes of the other instances about
+ * theirs.
  *
- * <p>Spent, lost and held together never exceed what the newest own note says, so what is on the
- * log bounds what is spent. Only a granted wish raises the sum, and only after a note with a lower
- * sum was written does anyone count on it.
+ * <p>The sum of spent, lost and held tokens never exceeds the sum in this instance's newest note,
+ * so the log is an upper bound of what is spent. The sum rises only when a claim is granted, and
+ * other instances rely on a lower sum only after a note with that lower sum has been written.
  */
 final class CustomerAccount {
-  /** The part of its target below which a lease is worth a note of its own. */
-  private static final double REFILL_BELOW = 0.6;
+  /** Fraction of its target size below which a lease is refilled by a note of its own. */
+  private static final double REFILL_THRESHOLD = 0.6;
 
   private static final Duration NEVER = Duration.ofDays(1);
 
   /**
-   * How old a note may be once tokens were taken. A successor's proof of what was not used must
-   * begin within {@link LeaseRelease}'s bound; each tenth of a second more makes callers wait for
-   * so much longer when a cut begins.
+   * Maximum age of a note after tokens have been taken. A successor's proof of unused tokens has to
+   * begin within {@link IdleTokenRelease}'s bound; each additional 100 ms of age makes callers wait
+   * 100 ms longer at the beginning of a network partition.
    */
-  private static final Duration NOTE_AGE = Duration.ofMillis(200);
+  private static final Duration MAX_USED_NOTE_AGE = Duration.ofMillis(200);
 
   /**
-   * How old a note may be that nothing was taken from.
+   * Maximum age of a note from which no tokens have been taken.
    *
-   * <p>Failure: an instance that gets few requests of a customer writes no note for seconds and
-   * loses power. Symptom: its successor can't tell that from an instance that was cut off from the
-   * log for as long, and writes off what such a one may have used.
+   * <p>An instance that gets few requests of a customer would write no note for seconds. If it then
+   * lost power, its successor could not distinguish this from an instance that had been partitioned
+   * from the log for the same time, and would write off all tokens that such an instance may have
+   * used.
    */
-  private static final Duration UNTOUCHED_NOTE_AGE = Duration.ofMillis(400);
+  private static final Duration MAX_UNUSED_NOTE_AGE = Duration.ofMillis(400);
 
   /**
-   * How old a note may be that shows as used what has come back since.
+   * Maximum age of a note that shows tokens as used that have been returned since.
    *
-   * <p>Failure: a customer's last requests end and use less than they might have; no other request
-   * comes here, so no note is written. Symptom: other instances refuse as unpaid what the total
-   * covers.
+   * <p>When a customer's last requests end, they may have used less than reserved. If no further
+   * request arrived, no note would be written, and other instances would refuse requests as unpaid
+   * although the total covers them.
    */
-  private static final Duration SETTLED_NOTE_AGE = Duration.ofSeconds(1);
+  private static final Duration MAX_SETTLED_NOTE_AGE = Duration.ofSeconds(1);
 
   /**
-   * What part of the total this instance is to hold.
+   * The share of the total that this instance is to hold.
    *
-   * @param held whether it holds any
-   * @param holders among whom the total is divided
+   * @param held whether this instance holds any part
+   * @param holders number of instances among which the total is divided
    */
-  record Part(boolean held, int holders) {}
+  record Share(boolean held, int holders) {}
 
   private final String customer;
-  private final OthersNotes others = new OthersNotes();
+  private final PeerAccounts peerAccounts = new PeerAccounts();
   private final Demand demand = new Demand();
   private final List<WaitingRequest> waiting = new ArrayList<>();
 
-  /** Notes that were written and not read back yet, in order. */
-  private final Queue<SharedNote.Account> unread = new ArrayDeque<>();
+  /** Own notes that have been written but not read back yet, in the order of writing. */
+  private final Queue<SharedNote.Account> unconfirmedNotes = new ArrayDeque<>();
 
   private boolean pastUnknown;
   private long spent;
 
-  /** Held by an earlier process on this machine when it ended. */
-  private long lost;
+  /**
+   * Tokens held by previous processes on this machine when they ended, which have been written off.
+   */
+  private long writtenOff;
 
-  /** From an earlier process, until the heartbeats are known. */
+  /** What was taken over from a previous process, until the count of heartbeats is known. */
   private @Nullable Takeover takeover;
 
   private long reserved;
   private long idle;
 
-  /** Given by other instances and in no note here: it stands as spent in the givers' notes. */
+  /**
+   * Unreserved tokens that other instances have given. No note of this instance contains them; they
+   * count as spent in the notes of the giving instances.
+   */
   private long drawn;
 
-  private long asked;
+  private long claimed;
   private boolean noteDue;
   private boolean closing;
-  private Part part = new Part(true, 1);
+  private Share share = new Share(true, 1);
 
-  private final NotedRelease released = new NotedRelease();
+  private final ReleaseLimit releaseLimit = new ReleaseLimit();
 
-  /** Tokens spent or given to requests, as the newest own note says. */
-  private long inUseDrafted;
+  /** Tokens spent or reserved according to this instance's newest note. */
+  private long inUsePublished;
 
-  /** Whether the newest own note says that requests wait here. */
-  private boolean wantTold;
+  /** Whether this instance's newest note says that requests are waiting here. */
+  private boolean shortfallPublished;
 
   CustomerAccount(String customer) {
     this.customer = customer;
@@ -110,8 +117,8 @@
     return spent;
   }
 
-  long lost() {
-    return lost;
+  long writtenOff() {
+    return writtenOff;
   }
 
   long held() {
@@ -130,13 +137,13 @@
     return Math.round(demand.tokensPerSecond());
   }
 
-  /** Whether no wish is under way, so that its outcome can't serve those who wait. */
-  boolean wishDecided() {
-    return asked == 0;
+  /** Returns whether no claim is pending, so that no claim can serve the waiting requests. */
+  boolean claimDecided() {
+    return claimed == 0;
   }
 
-  OthersNotes others() {
-    return others;
+  PeerAccounts peerAccounts() {
+    return peerAccounts;
   }
 
   Demand demand() {
@@ -144,50 +151,51 @@
   }
 
   /**
-   * Takes over from an earlier process on this machine.
+   * Takes over from a previous process on this machine.
    *
-   * @param started when this process began, so that the other had ended
+   * @param started clocks at the start of this process, when the previous process had already ended
    */
   void takeOver(SharedNote.Account note, ClockReading started) {
-    Takeover begun = Takeover.of(note, started);
-    takeover = begun;
+    Takeover initial = Takeover.of(note, started);
+    takeover = initial;
     spent += note.spent();
-    lost += note.lost() + begun.lost();
+    writtenOff += note.writtenOff() + initial.writtenOff();
     noteDue = true;
   }
 
   /**
-   * Takes back what an earlier process had idle when the machine lost power, if the time of day and
-   * the heartbeats of others agree on how long ago its last note was written.
+   * Reclaims tokens that a previous process had idle when the machine lost power, if the wall clock
+   * and the heartbeats of backend servers agree on how long ago its last note was written.
    *
-   * <p>Failure: all machines lose power, and whatever was idle anywhere, half of what is left of a
-   * total, counts as spent. Symptom: customers are refused for the rest of the day with most of
-   * their total unused.
+   * <p>If all machines lose power, all idle tokens, which can be half of the remaining total, would
+   * count as spent. Customers would then be refused for the rest of the day although most of their
+   * total is unused.
    *
-   * @param started when this process began
-   * @param counted when {@code heartbeats} were counted
-   * @return what was taken over; empty if there was no earlier process
+   * @param started clocks at the start of this process
+   * @param counted clocks when {@code heartbeats} was counted
+   * @return what was taken over; empty if there was no previous process
    */
   Optional<Takeover> recover(
       ClockReading started, ClockReading counted, HeartbeatCount heartbeats) {
-    Takeover begun = takeover;
-    if (begun == null) {
+    Takeover initial = takeover;
+    if (initial == null) {
       return Optional.empty();
     }
     takeover = null;
-    Takeover proved = begun.provedBy(started, counted, heartbeats);
-    lost -= begun.lost() - proved.lost();
+    Takeover updated = initial.withHeartbeats(started, counted, heartbeats);
+    writtenOff -= initial.writtenOff() - updated.writtenOff();
     noteDue = true;
-    return Optional.of(proved);
+    return Optional.of(updated);
   }
 
   /**
-   * Takes note that what earlier processes on this machine spent can't be read.
+   * Records that the note of previous processes on this machine can't be read.
    *
-   * <p>Failure: a process that began anew from nothing would write that nothing was spent, and all
-   * would count by it. So it gives nothing out for as long as it runs, and writes no note.
+   * <p>A process that started from zero would write that nothing was spent, and all other instances
+   * would rely on it. Therefore this process gives out no tokens of the customer and writes no note
+   * as long as it runs.
    */
-  void doubtPast() {
+  void markPastUnknown() {
     pastUnknown = true;
   }
 
@@ -195,59 +203,66 @@
     return pastUnknown;
   }
 
-  /** Has a note written again: another writer's stands in its place. */
+  /** Causes this instance's note to be written again because a foreign note has replaced it. */
   void renewNote() {
     noteDue = true;
   }
 
-  /** Whether a note of this instance is one that it wrote, and not another writer's. */
-  boolean isOwn(SharedNote.Account note) {
-    if (!unread.contains(note)) {
+  /** Returns whether a note under this instance's key was written by this instance. */
+  boolean wroteNote(SharedNote.Account note) {
+    if (!unconfirmedNotes.contains(note)) {
       return false;
     }
-    while (!note.equals(unread.poll())) {
-      // Replaced before it was read.
+    while (!note.equals(unconfirmedNotes.poll())) {
+      // Earlier notes were replaced before they could be read.
     }
     return true;
   }
 
-  /** Called when all notes were read anew, those written here among them. */
-  void allRead() {
-    unread.clear();
+  /** Called when all notes have been loaded again, including those written by this instance. */
+  void onAllLoaded() {
+    unconfirmedNotes.clear();
   }
 
-  long takenByAll() {
-    return Saturated.sum(others.taken(), spent, lost, held());
+  long takenByFleet() {
+    return SaturatingSum.of(peerAccounts.taken(), spent, writtenOff, held());
   }
 
-  /** Tokens that nobody has, as far as it is known what everybody has. */
+  /**
+   * Returns the tokens that no instance has; 0 as long as the holdings of some instance are
+   * unknown.
+   */
   private long free(long total) {
-    return others.known() && !pastUnknown ? Math.max(0, total - takenByAll()) : 0;
+    return peerAccounts.allKnown() && !pastUnknown ? Math.max(0, total - takenByFleet()) : 0;
   }
 
-  /** Whether the total may cover a request, counting as free what is idle or lost anywhere. */
+  /** Returns whether the total may cover a request if all idle and lost tokens count as free. */
   boolean mayCover(long tokens, long total) {
-    return tokens <= total - spent - reserved - others.inUse() + drawn;
+    return tokens <= total - spent - reserved - peerAccounts.inUse() + drawn;
   }
 
-  /** Whether instances hold so little between them that the request could be granted. */
+  /** Returns whether the request could be granted if all instances returned their idle tokens. */
   boolean couldBeGranted(long tokens, long total) {
-    return mayCover(tokens + lost + others.lost(), total);
+    return mayCover(tokens + writtenOff + peerAccounts.writtenOff(), total);
   }
 
-  /** Called when the note that was being written is on the log: what it promises may be used. */
-  void written(long total, Instant now) {
-    released.written();
+  /**
+   * Called when the pending note is on the log, so that the tokens that it releases may be used.
+   */
+  void onWritten(long total, Instant now) {
+    releaseLimit.confirmPending();
     serveWaiting(total, now);
   }
 
-  /** Called when the note with the wish was read back: all that came before it is known. */
-  void decideWish(long total, Instant now) {
-    long wish = asked;
-    asked = 0;
-    if (wish > 0) {
-      if (wish <= free(total)) {
-        idle += wish;
+  /**
+   * Called when the note with the claim has been read back, so that all earlier notes are known.
+   */
+  void decideClaim(long total, Instant now) {
+    long claim = claimed;
+    claimed = 0;
+    if (claim > 0) {
+      if (claim <= free(total)) {
+        idle += claim;
       } else {
         noteDue = true;
       }
@@ -257,24 +272,25 @@
 
   void serveWaiting(long total, Instant now) {
     for (WaitingRequest request : List.copyOf(waiting)) {
-      // One that is served may settle at once, and so have others served before this look is over.
-      if (atHand(request, total, now) && waiting.remove(request)) {
+      // A request that gets its tokens may settle at once and thereby cause others to be served
+      // before this loop ends.
+      if (isAvailable(request, total, now) && waiting.remove(request)) {
         give(request);
       }
     }
   }
 
-  /** Gives a request its tokens if they are at hand. */
+  /** Reserves the tokens of a request if they are available; returns whether it did. */
   boolean take(WaitingRequest request, long total, Instant now) {
-    if (!atHand(request, total, now)) {
+    if (!isAvailable(request, total, now)) {
       return false;
     }
     give(request);
     return true;
   }
 
-  private boolean atHand(WaitingRequest request, long total, Instant now) {
-    return request.tokens() - Math.min(drawn, request.tokens()) <= ownAtHand(total, now);
+  private boolean isAvailable(WaitingRequest request, long total, Instant now) {
+    return request.tokens() - Math.min(drawn, request.tokens()) <= availableOwn(total, now);
   }
 
   private void give(WaitingRequest request) {
@@ -286,7 +302,9 @@
     request.listener().onReserved(new Reservation(customer, request.tokens(), fromDrawn));
   }
 
-  /** Gives a request its tokens if other instances have given as many. */
+  /**
+   * Reserves tokens for a request if other instances have given as many; returns whether it did.
+   */
   boolean takeDrawn(long tokens, ReservationListener listener) {
     if (tokens > drawn) {
       return false;
@@ -299,34 +317,36 @@
   /**
    * Gives another instance up to {@code wanted} tokens, which count as spent here from now on.
    *
-   * <p>Failure: the giver is killed, and its successor takes back what the last note shows as idle.
-   * Symptom, if more were given than that note lets the giver use: the same tokens are given out
-   * twice. So a gift is bound by the notes as a request of its own is.
+   * <p>If this process is killed, its successor reclaims the tokens that the last note shows as
+   * idle. If this process had given away more than that note allows it to use, the same tokens
+   * would be given out twice. Therefore the notes limit tokens for other instances in the same way
+   * as tokens for own requests.
    */
   long give(long wanted, long total, Instant now) {
     if (!waiting.isEmpty()) {
       return 0;
     }
-    long given = Math.min(wanted, ownAtHand(total, now));
+    long given = Math.min(wanted, availableOwn(total, now));
     useIdle(given);
     spent += given;
     return given;
   }
 
-  /** Takes in what another instance has given. */
-  void receive(long tokens) {
+  /** Adds tokens that another instance has given. */
+  void addDrawn(long tokens) {
     drawn += tokens;
   }
 
-  long takeOutDrawn() {
+  long removeDrawn() {
     long taken = drawn;
     drawn = 0;
     return taken;
   }
 
   /**
-   * Takes back what another instance was given and hasn't used. Some holder has counted it as
-   * spent; where that was another one, both count right together.
+   * Takes back tokens that another instance was given and has not used. Some holder has counted
+   * them as spent; if it was another holder than this instance, the sum of both accounts is still
+   * correct.
    */
   void takeBack(long tokens) {
     long back = Math.min(tokens, spent);
@@ -335,73 +355,87 @@
   }
 
   private void useIdle(long tokens) {
-    released.take(tokens);
+    releaseLimit.take(tokens);
     idle -= tokens;
   }
 
-  /** Idle tokens that may be used now. */
-  private long ownAtHand(long total, Instant now) {
-    return Math.max(0, Math.min(usable(total), released.left(now)));
+  /** Returns the idle tokens that may be used now. */
+  private long availableOwn(long total, Instant now) {
+    return Math.max(0, Math.min(usable(total), releaseLimit.available(now)));
   }
 
-  /** Idle tokens that may be used; fewer after the total was lowered below what is out. */
+  /**
+   * Returns the idle tokens that may be used at all; fewer than idle if the total was lowered below
+   * what has been given out.
+   */
   private long usable(long total) {
-    return idle - Math.max(0, takenByAll() - total);
+    return idle - Math.max(0, takenByFleet() - total);
   }
 
-  /** When {@code tokens} can be taken without the log, at the latest; very long if never. */
+  /**
+   * Returns the longest time until {@code tokens} can be taken without the log; {@link #NEVER} if
+   * they can't.
+   */
   Duration untilReleased(long tokens, long total, Instant now) {
     long own = Math.max(0, tokens - drawn);
     if (own > usable(total)) {
       return NEVER;
     }
-    return released.until(own, now);
+    return releaseLimit.untilAvailable(own, now);
   }
 
-  /** Counts what was used, first of the part that another instance has given. */
+  /** Counts the used tokens, first out of the part that other instances have given. */
   void settle(Reservation reservation, long used) {
     long ofDrawn = Math.min(used, reservation.drawn());
     long ofOwn = used - ofDrawn;
     drawn += reservation.drawn() - ofDrawn;
-    reserved -= reservation.own();
+    reserved -= reservation.ownTokens();
     spent += ofOwn;
-    idle += reservation.own() - ofOwn;
+    idle += reservation.ownTokens() - ofOwn;
   }
 
   /**
-   * Takes what is left of others' tokens into the own account, in place of own ones that were
-   * spent: the sum that the next note tells stays as it was.
+   * Moves unused tokens that other instances gave into this instance's account, in exchange for own
+   * tokens that were spent. The sum in the next note stays the same.
    *
-   * <p>Failure: what stands in no note is lost when this process ends. Symptom: each cut would cost
-   * the customer what was drawn in it and not used.
+   * <p>Tokens that are in no note are lost when this process ends. Without this exchange, each
+   * network partition would cost the customer the tokens that were given to other instances and not
+   * used.
    */
-  private void takeInDrawn() {
-    long taken = drawnToTakeIn();
+  private void absorbDrawn() {
+    long taken = absorbableDrawn();
     drawn -= taken;
     spent -= taken;
     idle += taken;
   }
 
-  /** An instance that holds nothing gives such tokens back to holders instead. */
-  private long drawnToTakeIn() {
-    return part.held() || closing ? Math.min(drawn, spent) : 0;
+  /**
+   * Returns the tokens to move into the account; 0 if this instance holds no part, since it then
+   * returns such tokens to holders.
+   */
+  private long absorbableDrawn() {
+    return share.held() || closing ? Math.min(drawn, spent) : 0;
   }
 
-  /** Tokens that waiting requests lack beyond what is at hand for them now. */
-  long lack(long total, Instant now) {
-    return Math.max(0, wantedInAll() - drawn - ownAtHand(total, now));
+  /** Returns the tokens that waiting requests lack beyond those available to them now. */
+  long missingTokens(long total, Instant now) {
+    return Math.max(0, waitingTokens() - drawn - availableOwn(total, now));
   }
 
-  /** Whether a request would be served if others gave all that they have idle. */
-  boolean coveredWithOthers(long tokens) {
-    return tokens <= Saturated.sum(drawn, idle, others.idle());
+  /** Returns whether the request could be served if all other instances gave their idle tokens. */
+  boolean coveredWithPeers(long tokens) {
+    return tokens <= SaturatingSum.of(drawn, idle, peerAccounts.idle());
   }
 
-  /** The note to write now, if one is due; {@code refill} allows those that could wait. */
+  /**
+   * Returns the note to write now, if one is due.
+   *
+   * @param refill whether notes may be written that are not urgent
+   */
   Optional<SharedNote> nextNote(
       String instance,
       long total,
-      Part present,
+      Share currentShare,
       boolean refill,
       ClockReading reading,
       long heartbeats,
@@ -409,83 +443,96 @@
     if (pastUnknown) {
       return Optional.empty();
     }
-    part = present;
+    share = currentShare;
     long remaining = free(total);
-    long target = keepsNothing() ? 0 : target(total);
-    long wish = waitingThatFits(remaining);
-    boolean urgent = wish > 0 || waits(total, now);
-    boolean scarce = othersLack(remaining) > 0;
+    long target = holdsNone() ? 0 : target(total);
+    long claim = claimForWaiting(remaining);
+    boolean urgent = claim > 0 || awaitsRelease(total, now);
+    boolean scarce = unmetElsewhere(remaining) > 0;
     long surplus = surplus(remaining);
-    boolean low = remaining > 0 && idle < target * REFILL_BELOW && !scarce;
-    boolean told = wanted() > 0 == wantTold && drawnToTakeIn() == 0;
-    boolean optional = noteDue || low || surplus > 0 || !told || stale(now);
+    boolean low = remaining > 0 && idle < target * REFILL_THRESHOLD && !scarce;
+    boolean published = shortfall() > 0 == shortfallPublished && absorbableDrawn() == 0;
+    boolean optional = noteDue || low || surplus > 0 || !published || noteOutdated(now);
     if (!urgent && !(refill && optional)) {
       return Optional.empty();
     }
     if (!scarce) {
-      wish = Math.max(wish, Math.min(target - idle, remaining));
+      claim = Math.max(claim, Math.min(target - idle, remaining));
     }
     idle -= surplus;
-    asked = wish;
+    claimed = claim;
     return Optional.of(compose(instance, total, reading, heartbeats, now));
   }
 
   /**
-   * A note that only renews what the last one said, to go along with others; empty if the last one
-   * is fresh, or nothing is idle. An idle token of an old note may have been used as far as a
-   * successor knows, so without it a kill would lose the leases of customers who send little.
+   * Returns a note that only refreshes the last one, to be written together with other notes; empty
+   * if the last one is recent or no tokens are idle. A successor has to assume that idle tokens of
+   * an old note have been used, so without the refresh, a kill would lose the leases of customers
+   * who send few requests.
    */
   Optional<SharedNote> renewal(
       String instance, long total, ClockReading reading, long heartbeats, Instant now) {
-    boolean fresh = !now.isAfter(released.drafted().at().plus(NOTE_AGE));
+    boolean fresh = !now.isAfter(releaseLimit.pending().composedAt().plus(MAX_USED_NOTE_AGE));
     return idle == 0 || fresh
         ? Optional.empty()
         : Optional.of(compose(instance, total, reading, heartbeats, now));
   }
 
-  private boolean keepsNothing() {
-    return closing || !part.held();
+  private boolean holdsNone() {
+    return closing || !share.held();
   }
 
   private long target(long total) {
-    return new PrepaidLease(total, pool(total), part.holders())
-        .target(demand.tokensPerSecond(), rateOfAll(), demand.largest());
+    return new PrepaidLease(total, unreserved(total), share.holders())
+        .target(demand.tokensPerSecond(), fleetTokensPerSecond(), demand.largest());
   }
 
-  /** Tokens that are neither spent nor given to requests, as far as is known. */
-  private long pool(long total) {
-    return Saturated.sum(free(total), idle, others.idle());
+  /** Returns the tokens that are neither spent nor reserved, as far as known. */
+  private long unreserved(long total) {
+    return SaturatingSum.of(free(total), idle, peerAccounts.idle());
   }
 
-  private double rateOfAll() {
-    return demand.tokensPerSecond() + others.tokensPerSecond();
+  private double fleetTokensPerSecond() {
+    return demand.tokensPerSecond() + peerAccounts.tokensPerSecond();
   }
 
-  /** Whether a request waits only because its tokens haven't been promised on the log. */
-  private boolean waits(long total, Instant now) {
+  /**
+   * Returns whether the oldest request waits only because its tokens have not been released by a
+   * note on the log.
+   */
+  private boolean awaitsRelease(long total, Instant now) {
     if (waiting.isEmpty()) {
       return false;
     }
     long own = waiting.getFirst().tokens() - drawn;
-    return own <= idle && own > ownAtHand(total, now);
+    return own <= idle && own > availableOwn(total, now);
   }
 
-  /** Idle tokens to give back: what requests that wait elsewhere lack, or all at the end. */
+  /**
+   * Returns the idle tokens to return: those that requests waiting at other instances lack, or all
+   * if this instance is to hold none.
+   */
   private long surplus(long remaining) {
     if (!waiting.isEmpty()) {
       return 0;
     }
-    return keepsNothing() ? idle : Math.min(idle, othersLack(remaining));
+    return holdsNone() ? idle : Math.min(idle, unmetElsewhere(remaining));
   }
 
-  private boolean stale(Instant now) {
-    boolean changed = released.taken() > 0 || (closing && released.noted().held() != held());
-    boolean old = changed && now.isAfter(released.noted().at().plus(NOTE_AGE));
-    boolean settled = inUse() != inUseDrafted;
-    Promise drafted = released.drafted();
-    boolean unproved =
-        drafted.rest().sealed() > 0 && now.isAfter(drafted.at().plus(UNTOUCHED_NOTE_AGE));
-    return old || unproved || (settled && now.isAfter(drafted.at().plus(SETTLED_NOTE_AGE)));
+  private boolean noteOutdated(Instant now) {
+    boolean changed =
+        releaseLimit.takenSinceConfirmed() > 0
+            || (closing && releaseLimit.confirmed().held() != held());
+    boolean old =
+        changed && now.isAfter(releaseLimit.confirmed().composedAt().plus(MAX_USED_NOTE_AGE));
+    boolean settled = inUse() != inUsePublished;
+    PublishedRelease pending = releaseLimit.pending();
+    boolean unrefreshed =
+        pending.delayed().delayed() > 0
+            && now.isAfter(pending.composedAt().plus(MAX_UNUSED_NOTE_AGE));
+    return old
+        || unrefreshed
+        || (settled && now.isAfter(pending.composedAt().plus(MAX_SETTLED_NOTE_AGE)));
   }
 
   private long inUse() {
@@ -495,71 +542,84 @@
   private SharedNote compose(
       String instance, long total, ClockReading reading, long heartbeats, Instant now) {
     noteDue = false;
-    takeInDrawn();
-    inUseDrafted = inUse();
-    wantTold = wanted() > 0;
-    long atOnce = LeaseRelease.atOnce(demand.tokensPerSecond(), rateOfAll(), pool(total));
-    long promised = Math.min(idle + asked, wantedInAll() + atOnce);
-    long sealed = idle + asked - promised;
-    long pace = LeaseRelease.pace(idle + asked, demand.tokensPerSecond(), demand.largest());
-    released.draft(new Promise(now, held(), promised, new LeaseRelease(sealed, pace)));
+    absorbDrawn();
+    inUsePublished = inUse();
+    shortfallPublished = shortfall() > 0;
+    long immediateByDemand =
+        IdleTokenRelease.immediate(
+            demand.tokensPerSecond(), fleetTokensPerSecond(), unreserved(total));
+    long immediate = Math.min(idle + claimed, waitingTokens() + immediateByDemand);
+    long delayed = idle + claimed - immediate;
+    long releasedPerSecond =
+        IdleTokenRelease.releasedPerSecond(
+            idle + claimed, demand.tokensPerSecond(), demand.largest());
+    releaseLimit.recordPending(
+        new PublishedRelease(
+            now, held(), immediate, new IdleTokenRelease(delayed, releasedPerSecond)));
     SharedNote.Account note =
         new SharedNote.Account(
             instance,
             customer,
             spent,
-            lost,
+            writtenOff,
             held(),
             idle,
-            asked,
-            wanted(),
-            promised,
-            pace,
+            claimed,
+            shortfall(),
+            immediate,
+            releasedPerSecond,
             tokensPerSecond(),
             reading.steadyNanos(),
             reading.wallMillis(),
             heartbeats);
-    unread.add(note);
+    unconfirmedNotes.add(note);
     return note;
   }
 
   /**
-   * What requests that wait at other instances lack and nobody can be granted.
+   * Returns the tokens that requests waiting at other instances lack and that can't be granted from
+   * the free part of the total.
    *
-   * <p>Failure: an instance gave back all that it had idle whenever a request waited anywhere, also
-   * one that was about to be granted its tokens out of what remained. Symptom: a cut in that moment
-   * found all leases empty, and nine in ten callers were refused until it ended.
+   * <p>If an instance returned all idle tokens whenever a request waited anywhere, including
+   * requests that were about to be granted tokens from the free part, a network partition at that
+   * moment would find all leases empty, and nine in ten callers would be refused until it ended.
    */
-  private long othersLack(long remaining) {
-    return Math.max(0, others.lacking() - remaining);
+  private long unmetElsewhere(long remaining) {
+    return Math.max(0, peerAccounts.shortfall() - remaining);
   }
 
-  /** What the waiting requests lack. */
-  private long wanted() {
-    return Math.max(0, wantedInAll() - idle - drawn);
+  /** Returns the tokens that the requests waiting here lack. */
+  private long shortfall() {
+    return Math.max(0, waitingTokens() - idle - drawn);
   }
 
-  private long wantedInAll() {
+  private long waitingTokens() {
     return waiting.stream().mapToLong(WaitingRequest::tokens).sum();
   }
 
-  /** Keeps nothing idle from now on. */
+  /** Stops keeping idle tokens. */
   void close() {
     closing = true;
   }
 
-  /** Whether requests wait here, or the log doesn't say yet that nothing is held. */
+  /**
+   * Returns whether requests wait here or the log does not yet say that this instance holds
+   * nothing.
+   */
   boolean needsLog() {
-    return !waiting.isEmpty() || noteDue || asked > 0 || !returned();
+    return !waiting.isEmpty() || noteDue || claimed > 0 || !returned();
   }
 
-  /** Whether nothing is held here, and the log says so. */
+  /** Returns whether this instance holds no tokens and the log says so. */
   boolean returned() {
-    return held() == 0 && released.noted().held() == 0 && drawnToTakeIn() == 0;
+    return held() == 0 && releaseLimit.confirmed().held() == 0 && absorbableDrawn() == 0;
   }
 
-  /** What to ask for so that as many as fit can go, the oldest first. */
-  private long waitingThatFits(long remaining) {
+  /**
+   * Returns the tokens to claim so that as many waiting requests as possible can be served, the
+   * oldest first.
+   */
+  private long claimForWaiting(long remaining) {
     long fits = 0;
     for (WaitingRequest request : waiting) {
       if (fits + request.tokens() <= idle + drawn + remaining) {
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/Demand.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/Demand.java
@@ -1,33 +1,42 @@
 package org.teaseldeal.gateway.account;
 
-/** How fast a customer's requests at this instance set tokens aside, and how large they are. */
+/**
+ * Tracks the rate at which a customer's requests at this instance reserve tokens, and the size of
+ * the largest ones.
+ */
 final class Demand {
-  /** Followed over about this many periods: a light customer sends a request every few. */
-  private static final int PERIODS = 8;
+  /**
+   * Number of one-second periods over which the rate is averaged. A customer with little traffic
+   * sends a request only every few periods.
+   */
+  private static final int AVERAGED_PERIODS = 8;
 
-  private long sinceLast;
+  private long tokensSinceUpdate;
   private long largest;
   private int periods;
   private double tokensPerSecond;
 
   void add(long tokens) {
-    sinceLast += tokens;
+    tokensSinceUpdate += tokens;
     largest = Math.max(tokens, largest);
   }
 
-  /** Called once a second. */
-  void follow() {
-    periods = Math.min(periods + 1, PERIODS);
-    tokensPerSecond += (sinceLast - tokensPerSecond) / periods;
-    sinceLast = 0;
-    largest -= largest / PERIODS;
+  /** Updates the averages; called once a second. */
+  void update() {
+    periods = Math.min(periods + 1, AVERAGED_PERIODS);
+    tokensPerSecond += (tokensSinceUpdate - tokensPerSecond) / periods;
+    tokensSinceUpdate = 0;
+    largest -= largest / AVERAGED_PERIODS;
   }
 
   double tokensPerSecond() {
     return tokensPerSecond;
   }
 
-  /** The largest of recent requests; falls by an eighth a second. */
+  /**
+   * Returns the size of the largest recent request in tokens; the value decays by an eighth per
+   * second.
+   */
   long largest() {
     return largest;
   }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/DrawPort.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/DrawPort.java
@@ -3,13 +3,14 @@
 import java.util.OptionalLong;
 import java.util.function.Consumer;
 
-/** Asks another instance for tokens that it has idle. */
+/** Requests idle tokens from another instance. */
 @FunctionalInterface
 public interface DrawPort {
   /**
-   * Asks {@code instance} for up to {@code tokens} of a customer.
+   * Requests up to {@code tokens} of a customer from {@code instance}.
    *
-   * @param given is told once how many it gave; empty if it can't be reached
+   * @param given called once with the number of tokens that the instance gave; empty if the
+   *     instance could not be reached
    */
   void draw(String instance, String customer, long tokens, Consumer<OptionalLong> given);
 }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/HeartbeatCount.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/HeartbeatCount.java
@@ -4,11 +4,12 @@
 import org.teaseldeal.api.Preconditions;
 
 /**
- * Heartbeats of all backend servers on their list: a rough clock outside this machine, which goes
- * on while the machine has no power.
+ * Total number of heartbeats received from all listed backend servers.
  *
- * @param count of all so far
- * @param perSecond at which they come now
+ * <p>The count serves as a rough clock that keeps running while this machine has no power.
+ *
+ * @param count number of heartbeats received so far
+ * @param perSecond current rate of heartbeats per second, greater than 0
  */
 public record HeartbeatCount(long count, double perSecond) {
   public HeartbeatCount {
@@ -17,7 +18,7 @@
         perSecond > 0, "heartbeats per second were %s, expected more than 0".formatted(perSecond));
   }
 
-  /** About how long ago the count was {@code earlier}. */
+  /** Returns the approximate time that has passed since the count was {@code earlier}. */
   Duration since(long earlier) {
     return Duration.ofMillis((long) ((count - earlier) * 1000.0 / perSecond));
   }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/HolderPort.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/HolderPort.java
@@ -5,13 +5,18 @@
 import org.teaseldeal.api.Preconditions;
 import org.teaseldeal.api.Problem;
 
-/** Asks instances that hold parts of a customer's total for tokens, and gives back what is left. */
+/**
+ * Requests tokens from instances that hold a part of a customer's total (holders), and returns
+ * unused tokens to them.
+ */
 public interface HolderPort {
   /**
-   * The tokens of one request.
+   * A request for the tokens of one caller's request.
    *
-   * @param patience how long the request may wait for them at the holder
-   * @param deadline how long the request's answer is of use
+   * @param customer the customer whose total the tokens come from
+   * @param tokens number of tokens, greater than 0
+   * @param patience how long the request may wait for the tokens at the holder
+   * @param deadline how long the answer is of use to the caller
    */
   record Ask(String customer, long tokens, Duration patience, Duration deadline) {
     public Ask {
@@ -20,28 +25,28 @@
     }
   }
 
-  /** What a holder says. */
+  /** The outcome of a request to a holder. */
   sealed interface Answer {
-    /** It has counted the tokens as spent; the asker may use them. */
+    /** The holder has counted the tokens as spent; the requesting instance may use them. */
     record Granted() implements Answer {}
 
-    /** The request can't have them. */
+    /** The holder has refused the tokens. */
     record Refused(Problem problem) implements Answer {}
 
-    /** Nothing is known; if the tokens were given, they are lost. */
+    /** The outcome is unknown; if the holder gave the tokens, they are lost. */
     record Unreachable(String detail) implements Answer {}
   }
 
   /**
-   * Asks {@code holder} for tokens.
+   * Requests tokens from {@code holder}.
    *
-   * @param answer is told once, soon after the ask's patience at the latest
+   * @param answer called once, at the latest shortly after the request's maximum wait has passed
    */
   void ask(String holder, Ask ask, Consumer<Answer> answer);
 
   /**
-   * Gives tokens back that a holder gave and no request has used. It is told once: if that doesn't
-   * arrive they are lost, and can't be used twice.
+   * Returns tokens that a holder gave and no request has used. The message is sent only once: if it
+   * is lost, the tokens are lost too, but they can't be used twice.
    */
   void giveBack(String holder, String customer, long tokens);
 }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/Reservation.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/Reservation.java
@@ -3,12 +3,15 @@
 import org.teaseldeal.api.Preconditions;
 
 /**
- * Tokens set aside for one request at its largest.
+ * Tokens reserved for one request, sized for the largest number of tokens that the request can use.
  *
- * @param drawn the part of them that another instance has given, which stands in its account
+ * @param customer the customer whose prepaid total the tokens come from
+ * @param tokens number of reserved tokens
+ * @param drawn the part of {@code tokens} that came from another instance, whose account already
+ *     counts it as spent
  */
 public record Reservation(String customer, long tokens, long drawn) {
-  /** For a request that draws on no total. */
+  /** The empty reservation of a request whose customer has no prepaid total. */
   public static final Reservation NONE = new Reservation("", 0, 0);
 
   public Reservation {
@@ -17,8 +20,8 @@
         drawn <= tokens, "drawn tokens were %d, expected at most %d".formatted(drawn, tokens));
   }
 
-  /** The part that stands in the account of the instance that set it aside. */
-  long own() {
+  /** Returns the part of the reservation that is held in the account of the reserving instance. */
+  long ownTokens() {
     return tokens - drawn;
   }
 }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/ReservationListener.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/ReservationListener.java
@@ -2,11 +2,13 @@
 
 import org.teaseldeal.api.Problem;
 
-/** Is told once what became of a wish for tokens. */
+/** Receives the outcome of one token request; exactly one of the methods is called, once. */
 public interface ReservationListener {
-  /** The tokens are the request's; they have to be settled. */
+  /**
+   * Called when the tokens have been reserved. The listener has to settle the reservation later.
+   */
   void onReserved(Reservation reservation);
 
-  /** The request can't have them. */
+  /** Called when the tokens can't be reserved. */
   void onRefused(Problem problem);
 }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/TokenDraws.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/TokenDraws.java
@@ -15,10 +15,12 @@
 import org.teaseldeal.gateway.event.GatewayEvent;
 
 /**
- * Draws on other instances' idle tokens for requests that the log hasn't served in time.
+ * Obtains idle tokens from peers for requests that have not been granted tokens through the log in
+ * time.
  *
- * <p>The giver counts what it gives as spent, within what its own notes let it use, and tells it
- * once. So it needs no note, and an answer that is lost loses tokens and never doubles them.
+ * <p>The giving instance counts the given tokens as spent, within the limit that its own published
+ * notes allow, and sends its answer once. Therefore no note is needed for the transfer. A lost
+ * answer loses the tokens but never lets both instances use them.
  */
 public final class TokenDraws {
   private final AccountBook accounts;
@@ -26,11 +28,11 @@
   private final EventSink events;
   private final InstantSource clock;
   private final RandomGenerator random;
-  private final Set<String> drawing = new HashSet<>();
+  private final Set<String> customersInRound = new HashSet<>();
   private final Map<String, Instant> nextRounds = new HashMap<>();
   private final Map<String, Instant> unreachableUntil = new HashMap<>();
 
-  /** Creates draws for the requests of {@code accounts}. */
+  /** Creates an instance that obtains tokens for the waiting requests of {@code accounts}. */
   public TokenDraws(
       AccountBook accounts,
       DrawPort port,
@@ -44,15 +46,15 @@
     this.random = random;
   }
 
-  /** Begins a round of asking for each customer whose requests have waited too long. */
+  /** Starts a round of requests to peers for each customer whose requests have waited too long. */
   public void tick() {
     Instant now = clock.instant();
-    for (String customer : accounts.lacking(now.minus(DrawOrder.ASK_AFTER))) {
-      boolean pauses = now.isBefore(nextRounds.getOrDefault(customer, Instant.MIN));
-      if (!pauses && drawing.add(customer)) {
-        Map<String, Long> idle = accounts.idleElsewhere(customer);
+    for (String customer : accounts.customersWaitingSince(now.minus(DrawOrder.FIRST_ROUND_DELAY))) {
+      boolean pausing = now.isBefore(nextRounds.getOrDefault(customer, Instant.MIN));
+      if (!pausing && customersInRound.add(customer)) {
+        Map<String, Long> idle = accounts.idleByPeer(customer);
         idle.keySet().removeIf(instance -> unreachable(instance, now));
-        new Round(customer, DrawOrder.of(idle, random).iterator()).next();
+        new Round(customer, DrawOrder.peersToAsk(idle, random).iterator()).askNext();
       }
     }
   }
@@ -61,43 +63,46 @@
     return now.isBefore(unreachableUntil.getOrDefault(instance, Instant.MIN));
   }
 
-  /** One round of asking; each instance is asked for what is lacking by then. */
+  /**
+   * One round in which the peers are asked one after the other, each for the number of tokens that
+   * is still missing by then.
+   */
   private final class Round {
     private final String customer;
-    private final Iterator<String> instances;
-    private final Instant began = clock.instant();
+    private final Iterator<String> remainingInstances;
+    private final Instant startedAt = clock.instant();
     private long gained;
 
     Round(String customer, Iterator<String> instances) {
       this.customer = customer;
-      this.instances = instances;
+      this.remainingInstances = instances;
     }
 
-    void next() {
-      long lacks = accounts.lack(customer);
-      if (lacks == 0 || !instances.hasNext()) {
+    void askNext() {
+      long missing = accounts.shortfall(customer);
+      if (missing == 0 || !remainingInstances.hasNext()) {
         end();
         return;
       }
-      String instance = instances.next();
-      port.draw(instance, customer, lacks, given -> onGiven(instance, given));
+      String instance = remainingInstances.next();
+      port.draw(instance, customer, missing, given -> onGiven(instance, given));
     }
 
     private void onGiven(String instance, OptionalLong given) {
       if (given.isEmpty()) {
-        unreachableUntil.put(instance, clock.instant().plus(DrawOrder.UNREACHABLE_PAUSE));
+        unreachableUntil.put(instance, clock.instant().plus(DrawOrder.UNREACHABLE_SKIP_TIME));
       } else if (given.getAsLong() > 0) {
         gained += given.getAsLong();
-        accounts.receive(customer, given.getAsLong());
+        accounts.addDrawn(customer, given.getAsLong());
       }
-      next();
+      askNext();
     }
 
     private void end() {
-      drawing.remove(customer);
-      nextRounds.put(customer, clock.instant().plus(DrawOrder.ROUND_PAUSE));
+      customersInRound.remove(customer);
+      nextRounds.put(customer, clock.instant().plus(DrawOrder.ROUND_INTERVAL));
       if (gained > 0) {
-        Duration took = Duration.between(began, clock.instant());
+        Duration took = Duration.between(startedAt, clock.instant());
         events.accept(new GatewayEvent.TokensDrawn(customer, gained, took));
       }
     }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/TokenHolders.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/TokenHolders.java
@@ -7,68 +7,73 @@
 import java.util.function.Supplier;
 import org.teaseldeal.decisions.TokenHolderChoice;
 
-/** The holders of each customer's total, as the fleet is known now. */
+/**
+ * Determines which instances hold parts of each customer's total, according to the current fleet.
+ */
 public final class TokenHolders {
   /**
-   * One customer's holders.
+   * The holders of one customer's total.
    *
-   * @param others in the order in which this instance asks them
+   * @param includesSelf whether this instance is one of them
+   * @param count number of holders
+   * @param others the other holders, in the order in which this instance asks them
    */
-  private record Holders(boolean own, int count, List<String> others) {}
+  private record Holders(boolean includesSelf, int count, List<String> others) {}
 
   private final String instance;
   private final Supplier<Set<String>> fleet;
   private final Map<String, Holders> byCustomer = new HashMap<>();
-  private Set<String> known = Set.of();
-  private Set<String> ofAny = Set.of();
+  private Set<String> knownFleet = Set.of();
+  private Set<String> holdersOfAnyCustomer = Set.of();
 
   /**
-   * Creates the holders as {@code instance} sees them.
+   * Creates the view of {@code instance}.
    *
-   * @param fleet the names of all instances; an unmodifiable set, another one after each change
+   * @param fleet supplies the names of all instances as an unmodifiable set; a change of the fleet
+   *     must yield a different set object
    */
   public TokenHolders(String instance, Supplier<Set<String>> fleet) {
     this.instance = instance;
     this.fleet = fleet;
   }
 
-  /** Whether this instance holds parts of any customers' totals, now or once there are such. */
+  /** Returns whether this instance is a holder for any customers, whether or not they exist yet. */
   boolean holdsAny() {
-    follow();
-    return ofAny.contains(instance);
+    refresh();
+    return holdersOfAnyCustomer.contains(instance);
   }
 
-  /** Whether this instance holds a part of the customer's total. */
+  /** Returns whether this instance holds a part of the customer's total. */
   boolean holds(String customer) {
-    return of(customer).own();
+    return holdersOf(customer).includesSelf();
   }
 
-  /** Among how many the customer's total is divided. */
+  /** Returns the number of instances among which the customer's total is divided. */
   int count(String customer) {
-    return of(customer).count();
+    return holdersOf(customer).count();
   }
 
-  /** The other holders of the customer's total, in the order to ask them. */
-  List<String> others(String customer) {
-    return of(customer).others();
+  /** Returns the other holders of the customer's total in the order in which to ask them. */
+  List<String> otherHolders(String customer) {
+    return holdersOf(customer).others();
   }
 
-  private Holders of(String customer) {
-    follow();
+  private Holders holdersOf(String customer) {
+    refresh();
     return byCustomer.computeIfAbsent(customer, this::choose);
   }
 
-  private void follow() {
-    Set<String> now = fleet.get();
-    if (now != known) {
-      known = now;
+  private void refresh() {
+    Set<String> current = fleet.get();
+    if (current != knownFleet) {
+      knownFleet = current;
       byCustomer.clear();
-      ofAny = TokenHolderChoice.ofAny(now);
+      holdersOfAnyCustomer = TokenHolderChoice.ofAny(current);
     }
   }
 
   private Holders choose(String customer) {
-    Set<String> holders = TokenHolderChoice.of(customer, known);
+    Set<String> holders = TokenHolderChoice.of(customer, knownFleet);
     List<String> others =
         TokenHolderChoice.order(instance, holders).stream()
             .filter(each -> !each.equals(instance))
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/TokenRequests.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/TokenRequests.java
@@ -16,158 +16,170 @@
 import org.teaseldeal.gateway.event.GatewayEvent;
 
 /**
- * Gets the tokens of each request: from the own account if this instance holds a part of the
- * customer's total, else from a holder.
+ * Obtains the tokens of each request: from this instance's account if this instance holds a part of
+ * the customer's total, otherwise from an instance that does (a holder).
  *
- * <p>A holder counts what it gives as spent, as a request of its own. What the request didn't use
- * goes back to a holder. If no holder can be reached, the request takes the way of an instance that
- * holds a part itself, which needs the shared log.
+ * <p>A holder counts tokens that it gives as spent, as for a request of its own. Tokens that the
+ * request did not use are returned to a holder. If no holder can be reached, this instance claims
+ * the tokens itself through the shared log.
  */
 public final class TokenRequests {
-  /** How long a request waits at one holder, so that others can be asked after it. */
-  private static final Duration LONGEST_WAIT = Duration.ofMillis(600);
+  /**
+   * Longest time for which a request waits at one holder, so that other holders can be asked after
+   * it.
+   */
+  private static final Duration MAX_WAIT = Duration.ofMillis(600);
 
   /**
-   * Holders asked for a request. An instance that reaches none of them is likely to be cut off, and
-   * each of them takes a quarter of a second to find that out.
+   * Maximum number of holders asked for one request. An instance that reaches none of them is
+   * probably partitioned from all others, and it takes 250 ms to find out that a holder can't be
+   * reached.
    */
-  private static final int MOST_ASKED = 3;
+  private static final int MAX_HOLDERS_ASKED = 3;
 
-  /** A holder that can't be reached is left out for about the time that a restart takes. */
+  /** How long an unreachable holder is skipped: about the duration of a restart. */
   private static final Duration UNREACHABLE_PAUSE = Duration.ofSeconds(2);
 
-  /** Between returns; a holder that lacks these tokens meanwhile refuses what they would cover. */
-  private static final Duration RETURN_PERIOD = Duration.ofMillis(200);
+  /**
+   * Interval between returns of unused tokens. Until the tokens are returned, the holder has to
+   * refuse requests that they would cover.
+   */
+  private static final Duration RETURN_INTERVAL = Duration.ofMillis(200);
 
   private final AccountBook accounts;
   private final TokenHolders holders;
   private final HolderPort port;
-  private final BooleanSupplier othersHeard;
+  private final BooleanSupplier peersHeard;
   private final EventSink events;
   private final InstantSource clock;
-  private final Set<Asking> asking = new HashSet<>();
+  private final Set<PendingRequest> pending = new HashSet<>();
   private final Map<String, Instant> unreachableUntil = new HashMap<>();
   private Instant nextReturn = Instant.MIN;
 
   /**
-   * Creates requests that {@code accounts} serves where this instance holds a part.
+   * Creates an instance that uses {@code accounts} for customers of whose total this instance holds
+   * a part.
    *
-   * @param othersHeard whether any other instance has been heard lately
+   * @param peersHeard whether a message of any other instance has arrived recently
    */
   public TokenRequests(
       AccountBook accounts,
       TokenHolders holders,
       HolderPort port,
-      BooleanSupplier othersHeard,
+      BooleanSupplier peersHeard,
       EventSink events,
       InstantSource clock) {
     this.accounts = accounts;
     this.holders = holders;
     this.port = port;
-    this.othersHeard = othersHeard;
+    this.peersHeard = peersHeard;
     this.events = events;
     this.clock = clock;
   }
 
-  /** Sets aside tokens for a request; see {@link AccountBook#reserve}. */
+  /** Reserves tokens for a request; see {@link AccountBook#reserve}. */
   public void reserve(
       String customer,
       long tokens,
-      Instant leaves,
+      Instant callerTimeout,
       Instant deadline,
       ReservationListener listener) {
     if (holders.holds(customer)) {
-      accounts.reserve(customer, tokens, leaves, deadline, listener);
+      accounts.reserve(customer, tokens, callerTimeout, deadline, listener);
     } else if (!accounts.reserveDrawn(customer, tokens, listener)) {
-      Asking request = new Asking(customer, tokens, leaves, deadline, listener);
-      asking.add(request);
+      PendingRequest request =
+          new PendingRequest(customer, tokens, callerTimeout, deadline, listener);
+      pending.add(request);
       request.askNext();
     }
   }
 
-  /** Forgets a wish whose request is gone. */
+  /** Cancels the token request of a request that has ended. */
   public void withdraw(String customer, ReservationListener listener) {
-    asking.removeIf(request -> request.listener == listener);
+    pending.removeIf(request -> request.listener == listener);
     accounts.withdraw(customer, listener);
   }
 
-  /** Counts {@code used} of a reservation as spent; the rest is free again. */
+  /** Counts {@code used} tokens of a reservation as spent and frees the rest. */
   public void settle(Reservation reservation, long used) {
     accounts.settle(reservation, used);
   }
 
-  /** Whether requests of a customer wait here for their tokens, and not at a holder. */
+  /**
+   * Returns whether requests of the customer wait for tokens at this instance instead of at a
+   * holder.
+   */
   public boolean waitHere(String customer) {
     return holders.holds(customer);
   }
 
-  /** Tokens of a customer that this instance has at hand. */
+  /** Returns the number of the customer's tokens that are idle at this instance. */
   public long idle(String customer) {
     return accounts.idle(customer);
   }
 
-  /** Whether more tokens can be asked for now. */
+  /** Returns whether this instance can currently claim more tokens through the log. */
   public boolean asksForMore() {
     return accounts.asksForMore();
   }
 
   /**
-   * Gives back what holders gave and no request has used.
+   * Returns tokens to holders that they gave and no request has used.
    *
-   * <p>Load pattern: some instances reach the shared log and callers, and no other instance. Each
-   * request would find out anew that no holder answers, and then wait until the log has been read;
-   * so the log is read from the moment on in which nobody is heard any more.
+   * <p>Some instances may reach the shared log and their callers but no other instance. Each
+   * request would then find out anew that no holder answers, and wait until the log has been
+   * loaded. Therefore the log is read as soon as no other instance can be heard.
    */
   public void tick() {
     Instant now = clock.instant();
-    accounts.needLog(!othersHeard.getAsBoolean());
+    accounts.requireLog(!peersHeard.getAsBoolean());
     if (now.isBefore(nextReturn)) {
       return;
     }
-    nextReturn = now.plus(RETURN_PERIOD);
-    for (String customer : accounts.drawnCustomers()) {
-      if (!holders.holds(customer) && asking.stream().noneMatch(each -> each.isFor(customer))) {
-        giveBack(customer);
+    nextReturn = now.plus(RETURN_INTERVAL);
+    for (String customer : accounts.customersWithDrawnTokens()) {
+      if (!holders.holds(customer) && pending.stream().noneMatch(each -> each.isFor(customer))) {
+        returnUnused(customer);
       }
     }
   }
 
-  private void giveBack(String customer) {
-    holders.others(customer).stream()
+  private void returnUnused(String customer) {
+    holders.otherHolders(customer).stream()
         .filter(this::reachable)
         .findFirst()
-        .ifPresent(holder -> port.giveBack(holder, customer, accounts.takeOutDrawn(customer)));
+        .ifPresent(holder -> port.giveBack(holder, customer, accounts.removeDrawn(customer)));
   }
 
   private boolean reachable(String holder) {
     return !clock.instant().isBefore(unreachableUntil.getOrDefault(holder, Instant.MIN));
   }
 
-  /** One request whose tokens are asked for, from one holder after the other. */
-  private final class Asking {
+  /** One request for tokens that is sent to one holder after the other. */
+  private final class PendingRequest {
     private final String customer;
     private final long tokens;
-    private final Instant leaves;
+    private final Instant callerTimeout;
     private final Instant deadline;
     private final ReservationListener listener;
-    private final Iterator<String> left;
+    private final Iterator<String> remainingHolders;
 
-    Asking(
+    PendingRequest(
         String customer,
         long tokens,
-        Instant leaves,
+        Instant callerTimeout,
         Instant deadline,
         ReservationListener listener) {
       this.customer = customer;
       this.tokens = tokens;
-      this.leaves = leaves;
+      this.callerTimeout = callerTimeout;
       this.deadline = deadline;
       this.listener = listener;
-      this.left =
-          othersHeard.getAsBoolean()
-              ? holders.others(customer).stream()
+      this.remainingHolders =
+          peersHeard.getAsBoolean()
+              ? holders.otherHolders(customer).stream()
                   .filter(TokenRequests.this::reachable)
-                  .limit(MOST_ASKED)
+                  .limit(MAX_HOLDERS_ASKED)
                   .iterator()
               : Collections.emptyIterator();
     }
@@ -177,65 +189,69 @@
     }
 
     void askNext() {
-      if (left.hasNext() && clock.instant().isBefore(leaves)) {
-        ask(left.next());
+      if (remainingHolders.hasNext() && clock.instant().isBefore(callerTimeout)) {
+        ask(remainingHolders.next());
       } else {
-        asking.remove(this);
-        accounts.reserve(customer, tokens, leaves, deadline, listener);
+        pending.remove(this);
+        accounts.reserve(customer, tokens, callerTimeout, deadline, listener);
       }
     }
 
     private void ask(String holder) {
       Instant now = clock.instant();
-      long lack = tokens - Math.min(accounts.drawn(customer), tokens - 1);
-      Duration patience = shorter(LONGEST_WAIT, Duration.between(now, leaves));
+      long missing = tokens - Math.min(accounts.drawn(customer), tokens - 1);
+      Duration maxWait = shorter(MAX_WAIT, Duration.between(now, callerTimeout));
       HolderPort.Ask ask =
-          new HolderPort.Ask(customer, lack, patience, Duration.between(now, deadline));
-      port.ask(holder, ask, answer -> onAnswer(holder, lack, answer));
+          new HolderPort.Ask(customer, missing, maxWait, Duration.between(now, deadline));
+      port.ask(holder, ask, answer -> onAnswer(holder, missing, answer));
     }
 
     private void onAnswer(String holder, long asked, HolderPort.Answer answer) {
       switch (answer) {
         case HolderPort.Answer.Granted granted -> onGranted(holder, asked);
         case HolderPort.Answer.Refused refused -> onRefused(refused.problem());
-        case HolderPort.Answer.Unreachable lost -> {
-          events.accept(new GatewayEvent.HolderUnreachable(customer, holder, lost.detail()));
+        case HolderPort.Answer.Unreachable unreachable -> {
+          events.accept(new GatewayEvent.HolderUnreachable(customer, holder, unreachable.detail()));
           unreachableUntil.put(holder, clock.instant().plus(UNREACHABLE_PAUSE));
-          goOn(this::askNext);
+          continueUnlessCancelled(this::askNext);
         }
       }
     }
 
-    /** Another request may have taken what was here while the rest was asked for. */
-    private void onGranted(String holder, long granted) {
-      accounts.receive(customer, granted);
-      goOn(
+    /**
+     * Reserves the tokens once the holder has given the missing part. Meanwhile another request may
+     * have taken the tokens that were already here; then the holder is asked again.
+     */
+    private void onGranted(String holder, long grantedTokens) {
+      accounts.addDrawn(customer, grantedTokens);
+      continueUnlessCancelled(
           () -> {
-            asking.remove(this);
+            pending.remove(this);
             if (!accounts.reserveDrawn(customer, tokens, listener)) {
-              asking.add(this);
+              pending.add(this);
               ask(holder);
             }
           });
     }
 
     private void onRefused(Problem problem) {
-      boolean mayBeElsewhere = problem.kind() == ErrorKind.NO_LEASE && left.hasNext();
-      boolean inTime = clock.instant().plus(LONGEST_WAIT).isBefore(leaves);
-      goOn(
+      boolean otherHolderMayGrant =
+          problem.kind() == ErrorKind.NO_LEASE && remainingHolders.hasNext();
+      boolean inTime = clock.instant().plus(MAX_WAIT).isBefore(callerTimeout);
+      continueUnlessCancelled(
           () -> {
-            if (mayBeElsewhere && inTime) {
+            if (otherHolderMayGrant && inTime) {
               askNext();
             } else {
-              asking.remove(this);
+              pending.remove(this);
               listener.onRefused(problem);
             }
           });
     }
 
-    /** Does what comes next, unless the request is gone. */
-    private void goOn(Runnable next) {
-      if (asking.contains(this)) {
+    /** Runs {@code next} unless the request has been cancelled. */
+    private void continueUnlessCancelled(Runnable next) {
+      if (pending.contains(this)) {
         next.run();
       }
     }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/WaitingRequest.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/WaitingRequest.java
@@ -5,8 +5,15 @@
 /**
  * A request that waits for tokens.
  *
- * @param leaves when its caller gives up waiting for the answer to begin
- * @param deadline when an answer is of no use any more
+ * @param tokens number of tokens that the request needs
+ * @param waitingSince when the request began to wait
+ * @param callerTimeout when the caller stops waiting for the answer to begin
+ * @param deadline when the answer is of no use any more
+ * @param listener receives the outcome
  */
 record WaitingRequest(
-    long tokens, Instant since, Instant leaves, Instant deadline, ReservationListener listener) {}
+    long tokens,
+    Instant waitingSince,
+    Instant callerTimeout,
+    Instant deadline,
+    ReservationListener listener) {}
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/log/AppendPatience.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/log/AppendPatience.java
@@ -1,39 +1,40 @@
 package org.teaseldeal.gateway.log;
 
 import java.time.Duration;
-import org.teaseldeal.decisions.CallPatience;
+import org.teaseldeal.decisions.AdaptiveTimeout;
 
 /**
- * How long an instance waits for the answer of an append, which the log does one after the other
- * for all writers.
+ * Adaptive timeout for appends to the shared log, which processes the appends of all writers one
+ * after the other.
  */
 public final class AppendPatience {
   /**
-   * The shared log answers in a few milliseconds; an answer that is lost never comes.
+   * Shortest timeout. The shared log normally answers within a few milliseconds, and a lost answer
+   * never arrives.
    *
-   * <p>Failure: answers of writes are lost for seconds, and then machines lose power. Symptom, if a
-   * write were sent again late: the newest notes are seconds old, and successors write off all that
-   * may have been used since.
+   * <p>Answers of writes can be lost for seconds before machines lose power. If a write were
+   * repeated late, the newest notes would be seconds old, and successors would write off all tokens
+   * that may have been used since.
    */
-  private static final Duration SHORTEST = Duration.ofMillis(150);
+  private static final Duration MIN_TIMEOUT = Duration.ofMillis(150);
 
-  /** The log refuses an append that would wait for longer than two seconds. */
-  private static final Duration LONGEST = Duration.ofMillis(2400);
+  /** Longest timeout; the log refuses an append that would wait for more than two seconds. */
+  private static final Duration MAX_TIMEOUT = Duration.ofMillis(2400);
 
-  private final CallPatience patience = new CallPatience(SHORTEST, LONGEST);
+  private final AdaptiveTimeout timeout = new AdaptiveTimeout(MIN_TIMEOUT, MAX_TIMEOUT);
 
-  /** How long to wait now. */
+  /** Returns the current timeout. */
   public Duration present() {
-    return patience.present();
+    return timeout.current();
   }
 
-  /** Takes note of an append that was answered after {@code took}. */
+  /** Records an append that was answered after {@code took}. */
   public void onAnswered(Duration took) {
-    patience.onAnswered(took);
+    timeout.onAnswered(took);
   }
 
-  /** Takes note of an append that was sent and not answered in time. */
+  /** Records an append that was sent and not answered in time. */
   public void onUnanswered() {
-    patience.onUnanswered();
+    timeout.onUnanswered();
   }
 }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/log/FleetLog.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/log/FleetLog.java
@@ -13,51 +13,58 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes this instance's notes in order, each once, and reads everybody's.
+ * Writes this instance's notes to the shared log, in order and exactly once, and reads the notes of
+ * all instances.
  *
- * <p>At its start it first takes a higher epoch. A process that ran before on the same machine may
- * have left an append that the log carries out seconds later; without the epoch that append would
- * replace the notes that this process writes, and tokens would be spent twice.
+ * <p>At its start it first claims a higher epoch (fencing). A previous process on the same machine
+ * may have sent an append that the log executes seconds later; without the new epoch that append
+ * would replace the notes of this process, and tokens would be spent twice.
  *
- * <p>One batch is under way at a time. If its outcome is unknown the same bytes are sent again
- * under the same sequence number, which the log takes once, so no note is lost, doubled or out of
- * order.
+ * <p>Only one batch is in flight at a time. If its outcome is unknown, the same bytes are sent
+ * again under the same sequence number, which the log accepts only once; so no note is lost,
+ * duplicated or reordered.
  *
- * <p>A read follows an own append that something depends on; otherwise there is one at each idle
- * interval. While no participant needs the log, it isn't read at all.
+ * <p>An own append on which something depends is followed by a read; otherwise the log is read at
+ * the idle interval. While no participant needs the log, it is not read at all.
  */
 public final class FleetLog {
   private static final Logger LOG = LoggerFactory.getLogger(FleetLog.class);
 
-  /** While a request waits for what others may give back. */
-  private static final Duration URGENT_READ = Duration.ofMillis(100);
+  /** Read interval while a request waits for tokens that other instances may return. */
+  private static final Duration URGENT_READ_INTERVAL = Duration.ofMillis(100);
 
-  /** First and longest pause after a failure: half an answer of a slow log, and half a second. */
+  /** First pause after a failure: half of the answer time of a slow log. */
   private static final Duration FIRST_PAUSE = Duration.ofMillis(40);
 
   private static final Duration LONGEST_PAUSE = Duration.ofMillis(500);
 
-  /** How far the epoch goes on after one that was in use: more than clocks of restarts differ. */
-  private static final long EPOCH_STEP = 60_000;
+  /**
+   * How far the epoch is advanced after finding one in use: by more than the clocks of two restarts
+   * differ.
+   */
+  private static final long EPOCH_STEP_MS = 60_000;
 
-  /** Bounds memory whatever other writers do; beyond it nothing more is logged. */
-  private static final int MOST_REMEMBERED = 1_000;
+  /**
+   * Maximum number of remembered unreadable keys, which bounds the memory use whatever other
+   * writers do; further unreadable records are not logged.
+   */
+  private static final int MAX_UNREADABLE_KEYS = 1_000;
 
   private enum State {
     FENCING,
     LOADING,
-    FOLLOWING,
+    TAILING,
     SUPERSEDED
   }
 
   private final SharedLog log;
   private final String instance;
   private final InstantSource clock;
-  private final Duration idleRead;
+  private final Duration idleReadInterval;
   private final List<LogParticipant> participants;
 
-  /** Keys whose newest record can't be read, each logged once. */
-  private final Set<String> unreadable = new HashSet<>();
+  /** Keys whose newest record can't be read, each of which is logged once. */
+  private final Set<String> unreadableKeys = new HashSet<>();
 
   private State state = State.FENCING;
   private long epoch;
@@ -65,25 +72,28 @@
   private boolean loadedOnce;
   private long position;
 
-  /** Notes after this offset have been heard; those before it are not told twice. */
-  private long heardTo = -1;
+  /** Offset of the last processed record; records up to it are not delivered again. */
+  private long processedOffset = -1;
 
   private List<KeyedRecord> batch = List.of();
-  private boolean calling;
+  private boolean appending;
   private boolean reading;
-  private long readAtLeastTo;
+  private long requiredPosition;
   private Instant pauseUntil = Instant.MIN;
   private Duration pause = FIRST_PAUSE;
   private Instant nextRead = Instant.MIN;
   private boolean reloadDue;
-  private boolean dormant;
-  private @Nullable String trouble;
+  private boolean readingSuspended;
+  private @Nullable String failureDetail;
 
   /**
-   * Creates the log of {@code instance}.
+   * Creates the log access of {@code instance}.
    *
-   * @param epoch above that of any earlier process
-   * @param idleRead how stale what is known of others may be without own writes
+   * @param log the shared log
+   * @param instance name of this instance
+   * @param epoch higher than that of any previous process
+   * @param idleRead longest staleness of the known notes while this instance writes none
+   * @param participants components that write and receive notes
    */
   public FleetLog(
       SharedLog log,
@@ -96,26 +106,26 @@
     this.instance = instance;
     this.epoch = epoch;
     this.clock = clock;
-    this.idleRead = idleRead;
+    this.idleReadInterval = idleRead;
     this.participants = List.copyOf(participants);
   }
 
-  /** Whether all notes were read once. */
+  /** Returns whether all notes have been loaded at least once. */
   public boolean ready() {
     return loadedOnce;
   }
 
-  /** Whether another process has taken this one's place; nothing may be spent any more. */
+  /** Returns whether another process has replaced this one; no tokens may be spent any more. */
   public boolean superseded() {
     return state == State.SUPERSEDED;
   }
 
-  /** Whether the last call failed, so that waiting for the log may take long. */
+  /** Returns whether the last call failed, so that waiting for the log may take long. */
   public boolean troubled() {
-    return trouble != null;
+    return failureDetail != null;
   }
 
-  /** Starts what is due. */
+  /** Starts the calls that are due. */
   public void tick() {
     Instant now = clock.instant();
     if (now.isBefore(pauseUntil)) {
@@ -124,21 +134,21 @@
     switch (state) {
       case FENCING -> fence();
       case LOADING -> load();
-      case FOLLOWING -> follow(now);
+      case TAILING -> follow(now);
       case SUPERSEDED -> {}
     }
   }
 
   private void fence() {
-    if (calling) {
+    if (appending) {
       return;
     }
-    calling = true;
+    appending = true;
     log.append(epoch, sequence, List.of(), this::fenced);
   }
 
   private void fenced(SharedLog.AppendOutcome outcome) {
-    calling = false;
+    appending = false;
     switch (outcome) {
       case SharedLog.AppendOutcome.Appended appended -> {
         recovered();
@@ -146,7 +156,7 @@
         state = State.LOADING;
         load();
       }
-      case SharedLog.AppendOutcome.Superseded superseded -> epoch += EPOCH_STEP;
+      case SharedLog.AppendOutcome.Superseded superseded -> epoch += EPOCH_STEP_MS;
       case SharedLog.AppendOutcome.OutOfSequence other -> sequence = other.sequence();
       case SharedLog.AppendOutcome.Unknown unknown -> failed(unknown.detail());
     }
@@ -166,15 +176,15 @@
       case SharedLog.ReadOutcome.Records records -> {
         recovered();
         position = records.next();
-        heardTo = Math.max(heardTo, position - 1);
+        processedOffset = Math.max(processedOffset, position - 1);
         List<SharedNote> notes = new ArrayList<>();
         for (PositionedRecord record : records.records()) {
-          heardTo = Math.max(heardTo, record.offset());
+          processedOffset = Math.max(processedOffset, record.offset());
           decode(record).ifPresent(notes::add);
         }
         participants.forEach(participant -> participant.onLoaded(notes, !loadedOnce));
         loadedOnce = true;
-        state = State.FOLLOWING;
+        state = State.TAILING;
       }
       case SharedLog.ReadOutcome.Expired expired -> failed("newest records expired");
       case SharedLog.ReadOutcome.Failed failure -> failed(failure.detail());
@@ -182,17 +192,17 @@
   }
 
   private void follow(Instant now) {
-    if (rests()) {
+    if (readingSuspended()) {
       return;
     }
     if (reloadDue) {
-      reloadOnceWritten(now);
+      reloadAfterPendingAppend(now);
       return;
     }
-    if (!calling && readAtLeastTo <= position) {
-      appendWhatIsDue(now);
+    if (!appending && requiredPosition <= position) {
+      appendDueNotes(now);
     }
-    if (!reading && (position < readAtLeastTo || !now.isBefore(nextRead))) {
+    if (!reading && (position < requiredPosition || !now.isBefore(nextRead))) {
       nextRead = now.plus(readInterval());
       reading = true;
       log.read(position, this::read);
@@ -200,35 +210,35 @@
   }
 
   /**
-   * Whether the log isn't read now.
+   * Returns whether reading is suspended because no participant needs the log.
    *
-   * <p>Load pattern: an instance of a large fleet that depends on none of the notes hears those of
-   * all others. They come in bursts that fill its link for a tenth of a second, and its callers'
-   * requests wait behind them.
+   * <p>An instance of a large fleet that depends on no notes would still receive those of all
+   * others. They arrive in bursts that saturate its network link for a tenth of a second, and its
+   * callers' requests are delayed behind them.
    */
-  private boolean rests() {
+  private boolean readingSuspended() {
     boolean needed = participants.stream().anyMatch(LogParticipant::needsLog);
-    if (dormant && needed) {
-      dormant = false;
+    if (readingSuspended && needed) {
+      readingSuspended = false;
       reloadDue = true;
-      participants.forEach(LogParticipant::onLogNeededAgain);
-    } else if (!dormant && !needed && !calling && !reading && batch.isEmpty()) {
-      dormant = true;
-      participants.forEach(LogParticipant::onLogResting);
+      participants.forEach(LogParticipant::onLogReadingResumed);
+    } else if (!readingSuspended && !needed && !appending && !reading && batch.isEmpty()) {
+      readingSuspended = true;
+      participants.forEach(LogParticipant::onLogReadingPaused);
     }
-    return dormant;
+    return readingSuspended;
   }
 
   /**
-   * Reads the newest notes once no own batch is under way. A wish must not be decided before its
-   * note is on the log: the others would not count it yet.
+   * Loads the newest notes as soon as no own batch is in flight. A claim must not be decided before
+   * its note is on the log, because the other instances would not count it yet.
    */
-  private void reloadOnceWritten(Instant now) {
-    if (calling) {
+  private void reloadAfterPendingAppend(Instant now) {
+    if (appending) {
       return;
     }
     if (!batch.isEmpty()) {
-      appendWhatIsDue(now);
+      appendDueNotes(now);
       return;
     }
     reloadDue = false;
@@ -236,7 +246,7 @@
     load();
   }
 
-  private void appendWhatIsDue(Instant now) {
+  private void appendDueNotes(Instant now) {
     if (batch.isEmpty()) {
       batch =
           participants.stream()
@@ -245,18 +255,18 @@
               .toList();
     }
     if (!batch.isEmpty()) {
-      calling = true;
+      appending = true;
       log.append(epoch, sequence, batch, this::appended);
     }
   }
 
   private void appended(SharedLog.AppendOutcome outcome) {
-    calling = false;
+    appending = false;
     switch (outcome) {
-      case SharedLog.AppendOutcome.Appended done -> {
+      case SharedLog.AppendOutcome.Appended appended -> {
         recovered();
         if (participants.stream().anyMatch(LogParticipant::awaitsOwnNote)) {
-          readAtLeastTo = done.offset() + batch.size();
+          requiredPosition = appended.offset() + batch.size();
         }
         batch = List.of();
         sequence++;
@@ -264,11 +274,15 @@
         tick();
       }
       case SharedLog.AppendOutcome.OutOfSequence other -> {
-        LOG.warn("sequence was {}, the log expects {}", sequence, other.sequence());
+        LOG.warn(
+            "sequence number {} was out of order; continuing with {} as expected by the shared log",
+            sequence,
+            other.sequence());
         sequence = other.sequence();
       }
       case SharedLog.AppendOutcome.Superseded superseded -> {
-        LOG.error("another process writes as {}; nothing is spent any more", instance);
+        LOG.error(
+            "another process writes as instance {}; this process spends no more tokens", instance);
         state = State.SUPERSEDED;
       }
       case SharedLog.AppendOutcome.Unknown unknown -> failed(unknown.detail());
@@ -280,13 +294,14 @@
     switch (outcome) {
       case SharedLog.ReadOutcome.Records records -> {
         recovered();
-        records.records().forEach(this::hear);
+        records.records().forEach(this::deliver);
         position = Math.max(position, records.next());
         nextRead = clock.instant().plus(readInterval());
         tick();
       }
       case SharedLog.ReadOutcome.Expired expired -> {
-        LOG.info("notes from offset {} on are not kept any more; reading the newest", position);
+        LOG.info(
+            "notes from offset {} on are no longer retained; reloading the newest notes", position);
         reloadDue = true;
       }
       case SharedLog.ReadOutcome.Failed failure -> failed(failure.detail());
@@ -295,14 +310,14 @@
 
   private Duration readInterval() {
     boolean waiting = participants.stream().anyMatch(LogParticipant::waitsForOthers);
-    return waiting ? URGENT_READ : idleRead;
+    return waiting ? URGENT_READ_INTERVAL : idleReadInterval;
   }
 
-  private void hear(PositionedRecord record) {
-    if (record.offset() <= heardTo) {
+  private void deliver(PositionedRecord record) {
+    if (record.offset() <= processedOffset) {
       return;
     }
-    heardTo = record.offset();
+    processedOffset = record.offset();
     decode(record)
         .ifPresent(
             note -> {
@@ -314,30 +329,31 @@
   private Optional<SharedNote> decode(PositionedRecord record) {
     try {
       SharedNote note = NoteCodec.decode(record.record());
-      unreadable.remove(record.record().key());
+      unreadableKeys.remove(record.record().key());
       return Optional.of(note);
     } catch (IllegalArgumentException e) {
-      if (unreadable.size() < MOST_REMEMBERED && unreadable.add(record.record().key())) {
-        LOG.warn("record at offset {} can't be read: {}", record.offset(), e.getMessage());
+      if (unreadableKeys.size() < MAX_UNREADABLE_KEYS
+          && unreadableKeys.add(record.record().key())) {
+        LOG.warn("record at offset {} can't be decoded: {}", record.offset(), e.getMessage());
       }
-      return NoteCodec.unreadable(record.record());
+      return NoteCodec.placeholder(record.record());
     }
   }
 
   private void failed(String detail) {
-    if (trouble == null) {
-      LOG.warn("the shared log is lost: {}", detail);
+    if (failureDetail == null) {
+      LOG.warn("shared log unavailable; retrying with back-off: {}", detail);
     }
-    trouble = detail;
+    failureDetail = detail;
     pauseUntil = clock.instant().plus(pause);
     pause = pause.multipliedBy(2).compareTo(LONGEST_PAUSE) > 0 ? LONGEST_PAUSE : pause.plus(pause);
   }
 
   private void recovered() {
-    if (trouble != null) {
-      LOG.info("the shared log is back");
+    if (failureDetail != null) {
+      LOG.info("shared log available again");
     }
-    trouble = null;
+    failureDetail = null;
     pause = FIRST_PAUSE;
     pauseUntil = Instant.MIN;
   }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/log/FleetView.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/log/FleetView.java
@@ -7,36 +7,43 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** The instances that have ever joined, by the notes that each leaves once. */
+/** The instances that have ever joined the fleet, according to the note that each writes once. */
 public final class FleetView implements LogParticipant {
   private final SharedNote.Presence own;
   private final Map<String, String> addresses = new TreeMap<>();
   private Set<String> names;
-  private boolean written;
+  private boolean ownNoteWritten;
 
-  /** Creates the view of {@code instance}, which others reach at {@code peerAddress}. */
+  /**
+   * Creates the view of {@code instance}, which the other instances reach at {@code peerAddress}.
+   */
   public FleetView(String instance, String peerAddress) {
     this.own = new SharedNote.Presence(instance, peerAddress);
     addresses.put(instance, peerAddress);
     names = Set.of(instance);
   }
 
-  /** The names of all, this one's among them; another set after each change. */
+  /**
+   * Returns the names of all instances, including this one; a different set object after each
+   * change.
+   */
   public Set<String> names() {
     return names;
   }
 
-  /** How many instances there may be, this one included; those gone for good count too. */
+  /**
+   * Returns the number of known instances, including this one and those that have left for good.
+   */
   public int size() {
     return addresses.size();
   }
 
-  /** Where an instance can be reached; empty if it has never joined. */
+  /** Returns the address of an instance; empty if it has never joined. */
   public Optional<String> addressOf(String instance) {
     return Optional.ofNullable(addresses.get(instance));
   }
 
-  /** Where the other instances can be reached. */
+  /** Returns the addresses of the other instances. */
   public List<String> others() {
     return addresses.entrySet().stream()
         .filter(entry -> !entry.getKey().equals(own.instance()))
@@ -52,8 +59,9 @@
     if (!ownNote) {
       join(presence);
     } else if (!presence.equals(own)) {
-      // Somebody else's under the own key: the others would call the wrong address until a restart.
-      written = false;
+      // A foreign note under this instance's key would make the others call a wrong address until
+      // this process restarts.
+      ownNoteWritten = false;
     }
   }
 
@@ -75,10 +83,10 @@
 
   @Override
   public List<SharedNote> notesToWrite(Instant now) {
-    if (written) {
+    if (ownNoteWritten) {
       return List.of();
     }
-    written = true;
+    ownNoteWritten = true;
     return List.of(own);
   }
 }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/log/LogParticipant.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/log/LogParticipant.java
@@ -3,40 +3,50 @@
 import java.time.Instant;
 import java.util.List;
 
-/** A part of the instance that writes notes and hears those of all instances. */
+/** A component of an instance that publishes notes and receives the notes of all instances. */
 public interface LogParticipant {
-  /** A note of any instance, in the order of the log. */
+  /**
+   * Called for each note of any instance, in the order of the log.
+   *
+   * @param own whether the note is stored under a key of this instance
+   */
   void onNote(SharedNote note, boolean own);
 
   /**
-   * The newest notes of all keys, in no order, after a start or a gap.
+   * Called with the newest notes of all keys, in no particular order, after a start or a gap.
    *
-   * @param first whether it is the first time, so that own notes are those of an earlier process
+   * @param first whether this is the first load, so that own notes are those of a previous process
    */
   void onLoaded(List<SharedNote> notes, boolean first);
 
-  /** All notes that {@link #notesToWrite} gave last are on the log. */
+  /** Called when all notes returned by the last {@link #notesToWrite} are on the log. */
   default void onWritten() {}
 
-  /** Whether something depends on reading back an own note, and nothing may be written before. */
+  /**
+   * Returns whether something depends on reading back an own note; until then no other note may be
+   * written.
+   */
   default boolean awaitsOwnNote() {
     return false;
   }
 
-  /** Whether anything here depends on what the log says now; if not, it needn't be read. */
+  /**
+   * Returns whether this component needs the log's current content; if none does, the log is not
+   * read.
+   */
   default boolean needsLog() {
     return true;
   }
 
-  /** The log isn't read from now on, as nobody needs it. */
-  default void onLogResting() {}
+  /** Called when the log is no longer read because no component needs it. */
+  default void onLogReadingPaused() {}
 
-  /** The log is needed again; all notes are about to be read anew. */
-  default void onLogNeededAgain() {}
+  /** Called when the log is needed again; all notes are about to be loaded. */
+  default void onLogReadingResumed() {}
 
-  /** Whether news of other instances is awaited. */
+  /** Returns whether this component waits for notes of other instances. */
   boolean waitsForOthers();
 
-  /** What to write now; empty if there is nothing that can't wait. */
+  /** Returns the notes to write now; empty if none is due. */
   List<SharedNote> notesToWrite(Instant now);
 }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/log/NoteCodec.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/log/NoteCodec.java
@@ -11,9 +11,11 @@
 import org.teaseldeal.net.IpAddresses;
 
 /**
- * Notes as records: the key names kind, instance and subject, the value holds the numbers.
+ * Encodes notes as records: the key consists of kind, instance and subject, the value holds the
+ * numbers.
  *
- * <p>A value begins with the version of its layout, so that a fleet can be upgraded in turn.
+ * <p>A value begins with the version of its layout, so that a fleet can be upgraded instance by
+ * instance.
  */
 final class NoteCodec {
   private static final String ACCOUNT = "account";
@@ -21,24 +23,30 @@
   private static final String PRESENCE = "presence";
   private static final int KEY_PARTS = 3;
 
-  /** Far more than one instance sees before all refuse the request. */
-  private static final int MOST_CRASHES = 1_000;
+  /**
+   * Upper limit of the number of crashes in a note: far more than one instance sees before all
+   * instances refuse the request.
+   */
+  private static final int MAX_CRASHES = 1_000;
 
-  private static final byte LAYOUT = 4;
+  private static final byte CURRENT_LAYOUT = 4;
 
-  /** With the same numbers; its writers used idle tokens sooner after the note. */
+  /**
+   * The layout with the same numbers as the current one, whose writers used idle tokens sooner
+   * after the note.
+   */
   private static final byte THIRD_LAYOUT = 3;
 
-  /** Without the pace. */
+  /** The layout without the release rate. */
   private static final byte SECOND_LAYOUT = 2;
 
-  /** Without the count of heartbeats and the rate, too. */
+  /** The layout without the release rate, the count of heartbeats and the rate of reservations. */
   private static final byte FIRST_LAYOUT = 1;
 
   private NoteCodec() {}
 
   /** Writes the numbers of a note. */
-  private interface Body {
+  private interface BodyWriter {
     void write(DataOutputStream out) throws IOException;
   }
 
@@ -49,26 +57,26 @@
               key(ACCOUNT, account.instance(), account.customer()),
               out -> {
                 out.writeLong(account.spent());
-                out.writeLong(account.lost());
+                out.writeLong(account.writtenOff());
                 out.writeLong(account.held());
                 out.writeLong(account.idle());
-                out.writeLong(account.asked());
-                out.writeLong(account.wanted());
-                out.writeLong(account.promised());
+                out.writeLong(account.claimed());
+                out.writeLong(account.shortfall());
+                out.writeLong(account.immediate());
                 out.writeLong(account.steadyNanos());
                 out.writeLong(account.wallMillis());
                 out.writeLong(account.heartbeats());
                 out.writeLong(account.tokensPerSecond());
-                out.writeLong(account.pace());
+                out.writeLong(account.releasedPerSecond());
               });
       case SharedNote.Crash crash ->
           crash.count() == 0
-              ? withdrawal(key(CRASH, crash.instance(), crash.fingerprint()))
+              ? emptyRecord(key(CRASH, crash.instance(), crash.fingerprint()))
               : record(
                   key(CRASH, crash.instance(), crash.fingerprint()),
                   out -> out.writeInt(crash.count()));
       case SharedNote.UnreadableAccount unreadable ->
-          throw new IllegalArgumentException("was a note that can't be read, expected another");
+          throw new IllegalArgumentException("an unreadable account note can't be encoded");
       case SharedNote.Presence presence ->
           record(
               key(PRESENCE, presence.instance(), ""), out -> out.writeUTF(presence.peerAddress()));
@@ -76,9 +84,10 @@
   }
 
   /**
-   * Reads a note.
+   * Decodes a note.
    *
-   * @throws IllegalArgumentException if the record is none of this layout
+   * @throws IllegalArgumentException if the record has none of the known layouts or contains
+   *     invalid values
    */
   static SharedNote decode(KeyedRecord record) {
     String[] key = record.key().split("\\|", KEY_PARTS);
@@ -91,10 +100,10 @@
     }
     try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(record.value()))) {
       byte layout = in.readByte();
-      if (layout < FIRST_LAYOUT || layout > LAYOUT) {
+      if (layout < FIRST_LAYOUT || layout > CURRENT_LAYOUT) {
         throw new IllegalArgumentException(
             "layout of %s was %d, expected %d to %d"
-                .formatted(record.key(), layout, FIRST_LAYOUT, LAYOUT));
+                .formatted(record.key(), layout, FIRST_LAYOUT, CURRENT_LAYOUT));
       }
       SharedNote note = decode(layout, key, in);
       if (in.available() > 0) {
@@ -106,8 +115,11 @@
     }
   }
 
-  /** Whose account a record is about that {@link #decode} refuses; empty if it is about none. */
-  static Optional<SharedNote> unreadable(KeyedRecord record) {
+  /**
+   * Returns a placeholder for the account that a record rejected by {@link #decode} is about; empty
+   * if it is not about an account.
+   */
+  static Optional<SharedNote> placeholder(KeyedRecord record) {
     String[] key = record.key().split("\\|", KEY_PARTS);
     return key.length == KEY_PARTS && key[0].equals(ACCOUNT) && !key[1].isBlank()
         ? Optional.of(new SharedNote.UnreadableAccount(key[1], key[2]))
@@ -120,9 +132,9 @@
     String instance = key[1];
     String subject = key[2];
     return switch (kind) {
-      case ACCOUNT -> account(layout, instance, subject, in);
-      case CRASH -> new SharedNote.Crash(instance, subject, crashes(in.readInt()));
-      case PRESENCE -> new SharedNote.Presence(instance, address(in.readUTF()));
+      case ACCOUNT -> decodeAccount(layout, instance, subject, in);
+      case CRASH -> new SharedNote.Crash(instance, subject, limitedCrashes(in.readInt()));
+      case PRESENCE -> new SharedNote.Presence(instance, validatedAddress(in.readUTF()));
       default ->
           throw new IllegalArgumentException(
               "kind was '%s', expected account, crash or presence".formatted(kind));
@@ -130,15 +142,19 @@
   }
 
   /**
-   * A count that is over has no value; a large one is as good as this, and can't overflow a sum.
+   * Reads a positive count, limited such that sums can't overflow; a larger count has no further
+   * effect. A withdrawn count has an empty value instead.
    */
-  private static int crashes(int count) {
+  private static int limitedCrashes(int count) {
     Preconditions.requirePositive(count, "crashes");
-    return Math.min(count, MOST_CRASHES);
+    return Math.min(count, MAX_CRASHES);
   }
 
-  /** Checked here: a message to an address that is none fails, and those to all others with it. */
-  private static String address(String text) {
+  /**
+   * Validates an address; a message to an invalid address fails together with the messages to all
+   * other instances.
+   */
+  private static String validatedAddress(String text) {
     IpAddresses.parse(text);
     return text;
   }
@@ -146,44 +162,45 @@
   /**
    * Reads the numbers of an account.
    *
-   * <p>Earlier versions used idle tokens by other rules: to a successor all may be used.
+   * <p>Earlier versions used idle tokens by other rules, so a successor has to treat all of them as
+   * released immediately.
    */
-  private static SharedNote.Account account(
+  private static SharedNote.Account decodeAccount(
       byte layout, String instance, String customer, DataInputStream in) throws IOException {
     long spent = in.readLong();
-    long lost = in.readLong();
+    long writtenOff = in.readLong();
     long held = in.readLong();
     long idle = in.readLong();
-    long asked = in.readLong();
-    long wanted = in.readLong();
-    long promised = in.readLong();
+    long claimed = in.readLong();
+    long shortfall = in.readLong();
+    long immediate = in.readLong();
     long steadyNanos = in.readLong();
     long wallMillis = in.readLong();
     boolean first = layout == FIRST_LAYOUT;
     long heartbeats = first ? SharedNote.Account.UNCOUNTED : in.readLong();
     long tokensPerSecond = first ? 0 : in.readLong();
-    long pace = layout > SECOND_LAYOUT ? in.readLong() : 0;
+    long releasedPerSecond = layout > SECOND_LAYOUT ? in.readLong() : 0;
     boolean sameRule = layout > THIRD_LAYOUT;
-    return checked(
+    return validated(
         new SharedNote.Account(
             instance,
             customer,
             spent,
-            lost,
+            writtenOff,
             held,
             idle,
-            asked,
-            wanted,
-            sameRule ? promised : idle + asked,
-            pace,
+            claimed,
+            shortfall,
+            sameRule ? immediate : idle + claimed,
+            releasedPerSecond,
             tokensPerSecond,
             steadyNanos,
             wallMillis,
             heartbeats));
   }
 
-  /** Refuses numbers that no instance writes, as no account can go on from them. */
-  private static SharedNote.Account checked(SharedNote.Account note) {
+  /** Rejects numbers that no instance writes, because no account can continue from them. */
+  private static SharedNote.Account validated(SharedNote.Account note) {
     Preconditions.requireText(note.customer(), "customer");
     Preconditions.requireNotNegative(note.tokensPerSecond(), "tokens per second");
     Preconditions.require(
@@ -192,11 +209,12 @@
     try {
       note.taken();
     } catch (ArithmeticException e) {
-      throw new IllegalArgumentException("the numbers were too large to add up", e);
+      throw new IllegalArgumentException("the sum of the numbers overflows", e);
     }
     Preconditions.require(
-        note.promised() >= 0 && note.promised() <= note.idle() + note.asked(),
-        "promised was %d, expected 0 to %d".formatted(note.promised(), note.idle() + note.asked()));
+        note.immediate() >= 0 && note.immediate() <= note.idle() + note.claimed(),
+        "tokens for immediate use were %d, expected 0 to %d"
+            .formatted(note.immediate(), note.idle() + note.claimed()));
     return note;
   }
 
@@ -204,15 +222,18 @@
     return kind + "|" + instance + "|" + subject;
   }
 
-  /** A record without a value: the log drops its key, so that what is over takes no room. */
-  private static KeyedRecord withdrawal(String key) {
+  /**
+   * Returns a record without a value, which makes the log drop the key, so that a withdrawn note
+   * takes no space.
+   */
+  private static KeyedRecord emptyRecord(String key) {
     return new KeyedRecord(key, new byte[0]);
   }
 
-  private static KeyedRecord record(String key, Body body) {
+  private static KeyedRecord record(String key, BodyWriter body) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (DataOutputStream out = new DataOutputStream(bytes)) {
-      out.writeByte(LAYOUT);
+      out.writeByte(CURRENT_LAYOUT);
       body.write(out);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/log/PositionedRecord.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/log/PositionedRecord.java
@@ -1,4 +1,4 @@
 package org.teaseldeal.gateway.log;
 
-/** A record and its offset in the log. */
+/** A record together with its offset in the log. */
 public record PositionedRecord(long offset, KeyedRecord record) {}
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/log/SharedLog.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/log/SharedLog.java
@@ -4,37 +4,43 @@
 import java.util.function.Consumer;
 
 /**
- * The log through which instances agree; its offsets are the order of all they write.
+ * The log through which instances agree; its offsets define the order of everything they write.
  *
- * <p>Each call tells its consumer exactly one outcome, on the instance's own thread, within a time
- * that the implementation bounds.
+ * <p>Each call reports exactly one outcome to its consumer, on the instance's own thread, within a
+ * time limit of the implementation.
  */
 public interface SharedLog {
-  /** What became of an append. */
+  /** The outcome of an append. */
   sealed interface AppendOutcome {
-    /** All records are on the log, the first at {@code offset}. */
+    /** All records are on the log, the first of them at {@code offset}. */
     record Appended(long offset) implements AppendOutcome {}
 
-    /** Nothing was appended: the log expects {@code sequence} next of this writer. */
+    /**
+     * Nothing was appended: the log expects {@code sequence} as the next sequence number of this
+     * writer.
+     */
     record OutOfSequence(long sequence) implements AppendOutcome {}
 
-    /** A later incarnation of this writer has taken its place. */
+    /** A later incarnation of this writer, with a higher epoch, has replaced this one. */
     record Superseded() implements AppendOutcome {}
 
-    /** Nothing is known: the records may be on the log, or may yet come to be. */
+    /**
+     * The outcome is unknown: the records may be on the log already, or may still be appended
+     * later.
+     */
     record Unknown(String detail) implements AppendOutcome {}
   }
 
-  /** What became of a read. */
+  /** The outcome of a read. */
   sealed interface ReadOutcome {
-    /** Records in order; the next one to read is at {@code next}. */
+    /** The records in order; {@code next} is the offset to read from next. */
     record Records(List<PositionedRecord> records, long next) implements ReadOutcome {
       public Records {
         records = List.copyOf(records);
       }
     }
 
-    /** The records from there on are not kept any more. */
+    /** The records at the requested offset are no longer retained. */
     record Expired() implements ReadOutcome {}
 
     /** The log could not be read. */
@@ -42,20 +48,22 @@
   }
 
   /**
-   * Appends all of {@code records} or none. A repeat of the newest sequence number of an epoch adds
-   * nothing and has the outcome of the first; an epoch below one already seen is superseded.
+   * Appends all of {@code records} or none. Repeating the newest sequence number of an epoch adds
+   * nothing and has the outcome of the first attempt. An append whose epoch is below one already
+   * seen is superseded.
    *
-   * @param epoch names the incarnation of this writer; rises with each
+   * @param epoch identifies the incarnation of this writer; rises with each incarnation
+   * @param sequence number of the append within the epoch
    */
   void append(
       long epoch, long sequence, List<KeyedRecord> records, Consumer<AppendOutcome> outcome);
 
-  /** Reads what there is from {@code offset} on, without waiting. */
+  /** Reads the records available from {@code offset} on, without waiting for further ones. */
   void read(long offset, Consumer<ReadOutcome> outcome);
 
   /**
    * Reads the newest record of each key. {@code next} of the outcome is the log's end when the read
-   * began; records after it may or may not be among those read.
+   * began; later records may or may not be included.
    */
   void readNewest(Consumer<ReadOutcome> outcome);
 }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/log/SharedNote.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/log/SharedNote.java
@@ -2,78 +2,88 @@
 
 import org.teaseldeal.api.Preconditions;
 
-/** Something that an instance tells all others; a later note with the same key replaces it. */
+/**
+ * A piece of state that an instance publishes to all others; a later note with the same key
+ * replaces it.
+ */
 public sealed interface SharedNote {
-  /** The instance that wrote it. */
+  /** Returns the instance that wrote the note. */
   String instance();
 
   /**
    * An instance's part of a customer's prepaid total.
    *
-   * @param spent tokens used by this instance, and by those before it on the same machine
-   * @param lost tokens that those before it held when they ended
-   * @param held tokens that it may still use, those of running requests among them
-   * @param idle the part of {@code held} that no request has
-   * @param asked tokens that it wants besides; they count as held until its next note
-   * @param wanted tokens that its waiting requests lack, also where the total can't give them now
-   * @param promised part of {@code idle} and {@code asked} that may be used at once
-   * @param pace how many of the others may be used for each second since the note, once the time
-   *     for that has come
-   * @param tokensPerSecond that its requests set aside
-   * @param steadyNanos the machine's steady clock when it was written
-   * @param wallMillis the time of day when it was written
-   * @param heartbeats of backend servers counted by then; {@link #UNCOUNTED} if not known, or if
-   *     the time of day was set shortly before
+   * @param instance the instance that wrote the note
+   * @param customer the customer whose total is divided
+   * @param spent tokens used by this instance, and by previous processes on the same machine
+   * @param writtenOff tokens that previous processes held when they ended, which have been written
+   *     off
+   * @param held tokens that the instance may still use, including those reserved for running
+   *     requests
+   * @param idle the part of {@code held} that is not reserved
+   * @param claimed tokens that the instance claims in addition; they count as held until its next
+   *     note
+   * @param shortfall tokens that its waiting requests lack, even if the total can't cover them now
+   * @param immediate part of {@code idle} and {@code claimed} that may be used immediately
+   * @param releasedPerSecond number of the other idle and claimed tokens that are released per
+   *     second since the note, once their release has begun
+   * @param tokensPerSecond rate at which the instance's requests reserve tokens
+   * @param steadyNanos the machine's monotonic clock when the note was composed
+   * @param wallMillis the machine's wall clock when the note was composed, in milliseconds since
+   *     1970
+   * @param heartbeats heartbeats of backend servers counted by then; {@link #UNCOUNTED} if unknown,
+   *     or if the wall clock was set shortly before
    */
   record Account(
       String instance,
       String customer,
       long spent,
-      long lost,
+      long writtenOff,
       long held,
       long idle,
-      long asked,
-      long wanted,
-      long promised,
-      long pace,
+      long claimed,
+      long shortfall,
+      long immediate,
+      long releasedPerSecond,
       long tokensPerSecond,
       long steadyNanos,
       long wallMillis,
       long heartbeats)
       implements SharedNote {
-    /** No count of heartbeats. */
+    /** Marks an unknown count of heartbeats. */
     public static final long UNCOUNTED = -1;
 
     public Account {
       Preconditions.requireNotNegative(spent, "spent");
       Preconditions.requireNotNegative(held, "held");
       Preconditions.requireNotNegative(idle, "idle");
-      Preconditions.requireNotNegative(lost, "lost");
-      Preconditions.requireNotNegative(asked, "asked");
-      Preconditions.requireNotNegative(wanted, "wanted");
-      Preconditions.requireNotNegative(pace, "pace");
+      Preconditions.requireNotNegative(writtenOff, "tokens written off");
+      Preconditions.requireNotNegative(claimed, "claimed tokens");
+      Preconditions.requireNotNegative(shortfall, "shortfall");
+      Preconditions.requireNotNegative(releasedPerSecond, "tokens released per second");
     }
 
-    /** What of the total can't be given to another instance. */
+    /** Returns the tokens that can't be granted to another instance. */
     public long taken() {
-      return Math.addExact(Math.addExact(spent, lost), Math.addExact(held, asked));
+      return Math.addExact(Math.addExact(spent, writtenOff), Math.addExact(held, claimed));
     }
   }
 
   /**
-   * A note of an account that can't be read: it says nothing, and hides what the note before it
-   * said. Never written.
+   * Stands for an unreadable note about an account. It contains no information and hides the
+   * content of the note before it. It is never written.
    */
   record UnreadableAccount(String instance, String customer) implements SharedNote {}
 
   /**
-   * How many backend servers this instance has seen a request crash.
+   * The number of backend servers that an instance has seen a request crash.
    *
-   * @param fingerprint of the request's caller, path and body
-   * @param count 0 takes the note back
+   * @param instance the instance that wrote the note
+   * @param fingerprint hash of the request's caller, path and body
+   * @param count number of crashed servers; 0 withdraws the note
    */
   record Crash(String instance, String fingerprint, int count) implements SharedNote {}
 
-  /** Where an instance can be reached by the others. */
+  /** The address at which the other instances reach an instance. */
   record Presence(String instance, String peerAddress) implements SharedNote {}
 }
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/account/AccountFleet.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/account/AccountFleet.java
@@ -19,13 +19,15 @@
 import org.teaseldeal.gateway.log.FleetLog;
 import org.teaseldeal.gateway.log.KeyedRecord;
 
-/** Instances that draw on one customer's total through a log in memory, in virtual time. */
+/**
+ * A fleet of instances that share one customer's total through a log in memory, in virtual time.
+ */
 final class AccountFleet {
   static final String CUSTOMER = "trawler";
 
   private static final Duration STEP = Duration.ofMillis(10);
-  private static final Duration IDLE_READ = Duration.ofMillis(300);
-  private static final Duration CALLER_LEAVES = Duration.ofMillis(3200);
+  private static final Duration IDLE_READ_INTERVAL = Duration.ofMillis(300);
+  private static final Duration CALLER_TIMEOUT = Duration.ofMillis(3200);
   private static final Duration DEADLINE = Duration.ofSeconds(15);
 
   final ManualClock clock = new ManualClock();
@@ -33,9 +35,9 @@
   final List<Instance> instances = new ArrayList<>();
   long total;
   private final Set<String> names;
-  private long bootedAt;
-  private long timeOfDaySetBy;
-  private long epochs;
+  private long steadyClockOffsetNanos;
+  private long wallClockOffsetMillis;
+  private long lastEpoch;
 
   AccountFleet(int size, long total) {
     this.total = total;
@@ -58,22 +60,22 @@
     }
   }
 
-  void lines(FakeSharedLog.Line line) {
+  void setLines(FakeSharedLog.Line line) {
     instances.forEach(instance -> instance.port.line(line));
   }
 
-  /** All machines lose power and come back; their steady clocks begin anew. */
+  /** Simulates a loss of power of all machines; their monotonic clocks start anew. */
   void powerLoss(Duration down) {
     powerLoss(instances.size(), down);
   }
 
-  /** The same of the first {@code count} machines. */
+  /** Simulates a loss of power of the first {@code count} machines. */
   void powerLoss(int count, Duration down) {
-    bootedAt += 1_000_000_000_000L;
+    steadyClockOffsetNanos += 1_000_000_000_000L;
     kill(count, down);
   }
 
-  /** All processes are killed and start again after {@code down}. */
+  /** Kills all processes and restarts them after {@code down}. */
   void kill(Duration down) {
     kill(instances.size(), down);
   }
@@ -89,33 +91,33 @@
     run(Duration.ofSeconds(2));
   }
 
-  /** Tokens that requests were given and used or may still use. */
-  long given() {
-    return given;
+  /** Returns the tokens that requests were granted and have used or may still use. */
+  long givenTokens() {
+    return givenTokens;
   }
 
-  private long given;
+  private long givenTokens;
 
-  /** Another writer puts {@code value} under the key of an instance's note. */
+  /** Writes {@code value} under the key of an instance's note, as a foreign writer. */
   void overwriteNote(int index, byte[] value) {
     KeyedRecord record =
         new KeyedRecord("account|%s|%s".formatted(instance(index).name, CUSTOMER), value);
-    log.port("stranger").append(0, strangers++, List.of(record), outcome -> {});
+    log.port("stranger").append(0, foreignSequence++, List.of(record), outcome -> {});
   }
 
-  private long strangers;
+  private long foreignSequence;
 
-  /** What becomes of draws between instances. */
+  /** The state of the network between instances. */
   enum Peers {
     REACHABLE,
     UNREACHABLE,
-    /** The asked one gives, and nobody hears of it. */
+    /** Requests arrive and are executed, but their answers are lost. */
     ANSWERS_LOST
   }
 
   Peers peers = Peers.REACHABLE;
 
-  /** What processes took over from earlier ones. */
+  /** The takeovers from previous processes. */
   final List<GatewayEvent.AccountTakenOver> takeovers = new ArrayList<>();
 
   private void onEvent(GatewayEvent event) {
@@ -135,63 +137,62 @@
     given.accept(peers == Peers.ANSWERS_LOST ? OptionalLong.empty() : OptionalLong.of(gift));
   }
 
-  /** Holders answer in the same moment if they have the tokens at hand, or once they have. */
-  private final class Holders implements HolderPort {
+  /** Delivers requests and answers without delay; a holder answers as soon as it has the tokens. */
+  private final class FakeHolderPort implements HolderPort {
     @Override
     public void ask(String holder, Ask ask, Consumer<Answer> answer) {
-      Optional<Instance> asked = reached(holder);
+      Optional<Instance> asked = reachable(holder);
       if (asked.isEmpty()) {
         answer.accept(new Answer.Unreachable("down"));
         return;
       }
       new HolderAnswers(asked.get().book, clock)
-          .answer(ask, given -> answer.accept(onTheWay(given)));
+          .answer(ask, given -> answer.accept(afterTransport(given)));
     }
 
-    private Answer onTheWay(Answer given) {
+    private Answer afterTransport(Answer given) {
       boolean lost = peers == Peers.ANSWERS_LOST && given instanceof Answer.Granted;
       return lost ? new Answer.Unreachable("no answer") : given;
     }
 
     @Override
     public void giveBack(String holder, String customer, long tokens) {
-      reached(holder).ifPresent(each -> each.book.takeBack(customer, tokens));
+      reachable(holder).ifPresent(each -> each.book.takeBack(customer, tokens));
     }
 
-    private Optional<Instance> reached(String name) {
+    private Optional<Instance> reachable(String name) {
       return instances.stream()
           .filter(each -> each.name.equals(name) && each.alive && peers != Peers.UNREACHABLE)
           .findFirst();
     }
   }
 
-  /** One process ends, as by a kill. */
-  void end(int index) {
+  /** Ends one process abruptly, as by a kill. */
+  void stop(int index) {
     instance(index).alive = false;
   }
 
-  /** A process starts again under the same name. */
-  void startAgain(int index) {
+  /** Starts a new process under the same instance name. */
+  void restart(int index) {
     instances.set(index, new Instance(instance(index).name));
   }
 
   private ClockReading machineClock() {
     return new ClockReading(
-        clock.instant().toEpochMilli() * 1_000_000 + bootedAt,
-        clock.instant().toEpochMilli() + timeOfDaySetBy);
+        clock.instant().toEpochMilli() * 1_000_000 + steadyClockOffsetNanos,
+        clock.instant().toEpochMilli() + wallClockOffsetMillis);
   }
 
-  /** Twenty servers with a heartbeat a second each. */
+  /** Returns the heartbeats of 20 servers, each of which sends one per second. */
   private HeartbeatCount heartbeats() {
     return new HeartbeatCount(clock.instant().toEpochMilli() / 50, 20);
   }
 
-  /** Sets the time of day of all machines on by {@code step}, or back. */
-  void setTimeOfDay(Duration step) {
-    timeOfDaySetBy += step.toMillis();
+  /** Steps the wall clocks of all machines forward, or back if {@code step} is negative. */
+  void stepWallClock(Duration step) {
+    wallClockOffsetMillis += step.toMillis();
   }
 
-  /** One instance. */
   final class Instance {
     final String name;
     final FakeSharedLog.Port port;
@@ -200,9 +201,9 @@
     final TokenRequests requests;
     final TokenDraws draws;
     final List<Reservation> reserved = new ArrayList<>();
-    int granted;
-    final List<Duration> waits = new ArrayList<>();
-    final List<Problem> refused = new ArrayList<>();
+    int grantedRequests;
+    final List<Duration> waitingTimes = new ArrayList<>();
+    final List<Problem> refusals = new ArrayList<>();
     boolean alive = true;
 
     Instance(String name) {
@@ -219,9 +220,10 @@
               machineClock(),
               AccountFleet.this::machineClock,
               () -> Optional.of(heartbeats()));
-      this.fleetLog = new FleetLog(port, name, ++epochs, clock, IDLE_READ, List.of(book));
+      this.fleetLog =
+          new FleetLog(port, name, ++lastEpoch, clock, IDLE_READ_INTERVAL, List.of(book));
       this.requests =
-          new TokenRequests(book, holders, new Holders(), () -> true, event -> {}, clock);
+          new TokenRequests(book, holders, new FakeHolderPort(), () -> true, event -> {}, clock);
       this.draws = new TokenDraws(book, AccountFleet.this::draw, event -> {}, clock, new Random(1));
     }
 
@@ -234,28 +236,28 @@
       requests.reserve(
           customer,
           tokens,
-          clock.instant().plus(CALLER_LEAVES),
+          clock.instant().plus(CALLER_TIMEOUT),
           clock.instant().plus(DEADLINE),
           new ReservationListener() {
             @Override
             public void onReserved(Reservation reservation) {
-              granted++;
-              waits.add(Duration.between(began, clock.instant()));
+              grantedRequests++;
+              waitingTimes.add(Duration.between(began, clock.instant()));
               reserved.add(reservation);
-              given += reservation.tokens();
+              givenTokens += reservation.tokens();
             }
 
             @Override
             public void onRefused(Problem problem) {
-              refused.add(problem);
+              refusals.add(problem);
             }
           });
     }
 
-    /** Ends the oldest request, of which {@code used} tokens were used. */
+    /** Settles the oldest reservation, of which {@code used} tokens were used. */
     void settle(long used) {
       Reservation oldest = reserved.removeFirst();
-      given -= oldest.tokens() - used;
+      givenTokens -= oldest.tokens() - used;
       book.settle(oldest, used);
     }
 
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/account/ClockReadingTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/account/ClockReadingTests.java
@@ -10,23 +10,24 @@
   private final ClockReading written = new ClockReading(5_000_000_000L, 1_000_000);
 
   @Test
-  void tellsTheTimeWithinOneRunOfTheMachine() {
+  void measuresTheTimeWithinOneRunOfTheMachine() {
     ClockReading started = new ClockReading(6_300_000_000L, 1_001_290);
     assertEquals(Optional.of(Duration.ofMillis(1_300)), started.since(written));
   }
 
   /**
-   * A successor takes back what its predecessor had not used, if it knows how long ago the last
-   * note was written. After a loss of power the steady clock begins anew, at any value.
+   * A successor reclaims its predecessor's unused tokens only if it knows how long ago the last
+   * note was written. After a loss of power the monotonic clock starts anew at an arbitrary value,
+   * so the elapsed time must count as unknown.
    */
   @Test
-  void knowsNothingAfterALossOfPower() {
+  void returnsEmptyAfterALossOfPower() {
     assertEquals(Optional.empty(), new ClockReading(9_000_000_000L, 1_002_600).since(written));
     assertEquals(Optional.empty(), new ClockReading(1_000_000_000L, 1_002_600).since(written));
   }
 
   @Test
-  void knowsNothingAfterAStepOfTheTimeOfDay() {
+  void returnsEmptyAfterAStepOfTheWallClock() {
     assertEquals(Optional.empty(), new ClockReading(6_300_000_000L, 999_300).since(written));
   }
 }
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/account/ForeignNoteTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/account/ForeignNoteTests.java
@@ -15,81 +15,91 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.teaseldeal.gateway.fake.FakeSharedLog.Line;
 
-/** A customer never gets more than its total, whatever others write under the keys of notes. */
+/**
+ * Checks that a customer never gets more than its total, whatever foreign writers write under the
+ * keys of the instances' notes.
+ */
 class ForeignNoteTests {
   private static final long TOTAL = 10_000;
   private static final byte[] UNREADABLE = {9, 9};
-  private static final byte[] TAKEN_AWAY = {};
-  private static final Duration A_WHILE = Duration.ofSeconds(5);
+  private static final byte[] EMPTY = {};
+  private static final Duration SETTLE_TIME = Duration.ofSeconds(5);
 
   private final AccountFleet fleet = new AccountFleet(2, TOTAL);
 
   /**
-   * The caller's request is refused, as most of the total is spent elsewhere. The note that says so
-   * is overwritten while nobody can renew it, and this instance reads all notes anew after a gap.
+   * Guards against tokens that are given out twice after a note became unreadable. Most of the
+   * total is spent at instance 1; its note is overwritten while it can't renew it, and instance 0
+   * reloads all notes after a gap in the log.
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void keepsCountingWhatANoteSaidThatCannotBeReadAfterAGap(boolean takenAway) {
-    spendAtTheOther();
-    fleet.end(1);
+  void countsTheLastReadableNoteAfterAnUnreadableOne(boolean takenAway) {
+    spendMostOfTheTotalAtInstance1();
+    fleet.stop(1);
     fleet.instance(0).port.line(Line.CUT);
-    fleet.overwriteNote(1, takenAway ? TAKEN_AWAY : UNREADABLE);
+    fleet.overwriteNote(1, takenAway ? EMPTY : UNREADABLE);
     fleet.log.forgetHistory();
-    fleet.run(A_WHILE);
+    fleet.run(SETTLE_TIME);
     fleet.instance(0).port.line(Line.OPEN);
-    assertNotMoreThanTheTotalIsGiven();
+    assertWithinTotalAfterRequest();
   }
 
   /**
-   * The same as it is first read by a process that has just started and knows nothing of before.
+   * Guards against the same double use by a process that has just started and never read the note
+   * that was overwritten.
    */
   @Test
-  void givesNothingOutWhileTheNoteOfAnotherCannotBeReadAtTheStart() {
-    spendAtTheOther();
-    fleet.end(1);
-    fleet.end(0);
+  void givesNoTokensWhileAPeersNoteIsUnreadableAtStart() {
+    spendMostOfTheTotalAtInstance1();
+    fleet.stop(1);
+    fleet.stop(0);
     fleet.overwriteNote(1, UNREADABLE);
-    fleet.startAgain(0);
-    assertNotMoreThanTheTotalIsGiven();
+    fleet.restart(0);
+    assertWithinTotalAfterRequest();
   }
 
-  /** The process that spent it starts again, and can't read what it had spent. */
+  /**
+   * Guards against the same double use by a restarted process that can't read what its predecessor
+   * spent.
+   */
   @Test
-  void givesNothingOutIfItsOwnNoteCannotBeReadAtTheStart() {
-    spendAtTheOther();
-    fleet.end(1);
+  void givesNoTokensIfItsOwnNoteIsUnreadableAtStart() {
+    spendMostOfTheTotalAtInstance1();
+    fleet.stop(1);
     fleet.overwriteNote(1, UNREADABLE);
-    fleet.startAgain(1);
-    fleet.run(A_WHILE);
+    fleet.restart(1);
+    fleet.run(SETTLE_TIME);
     fleet.instance(1).request(TOTAL / 2);
-    assertNotMoreThanTheTotalIsGiven();
-    assertEquals(1, fleet.instance(1).refused.size());
+    assertWithinTotalAfterRequest();
+    assertEquals(1, fleet.instance(1).refusals.size());
   }
 
   /**
-   * Callers are served again once the instance has written its note anew, which it does at once.
+   * Guards against callers that are refused for good after a note was overwritten. Its instance
+   * writes the note again immediately, and then callers are served.
    */
   @Test
-  void servesOnOnceAnInstanceHasWrittenItsNoteAnew() {
+  void servesAgainAfterAPeerHasRewrittenItsNote() {
     fleet.instance(0).port.line(Line.CUT);
     fleet.overwriteNote(1, UNREADABLE);
     fleet.log.forgetHistory();
-    fleet.run(A_WHILE);
+    fleet.run(SETTLE_TIME);
     fleet.instance(0).port.line(Line.OPEN);
-    fleet.run(A_WHILE);
+    fleet.run(SETTLE_TIME);
     fleet.instance(0).request(TOTAL / 2);
-    fleet.run(A_WHILE);
-    assertEquals(1, fleet.instance(0).granted);
+    fleet.run(SETTLE_TIME);
+    assertEquals(1, fleet.instance(0).grantedRequests);
   }
 
   /**
-   * Two instances ask for more than half of the total each. One's wish is still on its way when
-   * another writer puts a note under its key that asks for a token; that isn't its own note, and
-   * before its own is on the log the other instance has asked and been granted.
+   * Guards against two claims of more than half of the total that are both granted. While the first
+   * instance's claim is on its way to the log, a foreign note with a claim appears under its key.
+   * If that note decided the claim, the other instance's claim, which is granted in between, would
+   * not be counted.
    */
   @Test
-  void decidesItsWishByItsOwnNoteOnly() {
+  void decidesAClaimOnlyByItsOwnNote() {
     for (int steps = 0; steps < 40; steps++) {
       AccountFleet racing = new AccountFleet(2, TOTAL);
       racing.run(Duration.ofMillis(10 * steps));
@@ -99,23 +109,25 @@
       racing.overwriteNote(0, note(0, 0, 1));
       racing.run(Duration.ofMillis(20));
       racing.instance(1).request(TOTAL * 6 / 10);
-      racing.run(A_WHILE);
-      assertTrue(racing.given() <= TOTAL, "after %d steps both were granted".formatted(steps));
+      racing.run(SETTLE_TIME);
+      assertTrue(
+          racing.givenTokens() <= TOTAL,
+          "after %d steps both claims were granted".formatted(steps));
     }
   }
 
-  /** Numbers whose sum is too large to count must not come out as less than nothing. */
+  /** Guards against sums that overflow and come out as negative. */
   @Test
-  void takesNoAbsurdNumbers() {
-    spendAtTheOther();
-    fleet.end(1);
+  void toleratesNumbersThatOverflow() {
+    spendMostOfTheTotalAtInstance1();
+    fleet.stop(1);
     fleet.overwriteNote(1, note(Long.MAX_VALUE, Long.MAX_VALUE, 0));
-    assertNotMoreThanTheTotalIsGiven();
+    assertWithinTotalAfterRequest();
   }
 
-  /** Whatever bytes are written at whatever time, and whether or not a process starts again. */
+  /** Writes arbitrary bytes under the notes' keys at arbitrary times, with and without restarts. */
   @Property(tries = 100, seed = "4711")
-  void givesNoMoreThanTheTotalWhateverBytesAreWritten(
+  void staysWithinTheTotalWhateverBytesAreWritten(
       @ForAll @Size(min = 1, max = 6) List<@Size(max = 40) byte[]> values, @ForAll long seed) {
     AccountFleet drawing = new AccountFleet(3, TOTAL);
     Random random = new Random(seed);
@@ -130,32 +142,33 @@
         drawing.log.forgetHistory();
       }
       if (random.nextInt(3) == 0) {
-        drawing.end(overwritten);
+        drawing.stop(overwritten);
         drawing.run(Duration.ofMillis(random.nextInt(500)));
-        drawing.startAgain(overwritten);
+        drawing.restart(overwritten);
       }
       drawing.run(Duration.ofMillis(random.nextInt(1_000)));
     }
-    assertTrue(drawing.given() <= TOTAL, drawing.given() + " tokens were given");
+    assertTrue(drawing.givenTokens() <= TOTAL, drawing.givenTokens() + " tokens were given");
   }
 
-  private void spendAtTheOther() {
+  private void spendMostOfTheTotalAtInstance1() {
     fleet.instance(1).request(TOTAL * 8 / 10);
-    fleet.run(A_WHILE);
-    assertEquals(1, fleet.instance(1).granted);
+    fleet.run(SETTLE_TIME);
+    assertEquals(1, fleet.instance(1).grantedRequests);
     fleet.instance(1).settle(TOTAL * 8 / 10);
-    fleet.run(A_WHILE);
+    fleet.run(SETTLE_TIME);
   }
 
-  private void assertNotMoreThanTheTotalIsGiven() {
-    fleet.run(A_WHILE);
+  private void assertWithinTotalAfterRequest() {
+    fleet.run(SETTLE_TIME);
     fleet.instance(0).request(TOTAL / 2);
-    fleet.run(A_WHILE);
+    fleet.run(SETTLE_TIME);
     assertTrue(
-        fleet.given() <= TOTAL, "%d of %d tokens were given".formatted(fleet.given(), TOTAL));
+        fleet.givenTokens() <= TOTAL,
+        "%d of %d tokens were given".formatted(fleet.givenTokens(), TOTAL));
   }
 
-  /** A note of the newest layout with all other numbers 0. */
+  /** Returns a note of the newest layout in which all other numbers are 0. */
   private static byte[] note(long spent, long held, long asked) {
     return ByteBuffer.allocate(1 + 12 * Long.BYTES)
         .put((byte) 4)
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/account/LargeFleetTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/account/LargeFleetTests.java
@@ -9,63 +9,69 @@
 import org.teaseldeal.gateway.fake.FakeSharedLog.Line;
 
 /**
- * Many instances, each with few requests of each customer, and a log that takes its appends in
- * turn.
+ * Runs a large fleet in which each instance gets few requests of each customer, with a log that
+ * processes one append at a time.
  */
 class LargeFleetTests {
   private static final int INSTANCES = 68;
   private static final int CUSTOMERS = 24;
 
-  /** Of each customer: a fleet of seven gives an instance a lease of several such requests. */
+  /**
+   * Total of each customer in tokens; in a fleet of seven, an instance's lease covers several
+   * requests of the test.
+   */
   private static final long TOTAL = 1_500_000;
 
   private static final long TOKENS = 12_000;
   private static final long USED = 11_700;
 
-  /** An append takes two milliseconds, and a step of the fleet ten. */
-  private static final int APPENDS_IN_STEP = 5;
+  /** Appends per step: an append takes 2 ms and a step of the fleet 10 ms. */
+  private static final int APPENDS_PER_STEP = 5;
 
   private static final Duration STEP = Duration.ofMillis(10);
 
-  /** Half of the time in which the first token of a short prompt is on time. */
+  /** Half of the time within which the first token of a short prompt counts as on time. */
   private static final Duration LONG_WAIT = Duration.ofMillis(200);
 
-  /** Requests of all customers in a step: 60 a second. */
-  private static final double REQUESTS_IN_STEP = 0.6;
+  /** Requests of all customers per step, which is 60 requests per second. */
+  private static final double REQUESTS_PER_STEP = 0.6;
 
   private final Random random = new Random(3);
   private final AccountFleet fleet = new AccountFleet(INSTANCES, TOTAL);
 
   /**
-   * Guards against leases that a large fleet splits too finely: none covers a request, so each
-   * request waits for an append, the appends wait for each other, and callers are refused though
-   * most of the total is idle.
+   * Guards against leases that are split too finely in a large fleet. If no lease covers a request,
+   * each request waits for an append, the appends queue up, and callers are refused although most
+   * of the total is idle.
    */
   @Test
-  void grantsLargeRequestsAtOnceWhileTheLogAnswers() {
-    fleet.log.appendsInRound(APPENDS_IN_STEP);
+  void grantsLargeRequestsImmediatelyWhileTheLogIsAvailable() {
+    fleet.log.appendsInRound(APPENDS_PER_STEP);
     Outcome outcome = play(Duration.ofSeconds(10));
     assertAtMost(1, 1_000, outcome.refused(), outcome);
     assertAtMost(1, 100, outcome.late(), outcome);
   }
 
-  /** The same leases, while nobody reaches the log: most of the total is idle and can't be used. */
+  /**
+   * Guards against the same fine split while no instance reaches the log: most of the total is idle
+   * and can't be used.
+   */
   @Test
-  void servesLargeRequestsWhileNobodyReachesTheLog() {
-    fleet.log.appendsInRound(APPENDS_IN_STEP);
+  void servesLargeRequestsWhileTheLogIsUnavailable() {
+    fleet.log.appendsInRound(APPENDS_PER_STEP);
     play(Duration.ofSeconds(5));
-    fleet.lines(Line.CUT);
+    fleet.setLines(Line.CUT);
     Outcome outcome = play(Duration.ofSeconds(7));
     assertAtMost(1, 10, outcome.refused(), outcome);
     assertAtMost(1, 10, outcome.late(), outcome);
   }
 
   /**
-   * Guards against bursts of notes that fill the links of instances which have no use for them, so
-   * that their callers' requests wait behind them.
+   * Guards against bursts of notes that saturate the network links of instances that don't need
+   * them, so that their callers' requests are delayed.
    */
   @Test
-  void readsNoNotesWhereNoPartOfATotalIsHeld() {
+  void instancesThatHoldNoTokensReadNoNotes() {
     play(Duration.ofSeconds(5));
     fleet.instances.forEach(each -> each.port.forgetReads());
     play(Duration.ofSeconds(5));
@@ -76,11 +82,11 @@
   }
 
   /**
-   * Guards against callers that are refused as unpaid: what earlier requests were given at their
-   * most and didn't use stays where it was given, and the total looks used up.
+   * Guards against callers that are refused as unpaid because tokens that earlier requests reserved
+   * and did not use stay at the instance that got them, so that the total looks used up.
    */
   @Test
-  void grantsWhatEarlierRequestsDidNotUse() {
+  void grantsTokensThatEarlierRequestsDidNotUse() {
     for (int i = 0; i < INSTANCES; i++) {
       AccountFleet.Instance instance = fleet.instance(i);
       instance.request("customer-1", TOTAL / 20);
@@ -92,7 +98,7 @@
     assertEquals(0, outcome().refused());
   }
 
-  /** What became of requests; {@code late} ones waited for more than {@link #LONG_WAIT}. */
+  /** Numbers of requests by outcome; {@code late} ones waited longer than {@link #LONG_WAIT}. */
   private record Outcome(int granted, int refused, int late) {
     int requests() {
       return granted + refused;
@@ -103,11 +109,13 @@
     }
   }
 
-  /** Plays requests for some time; returns what became of those that were decided in it. */
+  /**
+   * Sends requests for some time; returns the outcomes of the requests that were decided meanwhile.
+   */
   private Outcome play(Duration time) {
     Outcome before = outcome();
     for (Duration passed = Duration.ZERO; passed.compareTo(time) < 0; passed = passed.plus(STEP)) {
-      if (random.nextDouble() < REQUESTS_IN_STEP) {
+      if (random.nextDouble() < REQUESTS_PER_STEP) {
         String customer = "customer-" + random.nextInt(CUSTOMERS);
         fleet.instance(random.nextInt(INSTANCES)).request(customer, TOKENS);
       }
@@ -128,9 +136,10 @@
     int refused = 0;
     int late = 0;
     for (AccountFleet.Instance each : fleet.instances) {
-      granted += each.granted;
-      refused += each.refused.size();
-      late += (int) each.waits.stream().filter(wait -> wait.compareTo(LONG_WAIT) > 0).count();
+      granted += each.grantedRequests;
+      refused += each.refusals.size();
+      late +=
+          (int) each.waitingTimes.stream().filter(wait -> wait.compareTo(LONG_WAIT) > 0).count();
     }
     return new Outcome(granted, refused, late);
   }
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/account/LogReachTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/account/LogAvailabilityTests.java
@@ -9,10 +9,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-class LogReachTests {
+class LogAvailabilityTests {
   private static final Instant START = Instant.EPOCH;
 
-  private final LogReach log = new LogReach(START);
+  private final LogAvailability log = new LogAvailability(START);
 
   @BeforeEach
   void load() {
@@ -20,28 +20,28 @@
   }
 
   /**
-   * Callers who wait for tokens as the answer of a write is lost are not refused for an outage: the
-   * write is sent again, and answered a fifth of a second later.
+   * Guards against callers that are refused because of a supposed outage when the answer of one
+   * write is lost: the write is repeated and answered 200 ms later.
    */
   @Test
-  void takesALostAnswerForNoOutage() {
+  void lostAnswerIsNoOutage() {
     log.onReachable(false, after(0));
     log.onReachable(false, after(200));
-    assertTrue(log.asksForMore());
+    assertTrue(log.acceptsClaims());
     log.onReachable(true, after(210));
-    assertTrue(log.asksForMore());
-    assertEquals(START, log.grantableSince(START));
+    assertTrue(log.acceptsClaims());
+    assertEquals(START, log.earliestGrant(START));
   }
 
   @Test
-  void isAwayOnceCallsHaveFailedForSomeTime() {
+  void isUnavailableAfterCallsHaveFailedForSomeTime() {
     log.onReachable(false, after(0));
     log.onReachable(false, after(600));
-    assertFalse(log.asksForMore());
-    assertEquals(Duration.ofMillis(700), log.outage(after(700)));
+    assertFalse(log.acceptsClaims());
+    assertEquals(Duration.ofMillis(700), log.outageDuration(after(700)));
     log.onReachable(true, after(800));
-    assertTrue(log.asksForMore());
-    assertEquals(after(800), log.grantableSince(START));
+    assertTrue(log.acceptsClaims());
+    assertEquals(after(800), log.earliestGrant(START));
   }
 
   private static Instant after(long millis) {
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/account/TokenRequestsTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/account/TokenRequestsTests.java
@@ -25,8 +25,8 @@
   private static final Set<String> FLEET =
       IntStream.range(0, 68).mapToObj(i -> "instance-" + i).collect(Collectors.toSet());
 
-  /** One that holds no part of the customer's total. */
-  private static final String ASKER =
+  /** An instance that holds no part of the customer's total. */
+  private static final String REQUESTER =
       FLEET.stream()
           .filter(name -> !new TokenHolders(name, () -> FLEET).holds(CUSTOMER))
           .sorted()
@@ -37,16 +37,16 @@
 
   private record Returned(String holder, long tokens) {}
 
-  private boolean othersHeard = true;
+  private boolean peersHeard = true;
   private final ManualClock clock = new ManualClock();
   private final List<Asked> asked = new ArrayList<>();
   private final List<Returned> returned = new ArrayList<>();
   private final List<Reservation> reserved = new ArrayList<>();
   private final List<Problem> refused = new ArrayList<>();
-  private final TokenHolders holders = new TokenHolders(ASKER, () -> FLEET);
+  private final TokenHolders holders = new TokenHolders(REQUESTER, () -> FLEET);
   private final AccountBook book =
       new AccountBook(
-          ASKER,
+          REQUESTER,
           customer -> OptionalLong.of(1_000_000),
           holders,
           event -> {},
@@ -55,58 +55,64 @@
           () -> new ClockReading(0, 0),
           Optional::empty);
   private final TokenRequests requests =
-      new TokenRequests(book, holders, new Port(), () -> othersHeard, event -> {}, clock);
+      new TokenRequests(book, holders, new Port(), () -> peersHeard, event -> {}, clock);
   private final ReservationListener listener = new Listener();
 
   @Test
   void asksAHolderForTheTokensOfARequest() {
     request();
-    assertEquals(TOKENS, last().ask().tokens());
+    assertEquals(TOKENS, lastAsked().ask().tokens());
     answer(new HolderPort.Answer.Granted());
     assertEquals(List.of(new Reservation(CUSTOMER, TOKENS, TOKENS)), reserved);
   }
 
-  /** Guards against callers that are refused because one instance is down. */
+  /** Guards against callers that are refused because one holder is down. */
   @Test
-  void asksTheNextHolderWhereOneCannotBeReached() {
+  void asksTheNextHolderIfOneIsUnreachable() {
     request();
-    String down = last().holder();
+    String down = lastAsked().holder();
     answer(new HolderPort.Answer.Unreachable("down"));
-    assertNotEquals(down, last().holder());
+    assertNotEquals(down, lastAsked().holder());
     answer(new HolderPort.Answer.Granted());
     request();
-    assertNotEquals(down, last().holder());
+    assertNotEquals(down, lastAsked().holder());
     assertEquals(1, reserved.size());
   }
 
-  /** Guards against callers who wait long at an instance that is cut off from all others. */
+  /** Guards against long waits of callers at an instance that is partitioned from all others. */
   @Test
-  void asksFewHoldersWhereNoneCanBeReached() {
+  void limitsTheHoldersAskedIfNoneIsReachable() {
     request();
     for (int i = 0; i < 3; i++) {
       answer(new HolderPort.Answer.Unreachable("down"));
     }
     assertEquals(3, asked.size());
-    assertEquals(1, book.lacking(clock.instant()).size(), "waits in the own account");
+    assertEquals(
+        1,
+        book.customersWaitingSince(clock.instant()).size(),
+        "expected the request to wait in this instance's account");
   }
 
   /**
-   * Guards against callers who wait for each holder in turn, and then for the log, at an instance
-   * that hears no other.
+   * Guards against callers that wait for each holder in turn and then for the log, at an instance
+   * that receives no messages from any other.
    */
   @Test
-  void asksNobodyWhereNoOtherInstanceIsHeard() {
-    othersHeard = false;
+  void asksNoHolderIfNoPeerIsHeard() {
+    peersHeard = false;
     requests.tick();
-    assertTrue(book.needsLog(), "the log is read before a request comes");
+    assertTrue(book.needsLog(), "expected the log to be read before a request arrives");
     request();
     assertEquals(0, asked.size());
-    assertEquals(1, book.lacking(clock.instant()).size(), "waits in the own account");
+    assertEquals(
+        1,
+        book.customersWaitingSince(clock.instant()).size(),
+        "expected the request to wait in this instance's account");
   }
 
-  /** Guards against a wait below zero, with which no holder can be asked. */
+  /** Guards against a negative maximum wait, with which no holder can be asked. */
   @Test
-  void asksNobodyOnceTheCallerIsAboutToLeave() {
+  void asksNoHolderAfterTheCallerTimeout() {
     request();
     clock.advance(Duration.ofSeconds(4));
     answer(new HolderPort.Answer.Unreachable("down"));
@@ -114,7 +120,7 @@
   }
 
   @Test
-  void asksAnotherHolderWhereOneHasNoneAtHand() {
+  void asksAnotherHolderIfOneHasTooFewTokens() {
     request();
     answer(new HolderPort.Answer.Refused(noLease()));
     assertEquals(2, asked.size());
@@ -122,32 +128,32 @@
   }
 
   @Test
-  void refusesAtOnceWhatTheTotalCannotCover() {
+  void refusesImmediatelyIfTheTotalIsExhausted() {
     request();
     Problem unpaid = Problem.of(ErrorKind.BUDGET_EXHAUSTED, "less remain");
     answer(new HolderPort.Answer.Refused(unpaid));
     assertEquals(List.of(unpaid), refused);
   }
 
-  /** Guards against tokens that stay with a caller who has left. */
+  /** Guards against tokens that remain with the request of a caller that has left. */
   @Test
-  void givesBackWhatAGoneRequestWasGiven() {
+  void returnsTokensOfACancelledRequest() {
     request();
     requests.withdraw(CUSTOMER, listener);
     answer(new HolderPort.Answer.Granted());
     requests.tick();
     assertEquals(List.of(), reserved);
     assertEquals(TOKENS, returned.getFirst().tokens());
-    assertTrue(holders.others(CUSTOMER).contains(returned.getFirst().holder()));
+    assertTrue(holders.otherHolders(CUSTOMER).contains(returned.getFirst().holder()));
   }
 
   @Test
-  void asksOnlyForWhatItLacks() {
+  void asksOnlyForMissingTokens() {
     request();
     answer(new HolderPort.Answer.Granted());
     requests.settle(reserved.getFirst(), TOKENS - 2_000);
     request();
-    assertEquals(TOKENS - 2_000, last().ask().tokens());
+    assertEquals(TOKENS - 2_000, lastAsked().ask().tokens());
   }
 
   private void request() {
@@ -155,12 +161,12 @@
     requests.reserve(CUSTOMER, TOKENS, leaves, leaves, listener);
   }
 
-  private Asked last() {
+  private Asked lastAsked() {
     return asked.getLast();
   }
 
   private void answer(HolderPort.Answer answer) {
-    last().answer().accept(answer);
+    lastAsked().answer().accept(answer);
   }
 
   private static Problem noLease() {
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/log/AppendPatienceTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/log/AppendPatienceTests.java
@@ -9,37 +9,38 @@
 class AppendPatienceTests {
   private static final Duration ANSWER = Duration.ofMillis(5);
 
-  /** The age up to which a note lets a successor prove that nothing was used. */
-  private static final Duration FRESH = Duration.ofMillis(500);
+  /** Maximum age of a note that lets a successor prove that no tokens were used. */
+  private static final Duration MAX_NOTE_AGE = Duration.ofMillis(500);
 
   /**
-   * Notes stay fresh while the log does what it is told and every third answer is lost. Whoever
-   * waits long for an answer that never comes has old notes, and what it holds is written off if
-   * its machine loses power then.
+   * Guards against outdated notes while the log works but every third answer is lost. An instance
+   * that waits long for an answer that never arrives has old notes, and its idle tokens are written
+   * off if its machine loses power then.
    */
   @Test
-  void hearsOfNineInTenWritesSoonWhileEveryThirdAnswerIsLost() {
+  void confirmsNineInTenWritesSoonWhileEveryThirdAnswerIsLost() {
     Random answers = new Random(11);
-    AppendPatience patience = new AppendPatience();
+    AppendPatience timeout = new AppendPatience();
     int fresh = 0;
     int writes = 1_000;
     for (int write = 0; write < writes; write++) {
-      if (untilAnswered(patience, answers).compareTo(FRESH) <= 0) {
+      if (untilAnswered(timeout, answers).compareTo(MAX_NOTE_AGE) <= 0) {
         fresh++;
       }
     }
     assertTrue(
         fresh * 10 >= 9 * writes,
-        "%d of %d writes were answered in time, expected nine in ten".formatted(fresh, writes));
+        "%d of %d writes were answered in time, expected at least nine in ten"
+            .formatted(fresh, writes));
   }
 
-  private static Duration untilAnswered(AppendPatience patience, Random answers) {
+  private static Duration untilAnswered(AppendPatience timeout, Random answers) {
     Duration passed = Duration.ZERO;
     while (answers.nextInt(3) == 0) {
-      passed = passed.plus(patience.present());
-      patience.onUnanswered();
+      passed = passed.plus(timeout.present());
+      timeout.onUnanswered();
     }
-    patience.onAnswered(ANSWER);
+    timeout.onAnswered(ANSWER);
     return passed.plus(ANSWER);
   }
 }
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/log/NoteCodecTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/log/NoteCodecTests.java
@@ -20,7 +20,7 @@
       new SharedNote.Account("a@10.0.0.1", "trawler", 1, 2, 30, 4, 5, 6, 7, 8, 9, -9, 10, 11);
 
   @Test
-  void readsBackWhatItWrites() {
+  void decodesEncodedNotes() {
     for (SharedNote note :
         List.of(
             ACCOUNT,
@@ -32,12 +32,13 @@
   }
 
   /**
-   * Customers' tokens stay counted while a fleet is upgraded in turn. An instance of the version
-   * before has written a note without the count of heartbeats and the pace; a new one reads all the
-   * rest of it, and counts all that was idle or asked for as free to be used at once.
+   * Guards against tokens that are not counted during a rolling upgrade. An instance of the
+   * previous version has written a note without the count of heartbeats and the release rate; an
+   * instance of the new version has to read the remaining numbers, and to treat all idle and
+   * claimed tokens as released immediately.
    */
   @Test
-  void readsNotesOfTheFirstLayout() {
+  void decodesNotesOfTheFirstLayout() {
     ByteBuffer value = ByteBuffer.allocate(1 + 9 * Long.BYTES).put((byte) 1);
     for (long number : new long[] {1, 2, 30, 4, 5, 6, 7, -9, 10}) {
       value.putLong(number);
@@ -64,11 +65,12 @@
   }
 
   /**
-   * A total isn't exceeded while a fleet is upgraded in turn. An instance of the version before
-   * used idle tokens sooner after its note; a new one counts all of them as free at once.
+   * Guards against an exceeded total during a rolling upgrade. An instance of the previous version
+   * used idle tokens sooner after its note; an instance of the new version has to treat all of them
+   * as released immediately.
    */
   @Test
-  void countsIdleTokensOfTheThirdLayoutAsFreeAtOnce() {
+  void treatsIdleTokensOfTheThirdLayoutAsReleased() {
     ByteBuffer value = ByteBuffer.allocate(1 + 12 * Long.BYTES).put((byte) 3);
     for (long number : new long[] {1, 2, 30, 4, 5, 6, 7, -9, 10, 11, 12, 13}) {
       value.putLong(number);
@@ -81,7 +83,7 @@
   }
 
   @Test
-  void refusesWhatItDoesNotKnow() {
+  void rejectsUnknownKeysAndLayouts() {
     for (KeyedRecord record :
         List.of(
             new KeyedRecord("account|a|trawler", new byte[] {9}),
@@ -93,11 +95,11 @@
   }
 
   /**
-   * Instances go on serving whoever else writes to their log. An address that is none would fail
-   * every message to all others; a count below nothing would free a request that crashes servers.
+   * Guards against disturbances by foreign writers. An invalid address would make every message to
+   * all other instances fail; a negative count would release a request that crashes servers.
    */
   @Test
-  void refusesNumbersAndAddressesThatNoInstanceWrites() {
+  void rejectsInvalidNumbersAndAddresses() {
     byte[] account = NoteCodec.encode(ACCOUNT).value();
     for (KeyedRecord record :
         List.of(
@@ -126,7 +128,7 @@
   }
 
   @Property(tries = 2_000, seed = "4711")
-  void noBytesMakeItThrowAnythingElse(
+  void arbitraryBytesCauseNoOtherException(
       @ForAll("kinds") String kind, @ForAll @Size(max = 120) byte[] value) {
     try {
       NoteCodec.decode(new KeyedRecord(kind + "|a|b", value));
