--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/TokenHolderChoice.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/TokenHolderChoice.java
@@ -69,10 +69,10 @@
   }
 
   /**
-   * Returns the order in which {@code asker} asks the holders; each holder is first for about the
-   * same number of instances.
+   * Returns the order in which {@code requester} asks the holders; each holder is first for about
+   * the same number of instances.
    */
-  public static List<String> order(String asker, Collection<String> holders) {
-    return RendezvousHash.order(asker, holders);
+  public static List<String> order(String requester, Collection<String> holders) {
+    return RendezvousHash.order(requester, holders);
   }
 }
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/TokenHolderChoiceTests.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/TokenHolderChoiceTests.java
@@ -73,8 +73,8 @@
   void spreadsRequestsOverAllHolders() {
     Set<String> holders = TokenHolderChoice.of("customer-1", names("instance", 68));
     Map<String, Integer> first = new HashMap<>();
-    for (String asker : names("asker", 900)) {
-      first.merge(TokenHolderChoice.order(asker, holders).getFirst(), 1, Integer::sum);
+    for (String requester : names("asker", 900)) {
+      first.merge(TokenHolderChoice.order(requester, holders).getFirst(), 1, Integer::sum);
     }
     assertEquals(holders, first.keySet());
     first.forEach((holder, count) -> assertTrue(count <= 225, holder + " is asked by " + count));
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/ClockReading.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/ClockReading.java
@@ -66,10 +66,10 @@
       HeartbeatCount heartbeats) {
     Duration untilCounted = Duration.ofMillis(counted.wallMillis - earlier.wallMillis);
     Duration byHeartbeats = heartbeats.since(heartbeatsEarlier);
-    boolean borneOut =
+    boolean confirmed =
         !byHeartbeats.isNegative()
             && byHeartbeats.compareTo(untilCounted.plus(HEARTBEAT_TOLERANCE)) <= 0;
     Duration since = Duration.ofMillis(wallMillis - earlier.wallMillis).plus(MAX_SLEW);
-    return borneOut && !since.isNegative() ? Optional.of(since) : Optional.empty();
+    return confirmed && !since.isNegative() ? Optional.of(since) : Optional.empty();
   }
 }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/CustomerAccount.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/CustomerAccount.java
@@ -528,7 +528,7 @@
     boolean settled = inUse() != inUsePublished;
     PublishedRelease pending = releaseLimit.pending();
     boolean unrefreshed =
-        pending.delayed().delayed() > 0
+        pending.delayedRelease().delayed() > 0
             && now.isAfter(pending.composedAt().plus(MAX_UNUSED_NOTE_AGE));
     return old
         || unrefreshed
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/PublishedRelease.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/PublishedRelease.java
@@ -10,10 +10,11 @@
  * @param composedAt when the note was composed
  * @param held tokens held, including those reserved for running requests
  * @param immediate tokens, idle or claimed, that may be used immediately
- * @param delayed the remaining tokens, which may be used no faster than {@link IdleTokenRelease}
- *     allows
+ * @param delayedRelease the remaining tokens, which may be used no faster than {@link
+ *     IdleTokenRelease} allows
  */
-record PublishedRelease(Instant composedAt, long held, long immediate, IdleTokenRelease delayed) {
+record PublishedRelease(
+    Instant composedAt, long held, long immediate, IdleTokenRelease delayedRelease) {
   static final PublishedRelease NONE =
       new PublishedRelease(Instant.EPOCH, 0, 0, new IdleTokenRelease(0, 0));
 
@@ -24,11 +25,11 @@
     // returned since the note may be used as well.
     return IdleTokenRelease.untilAll(since).isZero()
         ? Long.MAX_VALUE
-        : immediate + delayed.released(since);
+        : immediate + delayedRelease.released(since);
   }
 
   /** Returns how long it takes until {@code tokens} may be taken if no further note is written. */
   Duration untilReleased(long tokens, Instant now) {
-    return delayed.untilReleased(tokens - immediate, Duration.between(composedAt, now));
+    return delayedRelease.untilReleased(tokens - immediate, Duration.between(composedAt, now));
   }
 }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/ReleaseLimit.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/ReleaseLimit.java
@@ -63,8 +63,8 @@
   }
 
   /** Records what the note says that is about to be written. */
-  void recordPending(PublishedRelease promise) {
-    pending = promise;
+  void recordPending(PublishedRelease release) {
+    pending = release;
     takenSincePending = 0;
   }
 
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/log/FleetLog.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/log/FleetLog.java
@@ -36,7 +36,7 @@
   /** First pause after a failure: half of the answer time of a slow log. */
   private static final Duration FIRST_PAUSE = Duration.ofMillis(40);
 
-  private static final Duration LONGEST_PAUSE = Duration.ofMillis(500);
+  private static final Duration MAX_PAUSE = Duration.ofMillis(500);
 
   /**
    * How far the epoch is advanced after finding one in use: by more than the clocks of two restarts
@@ -92,7 +92,7 @@
    * @param log the shared log
    * @param instance name of this instance
    * @param epoch higher than that of any previous process
-   * @param idleRead longest staleness of the known notes while this instance writes none
+   * @param idleReadInterval longest staleness of the known notes while this instance writes none
    * @param participants components that write and receive notes
    */
   public FleetLog(
@@ -100,13 +100,13 @@
       String instance,
       long epoch,
       InstantSource clock,
-      Duration idleRead,
+      Duration idleReadInterval,
       List<LogParticipant> participants) {
     this.log = log;
     this.instance = instance;
     this.epoch = epoch;
     this.clock = clock;
-    this.idleReadInterval = idleRead;
+    this.idleReadInterval = idleReadInterval;
     this.participants = List.copyOf(participants);
   }
 
@@ -346,7 +346,7 @@
     }
     failureDetail = detail;
     pauseUntil = clock.instant().plus(pause);
-    pause = pause.multipliedBy(2).compareTo(LONGEST_PAUSE) > 0 ? LONGEST_PAUSE : pause.plus(pause);
+    pause = pause.multipliedBy(2).compareTo(MAX_PAUSE) > 0 ? MAX_PAUSE : pause.plus(pause);
   }
 
   private void recovered() {
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/account/AccountBookTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/account/AccountBookTests.java
@@ -288,7 +288,7 @@
       requestEverywhere(fleet, 2_000, 400);
       assertTrue(
           fleet.givenTokens() <= fleet.total,
-          "cut off for %d ms: %d tokens were given, expected at most %d"
+          "partitioned for %d ms: %d tokens were given, expected at most %d"
               .formatted(cutFor, fleet.givenTokens(), fleet.total));
     }
   }
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/account/LargeFleetTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/account/LargeFleetTests.java
@@ -48,8 +48,8 @@
   void grantsLargeRequestsImmediatelyWhileTheLogIsAvailable() {
     fleet.log.appendsInRound(APPENDS_PER_STEP);
     Outcome outcome = play(Duration.ofSeconds(10));
-    assertAtMost(1, 1_000, outcome.refused(), outcome);
-    assertAtMost(1, 100, outcome.late(), outcome);
+    assertShareAtMost(1, 1_000, outcome.refused(), outcome);
+    assertShareAtMost(1, 100, outcome.late(), outcome);
   }
 
   /**
@@ -62,8 +62,8 @@
     play(Duration.ofSeconds(5));
     fleet.setLines(Line.CUT);
     Outcome outcome = play(Duration.ofSeconds(7));
-    assertAtMost(1, 10, outcome.refused(), outcome);
-    assertAtMost(1, 10, outcome.late(), outcome);
+    assertShareAtMost(1, 10, outcome.refused(), outcome);
+    assertShareAtMost(1, 10, outcome.late(), outcome);
   }
 
   /**
@@ -144,7 +144,7 @@
     return new Outcome(granted, refused, late);
   }
 
-  private static void assertAtMost(int part, int of, int count, Outcome outcome) {
+  private static void assertShareAtMost(int part, int of, int count, Outcome outcome) {
     assertTrue(
         (long) count * of <= (long) part * outcome.requests(),
         "%d of %d requests, expected at most %d in %d: %s"
