--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/AnswerCollector.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/AnswerCollector.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 
-/** Gathers a whole answer of bounded size. */
+/** Collects a complete answer up to a maximum size. */
 final class AnswerCollector implements HttpListener {
   private final int maxBytes;
   private final CompletableFuture<HttpAnswer> answer = new CompletableFuture<>();
@@ -22,7 +22,7 @@
     return answer;
   }
 
-  /** Cancels {@code call} when the future is done by other means, or the time is up. */
+  /** Cancels {@code call} when the future completes in another way or the time limit has passed. */
   void cancelWith(HttpCall call, Duration timeout) {
     var timer =
         NetRuntime.group()
--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/ByteBudget.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/ByteBudget.java
@@ -2,25 +2,25 @@
 
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Bytes that all connections of a server together may hold. */
+/** A limit on the number of bytes that all connections of a server together may hold. */
 final class ByteBudget {
   private final long limit;
-  private final AtomicLong held = new AtomicLong();
+  private final AtomicLong reserved = new AtomicLong();
 
   ByteBudget(long limit) {
     this.limit = limit;
   }
 
-  /** Takes {@code bytes}; false, and nothing is taken, if they are not there. */
-  boolean take(int bytes) {
-    if (held.addAndGet(bytes) <= limit) {
+  /** Reserves {@code bytes}; returns false and reserves nothing if they would exceed the limit. */
+  boolean tryReserve(int bytes) {
+    if (reserved.addAndGet(bytes) <= limit) {
       return true;
     }
-    held.addAndGet(-bytes);
+    reserved.addAndGet(-bytes);
     return false;
   }
 
-  void giveBack(int bytes) {
-    held.addAndGet(-bytes);
+  void release(int bytes) {
+    reserved.addAndGet(-bytes);
   }
 }
--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/ClientCall.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/ClientCall.java
@@ -9,10 +9,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One call: forwards to its listener, and makes sure that nothing follows the end.
+ * One call. It forwards events to its listener and ensures that none follows the end of the call.
  *
- * <p>The connection's event loop, the timeout and whoever cancels may meet here. Callbacks run
- * under the lock, so that none can start once {@link #cancel} has returned.
+ * <p>The connection's event loop, the timeout and a cancelling thread may access it concurrently.
+ * Callbacks run under the lock, so that none can start after {@link #cancel} has returned.
  */
 final class ClientCall implements HttpCall {
   private static final Logger LOG = LoggerFactory.getLogger(ClientCall.class);
@@ -22,8 +22,8 @@
   private @Nullable Channel channel;
   private @Nullable Future<?> timeout;
   private boolean written;
-  private boolean headSeen;
-  private boolean over;
+  private boolean headReceived;
+  private boolean finished;
 
   ClientCall(HttpCallRequest request, HttpListener listener) {
     this.request = request;
@@ -37,19 +37,21 @@
   synchronized void startTimeout() {
     timeout =
         NetRuntime.group()
-            .schedule(this::timedOut, request.timeout().toNanos(), TimeUnit.NANOSECONDS);
+            .schedule(this::onTimeout, request.timeout().toNanos(), TimeUnit.NANOSECONDS);
   }
 
-  synchronized void connectingOn(Channel connecting) {
+  synchronized void setConnectingChannel(Channel connecting) {
     channel = connecting;
-    if (over) {
+    if (finished) {
       connecting.close();
     }
   }
 
-  /** Marks the request as being written on {@code used}; false if the call is over. */
-  synchronized boolean writeOn(Channel used) {
-    if (over) {
+  /**
+   * Marks the request as being written on {@code used}; returns false if the call is already over.
+   */
+  synchronized boolean startWriting(Channel used) {
+    if (finished) {
       return false;
     }
     channel = used;
@@ -57,49 +59,55 @@
     return true;
   }
 
-  /** Whether an answer with this head is the call's own. */
+  /** Returns whether an answer with this head belongs to the call. */
   synchronized boolean isAnswer(int status, Map<String, String> headers) {
-    return over || listener.isAnswer(status, headers);
+    return finished || listener.isAnswer(status, headers);
   }
 
-  synchronized void head(int status, Map<String, String> headers) {
-    if (over) {
+  synchronized void deliverHead(int status, Map<String, String> headers) {
+    if (finished) {
       return;
     }
-    headSeen = true;
-    stopTimeout();
-    guarded(() -> listener.onHead(status, headers));
+    headReceived = true;
+    cancelTimeout();
+    runCallback(() -> listener.onHead(status, headers));
   }
 
-  synchronized void part(byte[] part) {
-    if (!over) {
-      guarded(() -> listener.onPart(part));
+  synchronized void deliverPart(byte[] part) {
+    if (!finished) {
+      runCallback(() -> listener.onPart(part));
     }
   }
 
-  /** Ends the call; {@code first} runs before the listener hears of it. False if it was over. */
-  synchronized boolean end(Runnable first) {
+  /**
+   * Completes the call; {@code first} runs before the listener is notified. Returns false if the
+   * call was already over.
+   */
+  synchronized boolean complete(Runnable first) {
     if (!finish()) {
       return false;
     }
     first.run();
-    guarded(listener::onEnd);
+    runCallback(listener::onEnd);
     return true;
   }
 
   synchronized void fail(HttpFailure failure, String detail) {
     if (finish()) {
-      guarded(() -> listener.onFailure(failure, detail));
+      runCallback(() -> listener.onFailure(failure, detail));
     }
   }
 
-  /** Fails as far as the call got, and closes its connection. */
-  synchronized void failAsFarAsItGot(String detail) {
-    if (over) {
+  /**
+   * Fails the call with the {@link HttpFailure} that matches its progress, and closes its
+   * connection.
+   */
+  synchronized void failByProgress(String detail) {
+    if (finished) {
       return;
     }
     Channel used = channel;
-    fail(failureNow(), detail);
+    fail(failureByProgress(), detail);
     if (used != null) {
       used.close();
     }
@@ -113,42 +121,45 @@
     }
   }
 
-  private HttpFailure failureNow() {
-    if (headSeen) {
+  private HttpFailure failureByProgress() {
+    if (headReceived) {
       return HttpFailure.BROKEN_ANSWER;
     }
     return written ? HttpFailure.NO_ANSWER : HttpFailure.NOT_SENT;
   }
 
-  private synchronized void timedOut() {
-    if (!headSeen) {
-      failAsFarAsItGot("no answer within %d ms".formatted(request.timeout().toMillis()));
+  private synchronized void onTimeout() {
+    if (!headReceived) {
+      failByProgress("no answer within %d ms".formatted(request.timeout().toMillis()));
     }
   }
 
-  /** The channel is forgotten here: it may carry another call from now on. */
+  /**
+   * Marks the call as over; returns false if it already was. The reference to the channel is
+   * dropped, as the channel may carry another call from now on.
+   */
   private boolean finish() {
-    if (over) {
+    if (finished) {
       return false;
     }
-    over = true;
+    finished = true;
     channel = null;
-    stopTimeout();
+    cancelTimeout();
     return true;
   }
 
-  private void stopTimeout() {
+  private void cancelTimeout() {
     if (timeout != null) {
       timeout.cancel(false);
       timeout = null;
     }
   }
 
-  private static void guarded(Runnable callback) {
+  private static void runCallback(Runnable callback) {
     try {
       callback.run();
     } catch (RuntimeException e) {
-      LOG.error("listener failed", e);
+      LOG.error("listener of a call threw an exception; ignoring it", e);
     }
   }
 }
--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/ClientConnection.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/ClientConnection.java
@@ -28,22 +28,22 @@
 import java.util.concurrent.TimeUnit;
 import org.jspecify.annotations.Nullable;
 
-/** A client's connection: carries one call at a time. */
+/** A client's connection, which carries one call at a time. */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
   private final SocketChannel channel;
   private final InetSocketAddress address;
   private final ConnectionPool pool;
 
   private @Nullable ClientCall call;
-  private @Nullable ChannelFuture writing;
+  private @Nullable ChannelFuture requestWrite;
   private @Nullable Future<?> idleTimer;
   private boolean keepAlive;
 
-  /** Whether the answer that is being read is none of the call's. */
-  private boolean skipped;
+  /** Whether the answer being received does not belong to the call and is discarded. */
+  private boolean skippingAnswer;
 
   private @Nullable Duration serverIdleTimeout;
-  private long bytesExpected;
+  private long remainingBytes;
 
   ClientConnection(SocketChannel channel, InetSocketAddress address, ConnectionPool pool) {
     this.channel = channel;
@@ -54,29 +54,29 @@
   /**
    * Starts a call, or runs {@code ifClosed} if the connection was closed before a byte was written.
    *
-   * <p>Input that has arrived is handled first: a pooled connection that the server had closed is
-   * found closed here, and the call is not counted as sent.
+   * <p>Input that has already arrived is handled first. If the server has closed a pooled
+   * connection, this is noticed here, and the call does not count as sent.
    */
-  void start(ClientCall next, Runnable ifClosed) {
-    NetRuntime.afterPendingInput(channel.eventLoop(), () -> startOnLoop(next, ifClosed));
+  void start(ClientCall newCall, Runnable ifClosed) {
+    NetRuntime.afterPendingInput(channel.eventLoop(), () -> startOnLoop(newCall, ifClosed));
   }
 
-  private void startOnLoop(ClientCall next, Runnable ifClosed) {
+  private void startOnLoop(ClientCall newCall, Runnable ifClosed) {
     if (!channel.isActive()) {
       ifClosed.run();
       return;
     }
-    stopIdleTimer();
-    if (!next.writeOn(channel)) {
-      backToPool();
+    cancelIdleTimer();
+    if (!newCall.startWriting(channel)) {
+      returnToPool();
       return;
     }
-    call = next;
+    call = newCall;
     keepAlive = false;
-    writing = channel.writeAndFlush(encode(next.request()));
+    requestWrite = channel.writeAndFlush(encode(newCall.request()));
   }
 
-  /** Closes a connection that was taken out of the pool and has no call. */
+  /** Closes a connection that has been taken from the pool and has no call. */
   void discard() {
     channel.close();
   }
@@ -109,7 +109,7 @@
 
   private void read(HttpObject object) {
     if (call == null) {
-      // Nobody asked: whatever this is, it must never be taken for the answer of the next call.
+      // No call is in flight: these bytes must never be taken for the answer to the next call.
       channel.close();
       return;
     }
@@ -123,30 +123,30 @@
     if (object instanceof HttpResponse head) {
       readHead(call, head);
     }
-    if (object instanceof HttpContent content && !skipped) {
+    if (object instanceof HttpContent content && !skippingAnswer) {
       readContent(call, content);
     }
     if (object instanceof LastHttpContent) {
-      skipped = false;
+      skippingAnswer = false;
     }
   }
 
   private void readHead(ClientCall current, HttpResponse head) {
-    Map<String, String> headers = lowerCase(head.headers());
-    skipped =
+    Map<String, String> headers = copyWithLowerCaseNames(head.headers());
+    skippingAnswer =
         head.status().codeClass() == HttpStatusClass.INFORMATIONAL
             || !current.isAnswer(head.status().code(), headers);
-    if (skipped) {
+    if (skippingAnswer) {
       return;
     }
     keepAlive = HttpUtil.isKeepAlive(head);
-    serverIdleTimeout = KeepAliveHeader.timeout(headers);
+    serverIdleTimeout = KeepAliveHeader.parseTimeout(headers);
     boolean bodiless =
         current.request().method().equals("HEAD")
             || head.status().code() == 204
             || head.status().code() == 304;
-    bytesExpected = bodiless ? -1 : HttpUtil.getContentLength(head, -1L);
-    current.head(head.status().code(), headers);
+    remainingBytes = bodiless ? -1 : HttpUtil.getContentLength(head, -1L);
+    current.deliverHead(head.status().code(), headers);
   }
 
   private void readContent(ClientCall current, HttpContent content) {
@@ -154,30 +154,31 @@
     if (bytes.isReadable()) {
       byte[] part = new byte[bytes.readableBytes()];
       bytes.readBytes(part);
-      bytesExpected = bytesExpected < 0 ? -1 : bytesExpected - part.length;
-      current.part(part);
+      remainingBytes = remainingBytes < 0 ? -1 : remainingBytes - part.length;
+      current.deliverPart(part);
     }
     if (content instanceof LastHttpContent) {
-      ended(current);
+      onAnswerEnd(current);
     }
   }
 
-  private void ended(ClientCall current) {
-    if (bytesExpected > 0) {
-      current.fail(HttpFailure.BROKEN_ANSWER, "%d bytes are missing".formatted(bytesExpected));
+  private void onAnswerEnd(ClientCall current) {
+    if (remainingBytes > 0) {
+      current.fail(HttpFailure.BROKEN_ANSWER, "%d bytes are missing".formatted(remainingBytes));
       close();
       return;
     }
     call = null;
-    if (!current.end(this::reuseOrClose)) {
+    if (!current.complete(this::reuseOrClose)) {
       channel.close();
     }
   }
 
   private void reuseOrClose() {
-    // An answer that came before the whole request was written leaves the connection in doubt.
-    if (keepAlive && writing != null && writing.isSuccess()) {
-      backToPool();
+    // An answer received before the whole request was written leaves the connection in an unknown
+    // state.
+    if (keepAlive && requestWrite != null && requestWrite.isSuccess()) {
+      returnToPool();
     } else {
       channel.close();
     }
@@ -185,10 +186,10 @@
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    stopIdleTimer();
+    cancelIdleTimer();
     pool.removeIdle(address, this);
     if (call != null) {
-      call.failAsFarAsItGot("the connection was closed");
+      call.failByProgress("the connection was closed");
       call = null;
     }
   }
@@ -196,13 +197,13 @@
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     if (call != null) {
-      call.failAsFarAsItGot(cause.toString());
+      call.failByProgress(cause.toString());
       call = null;
     }
     channel.close();
   }
 
-  private void backToPool() {
+  private void returnToPool() {
     if (!channel.isActive() || !pool.offerIdle(address, this)) {
       channel.close();
       return;
@@ -214,10 +215,12 @@
   }
 
   private Duration idleTimeout() {
-    Duration own = pool.config().idleTimeout();
-    Duration safe =
-        serverIdleTimeout == null ? own : KeepAliveHeader.safeIdleTime(serverIdleTimeout);
-    return safe.compareTo(own) < 0 ? safe : own;
+    Duration configuredTimeout = pool.config().idleTimeout();
+    Duration safeTimeout =
+        serverIdleTimeout == null
+            ? configuredTimeout
+            : KeepAliveHeader.safeIdleTime(serverIdleTimeout);
+    return safeTimeout.compareTo(configuredTimeout) < 0 ? safeTimeout : configuredTimeout;
   }
 
   private void closeIfIdle() {
@@ -231,14 +234,14 @@
     channel.close();
   }
 
-  private void stopIdleTimer() {
+  private void cancelIdleTimer() {
     if (idleTimer != null) {
       idleTimer.cancel(false);
       idleTimer = null;
     }
   }
 
-  private static Map<String, String> lowerCase(HttpHeaders headers) {
+  private static Map<String, String> copyWithLowerCaseNames(HttpHeaders headers) {
     Map<String, String> copy = new HashMap<>();
     headers.forEach(
         header -> copy.putIfAbsent(header.getKey().toLowerCase(Locale.ROOT), header.getValue()));
--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/ConnectionPool.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/ConnectionPool.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 import org.jspecify.annotations.Nullable;
 
-/** Open connections per address: how many there are, and which of them have no call. */
+/** Counts the open connections per address and holds the idle ones. */
 final class ConnectionPool {
   private static final class Entry {
-    int open;
+    int openCount;
     final Deque<ClientConnection> idle = new ArrayDeque<>();
   }
 
@@ -25,31 +25,34 @@
     return config;
   }
 
-  /** Takes the connection that was used last, which is the least likely to be closed by now. */
+  /**
+   * Takes the most recently used idle connection, as it is the least likely to have been closed by
+   * the server.
+   */
   synchronized @Nullable ClientConnection takeIdle(InetSocketAddress address) {
     Entry entry = entries.get(address);
     return entry == null ? null : entry.idle.pollLast();
   }
 
-  /** Counts a connection about to be opened; false if there are as many as allowed. */
-  synchronized boolean reserve(InetSocketAddress address) {
+  /** Counts a connection that is about to be opened; returns false if the limit is reached. */
+  synchronized boolean tryReserve(InetSocketAddress address) {
     Entry entry = entries.computeIfAbsent(address, key -> new Entry());
-    if (entry.open >= config.maxConnectionsPerAddress()) {
+    if (entry.openCount >= config.maxConnectionsPerAddress()) {
       return false;
     }
-    entry.open++;
+    entry.openCount++;
     return true;
   }
 
-  /** Forgets a connection that was closed or never came to be. */
+  /** Uncounts a connection that was closed or could not be opened. */
   synchronized void release(InetSocketAddress address) {
     Entry entry = entries.get(address);
-    if (entry != null && --entry.open == 0) {
+    if (entry != null && --entry.openCount == 0) {
       entries.remove(address);
     }
   }
 
-  /** Offers a connection for another call; false if enough are kept. */
+  /** Adds an idle connection to the pool; returns false if the pool holds enough of them. */
   synchronized boolean offerIdle(InetSocketAddress address, ClientConnection connection) {
     Entry entry = entries.get(address);
     if (entry == null || entry.idle.size() >= config.maxIdlePerAddress()) {
@@ -59,7 +62,7 @@
     return true;
   }
 
-  /** Takes one connection out of the idle ones, if it is there. */
+  /** Removes one connection from the idle ones; returns false if it was not among them. */
   synchronized boolean removeIdle(InetSocketAddress address, ClientConnection connection) {
     Entry entry = entries.get(address);
     return entry != null && entry.idle.remove(connection);
--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/HttpCall.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/HttpCall.java
@@ -1,8 +1,8 @@
 package org.teaseldeal.net;
 
-/** A call under way. */
+/** A call in flight. */
 @FunctionalInterface
 public interface HttpCall {
-  /** Closes the call's connection; the listener hears nothing more. */
+  /** Cancels the call and closes its connection; the listener receives no further callback. */
   void cancel();
 }
--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/HttpCallRequest.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/HttpCallRequest.java
@@ -6,9 +6,11 @@
 /**
  * A request to send.
  *
- * @param address {@code host:port} by IP number
- * @param headers a {@code host} among them is sent in place of the address
- * @param timeout until the answer's head; the body's pace is the listener's to watch
+ * @param address {@code host:port}, the host as an IP address
+ * @param headers the headers to send; a {@code host} among them replaces the one derived from the
+ *     address
+ * @param timeout the time until the head of the answer has to arrive; the listener has to watch the
+ *     pace of the body
  */
 public record HttpCallRequest(
     String address,
--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/HttpClient.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/HttpClient.java
@@ -17,23 +17,24 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * An HTTP/1.1 client that keeps connections open for later calls.
+ * An HTTP/1.1 client with a pool of persistent connections.
  *
- * <p>It never sends a request twice: what to do after a failure is the caller's decision, for which
- * {@link HttpFailure} says how far the call got.
+ * <p>It never retries a request: the caller decides what to do after a failure, from the {@link
+ * HttpFailure} that says how far the call got.
  */
 public final class HttpClient implements AutoCloseable {
   private final HttpClientConfig config;
   private final ConnectionPool pool;
   private final ChannelGroup channels = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE, true);
 
-  /** Creates a client. */
   public HttpClient(HttpClientConfig config) {
     this.config = config;
     this.pool = new ConnectionPool(config);
   }
 
-  /** Sends a request; {@code listener} is told what comes of it, possibly before this returns. */
+  /**
+   * Sends a request; {@code listener} receives the outcome, possibly before this method returns.
+   */
   public HttpCall send(HttpCallRequest request, HttpListener listener) {
     ClientCall call = new ClientCall(request, listener);
     InetSocketAddress address;
@@ -44,13 +45,13 @@
       return call;
     }
     call.startTimeout();
-    sendTo(address, call);
+    sendOrConnect(address, call);
     return call;
   }
 
   /**
-   * Sends a request and gathers its answer, which has to arrive whole within the request's timeout.
-   * The future fails with {@link HttpFailureException}; cancelling it cancels the call.
+   * Sends a request and collects its answer, which has to arrive completely within the request's
+   * timeout. The future fails with {@link HttpFailureException}; cancelling it cancels the call.
    */
   public CompletableFuture<HttpAnswer> fetch(HttpCallRequest request) {
     AnswerCollector collector = new AnswerCollector(config.maxAnswerBytes());
@@ -59,35 +60,35 @@
     return collector.answer();
   }
 
-  /** Closes the connections to {@code address} that have no call. */
+  /** Closes the idle connections to {@code address}. */
   public void closeIdle(String address) {
-    InetSocketAddress closed;
+    InetSocketAddress socketAddress;
     try {
-      closed = IpAddresses.parse(address);
+      socketAddress = IpAddresses.parse(address);
     } catch (IllegalArgumentException e) {
-      // Nothing can be connected to it, so nothing is.
+      // There is no connection to an address that cannot be parsed.
       return;
     }
-    for (ClientConnection idle = pool.takeIdle(closed);
+    for (ClientConnection idle = pool.takeIdle(socketAddress);
         idle != null;
-        idle = pool.takeIdle(closed)) {
+        idle = pool.takeIdle(socketAddress)) {
       idle.discard();
     }
   }
 
-  /** Closes all connections; calls under way fail. */
+  /** Closes all connections; calls in flight fail. */
   @Override
   public void close() {
     channels.close().awaitUninterruptibly();
   }
 
-  private void sendTo(InetSocketAddress address, ClientCall call) {
+  private void sendOrConnect(InetSocketAddress address, ClientCall call) {
     ClientConnection pooled = pool.takeIdle(address);
     if (pooled != null) {
-      pooled.start(call, () -> sendTo(address, call));
+      pooled.start(call, () -> sendOrConnect(address, call));
       return;
     }
-    if (!pool.reserve(address)) {
+    if (!pool.tryReserve(address)) {
       call.fail(
           HttpFailure.NOT_SENT,
           "%d connections to %s are in use, expected fewer"
@@ -111,18 +112,18 @@
                 new ChannelInitializer<SocketChannel>() {
                   @Override
                   protected void initChannel(SocketChannel channel) {
-                    prepare(channel, address);
+                    initChannelPipeline(channel, address);
                   }
                 })
             .connect(address);
     Channel channel = connecting.channel();
     channels.add(channel);
     channel.closeFuture().addListener(closed -> pool.release(address));
-    call.connectingOn(channel);
-    connecting.addListener((ChannelFutureListener) done -> connected(done, call));
+    call.setConnectingChannel(channel);
+    connecting.addListener((ChannelFutureListener) done -> onConnected(done, call));
   }
 
-  private void prepare(SocketChannel channel, InetSocketAddress address) {
+  private void initChannelPipeline(SocketChannel channel, InetSocketAddress address) {
     channel
         .pipeline()
         .addLast(
@@ -135,7 +136,7 @@
         .addLast(new ClientConnection(channel, address, pool));
   }
 
-  private static void connected(ChannelFuture connecting, ClientCall call) {
+  private static void onConnected(ChannelFuture connecting, ClientCall call) {
     if (!connecting.isSuccess()) {
       call.fail(HttpFailure.NOT_SENT, String.valueOf(connecting.cause().getMessage()));
       return;
--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/HttpClientConfig.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/HttpClientConfig.java
@@ -6,10 +6,14 @@
 /**
  * Limits of a client.
  *
- * @param maxConnectionsPerAddress a call beyond them fails as {@link HttpFailure#NOT_SENT}
- * @param maxIdlePerAddress connections kept open without a call
- * @param idleTimeout shorter than that of the servers called, or calls meet closing connections
- * @param maxAnswerBytes of an answer that {@link HttpClient#fetch} gathers
+ * @param connectTimeout the time limit for opening a connection
+ * @param maxConnectionsPerAddress the maximum number of open connections per address; a call that
+ *     would need another one fails as {@link HttpFailure#NOT_SENT}
+ * @param maxIdlePerAddress the maximum number of idle connections kept per address
+ * @param idleTimeout how long an idle connection is kept; shorter than the idle timeout of the
+ *     servers called, as calls would otherwise be sent on connections that are being closed
+ * @param maxHeaderBytes the maximum size of an answer's first line, and of its headers together
+ * @param maxAnswerBytes the maximum size of an answer's body that {@link HttpClient#fetch} collects
  */
 public record HttpClientConfig(
     Duration connectTimeout,
@@ -27,7 +31,7 @@
     Preconditions.requirePositive(maxAnswerBytes, "max answer bytes");
   }
 
-  /** Limits that suit tools and daemons within a data centre. */
+  /** Returns limits suitable for tools and daemons within a data centre. */
   public static HttpClientConfig defaults() {
     return new HttpClientConfig(
         Duration.ofSeconds(1), 4096, 64, Duration.ofSeconds(30), 16_384, 64 << 20);
--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/HttpExchange.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/HttpExchange.java
@@ -8,32 +8,33 @@
 /**
  * One request and its answer.
  *
- * <p>Safe to use from any thread; calls take effect in the order made. The answer is either one
- * {@link #respond}, one {@link #startStream} or one {@link #abort}.
+ * <p>Safe for use by multiple threads; the calls take effect in the order in which they are made. A
+ * request is answered by exactly one call of {@link #respond}, {@link #startStream} or {@link
+ * #abort}.
  */
 public interface HttpExchange {
-  /** The method in upper case. */
+  /** Returns the method in upper case. */
   String method();
 
-  /** The path and query as sent. */
+  /** Returns the path and the query as received. */
   String path();
 
-  /** The first header of that name, without regard to case. */
+  /** Returns the value of the first header with this name, ignoring case. */
   Optional<String> header(String name);
 
-  /** All headers as sent, in order. */
+  /** Returns all headers as received, in order. */
   List<Map.Entry<String, String>> headers();
 
-  /** The whole body; empty if there is none. */
+  /** Returns the complete body; empty if there is none. */
   byte[] body();
 
-  /** How long ago the request's head had arrived. */
+  /** Returns the time since the request's head was received. */
   Duration sinceHead();
 
-  /** The caller's IP number. */
+  /** Returns the caller's IP address. */
   String remoteAddress();
 
-  /** Sends a whole answer. */
+  /** Sends a complete answer. */
   void respond(int status, Map<String, String> headers, byte[] body);
 
   /** Sends the head of an answer whose body follows in parts. */
--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/HttpFailure.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/HttpFailure.java
@@ -1,11 +1,11 @@
 package org.teaseldeal.net;
 
-/** How a call ended without its whole answer. */
+/** How far a call got that ended without a complete answer. */
 public enum HttpFailure {
   /** No byte of the request was written. */
   NOT_SENT,
-  /** At least a byte was written; no head of an answer came. */
+  /** At least one byte of the request was written, but no head of an answer was received. */
   NO_ANSWER,
-  /** The answer broke off. */
+  /** The answer started but was not received completely. */
   BROKEN_ANSWER
 }
--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/HttpHandler.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/HttpHandler.java
@@ -1,8 +1,8 @@
 package org.teaseldeal.net;
 
-/** Answers requests; called on the connection's event loop, so it never blocks. */
+/** Answers requests. It is called on the connection's event loop, so it must not block. */
 @FunctionalInterface
 public interface HttpHandler {
-  /** Takes a request whose head and body have arrived whole. */
+  /** Handles a request whose head and body have been received completely. */
   void handle(HttpExchange exchange);
 }
--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/HttpListener.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/HttpListener.java
@@ -3,31 +3,31 @@
 import java.util.Map;
 
 /**
- * Is told what comes of a call, on the client's event loop: head, parts, then end; or failure at
- * any point. Nothing follows the end, a failure or a cancel.
+ * Receives the outcome of a call on the client's event loop: the head, the parts of the body, then
+ * the end; or a failure at any point. No callback follows the end, a failure or a cancellation.
  */
 public interface HttpListener {
   /**
-   * Whether this head belongs to the call; if not, its whole answer is dropped and the next
-   * awaited.
+   * Returns whether this head belongs to the call; if not, its whole answer is dropped, and the
+   * next one is awaited.
    *
-   * <p>A server that answers a request twice puts the second answer where the next call's is due.
-   * The caller of that call would get another's answer if the order on the connection alone
-   * counted.
+   * <p>If a server answers a request twice, its second answer arrives where the answer to the next
+   * call on the connection is due. Matched by order alone, it would be given to the caller of that
+   * next call.
    */
   default boolean isAnswer(int status, Map<String, String> headers) {
     return true;
   }
 
-  /** The answer's head; header names are in lower case. */
+  /** Receives the answer's head; header names are in lower case. */
   void onHead(int status, Map<String, String> headers);
 
-  /** A part of the answer's body. */
+  /** Receives a part of the answer's body. */
   void onPart(byte[] part);
 
-  /** The answer is whole. */
+  /** Called when the answer is complete. */
   void onEnd();
 
-  /** The call ended without its whole answer. */
+  /** Called when the call ends without a complete answer. */
   void onFailure(HttpFailure failure, String detail);
 }
--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/HttpRejection.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/HttpRejection.java
@@ -1,11 +1,11 @@
 package org.teaseldeal.net;
 
-/** Why the server turned a request away before its handler saw it. */
+/** Why the server rejected a request before it reached the handler. */
 public enum HttpRejection {
   MALFORMED(400),
   HEADERS_TOO_LARGE(431),
   BODY_TOO_LARGE(413),
-  /** The request had not arrived whole within the time allowed, or broke off. */
+  /** The request was not received completely within the time limit, or ended early. */
   SLOW_OR_TRUNCATED(408),
   TOO_MANY_CONNECTIONS(503);
 
@@ -15,7 +15,7 @@
     this.status = status;
   }
 
-  /** The usual HTTP status. */
+  /** Returns the default HTTP status of the rejection. */
   public int status() {
     return status;
   }
--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/HttpRejectionAnswer.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/HttpRejectionAnswer.java
@@ -4,13 +4,13 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Chooses the answer that a caller gets to a request that its handler never saw. */
+/** Creates the answer to a request that was rejected before it reached the handler. */
 @FunctionalInterface
 public interface HttpRejectionAnswer {
   /** Returns the answer; called on the connection's event loop. */
   HttpAnswer answer(HttpRejection rejection);
 
-  /** Answers with the usual status and the rejection's name as plain text. */
+  /** Returns plain-text answers with the rejection's default status and its name. */
   static HttpRejectionAnswer plain() {
     return rejection ->
         new HttpAnswer(
--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/HttpServer.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/HttpServer.java
@@ -18,121 +18,128 @@
 /**
  * An HTTP/1.1 server.
  *
- * <p>A handler sees only requests that arrived whole and within the limits; every other one ends as
- * an {@link HttpRejection} and its connection is closed. A connection serves one request at a time:
- * if the caller sends another before the answer has ended, that answer is finished and the
- * connection closed, so the caller has to send the other one again.
+ * <p>The handler receives only requests that arrived completely and within the limits. Any other
+ * request is answered with an {@link HttpRejection}, and its connection is closed. A connection
+ * serves one request at a time: if the caller pipelines another request before the answer has
+ * ended, the server finishes that answer and closes the connection, so the caller has to send the
+ * other request again.
  */
 public final class HttpServer implements AutoCloseable {
   /**
-   * The part of the heap that request bodies may take up. The limits of one body and of the number
-   * of connections together would allow many times the heap.
+   * The part of the heap that request bodies may occupy, as a divisor. The limit of one body times
+   * the limit of connections would exceed the heap many times over.
    */
-  private static final int HEAP_PART = 4;
+  private static final int HEAP_DIVISOR_FOR_BODIES = 4;
 
   private final ChannelGroup connections = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
-  private final AtomicInteger open = new AtomicInteger();
+  private final AtomicInteger openConnections = new AtomicInteger();
   private final AtomicInteger unanswered = new AtomicInteger();
   private final AtomicInteger newcomers = new AtomicInteger();
-  private final ByteBudget bodies;
+  private final ByteBudget bodyBudget;
   private volatile HttpServerConfig config;
   private final HttpHandler handler;
   private final HttpRejectionAnswer rejectionAnswer;
-  private final ListeningSocket listening;
-  private volatile boolean stopping;
+  private final ListeningSocket listeningSocket;
+  private volatile boolean closingAfterAnswers;
 
   private HttpServer(
       HttpServerConfig config,
       HttpHandler handler,
       HttpRejectionAnswer rejectionAnswer,
-      long maxBodyBytesInAll)
+      long maxTotalBodyBytes)
       throws IOException {
-    this.bodies = new ByteBudget(maxBodyBytesInAll);
+    this.bodyBudget = new ByteBudget(maxTotalBodyBytes);
     this.config = config;
     this.handler = handler;
     this.rejectionAnswer = rejectionAnswer;
-    this.listening = bind();
+    this.listeningSocket = bind();
   }
 
   /**
-   * Starts listening.
+   * Starts a server.
    *
-   * @throws IOException if the address can't be had
+   * @throws IOException if the address cannot be bound
    */
   public static HttpServer start(
       HttpServerConfig config, HttpHandler handler, HttpRejectionAnswer rejectionAnswer)
       throws IOException {
-    return start(config, handler, rejectionAnswer, Runtime.getRuntime().maxMemory() / HEAP_PART);
+    return start(
+        config,
+        handler,
+        rejectionAnswer,
+        Runtime.getRuntime().maxMemory() / HEAP_DIVISOR_FOR_BODIES);
   }
 
   static HttpServer start(
       HttpServerConfig config,
       HttpHandler handler,
       HttpRejectionAnswer rejectionAnswer,
-      long maxBodyBytesInAll)
+      long maxTotalBodyBytes)
       throws IOException {
-    return new HttpServer(config, handler, rejectionAnswer, maxBodyBytesInAll);
+    return new HttpServer(config, handler, rejectionAnswer, maxTotalBodyBytes);
   }
 
-  /** Starts listening with {@link HttpRejectionAnswer#plain()}. */
+  /** Starts a server that rejects requests with {@link HttpRejectionAnswer#plain()}. */
   public static HttpServer start(HttpServerConfig config, HttpHandler handler) throws IOException {
     return start(config, handler, HttpRejectionAnswer.plain());
   }
 
-  /** Holds connections accepted from now on to other limits; the address stays. */
+  /**
+   * Sets the limits for connections accepted from now on; the listening address does not change.
+   */
   public void useLimits(HttpServerConfig limits) {
     config = limits;
   }
 
-  /** Where the server listens, with the port that the system chose. */
+  /** Returns the address that the server listens on, with the port that the system chose. */
   public InetSocketAddress address() {
-    return listening.address();
+    return listeningSocket.address();
   }
 
-  /** The event loop that takes connections. */
-  EventLoop loop() {
-    return listening.loop();
+  /** Returns the event loop that accepts connections. */
+  EventLoop eventLoop() {
+    return listeningSocket.eventLoop();
   }
 
-  /** How many requests have an answer that hasn't left the process yet. */
+  /** Returns the number of requests whose answer has not been written to the network completely. */
   public int unanswered() {
     return unanswered.get();
   }
 
-  /** How many connections are open whose first request hasn't been read. */
+  /** Returns the number of open connections whose first request has not been received yet. */
   public int newcomers() {
     return newcomers.get();
   }
 
   /**
-   * Closes each connection after its next answer from now on; new ones are still taken. Callers
-   * thus move to other servers without losing a request that is on its way.
+   * Closes each connection after its next answer from now on; new connections are still accepted.
+   * Callers thus move to other servers without losing a request in flight.
    */
   public void closeAfterAnswers() {
-    stopping = true;
+    closingAfterAnswers = true;
   }
 
-  /** Stops listening; what holds for {@link #closeAfterAnswers} holds for open connections. */
+  /** Stops listening; open connections are closed as by {@link #closeAfterAnswers}. */
   public void stopAccepting() {
     beginToStopAccepting().awaitUninterruptibly();
   }
 
   /**
-   * As {@link #stopAccepting}, for an event loop, which can't wait.
+   * Does the same as {@link #stopAccepting} without blocking, for use on an event loop.
    *
-   * <p>Callers whose connections the system has accepted for the server would see them reset if the
-   * socket were closed at once; they are taken first.
+   * <p>Connections that the system has already accepted for the server are handled first; they
+   * would be reset if the socket were closed at once.
    *
-   * @return done when the address is free
+   * @return a future that is done when the address is free
    */
   public Future<Void> beginToStopAccepting() {
     closeAfterAnswers();
-    return listening.release();
+    return listeningSocket.release();
   }
 
   /**
-   * Reads nothing more from any connection. No request comes up from now on; the answers that are
-   * outstanding still leave.
+   * Stops reading from all connections. No further request reaches the handler; outstanding answers
+   * are still sent.
    */
   public void stopReading() {
     connections.forEach(connection -> connection.config().setAutoRead(false));
@@ -151,23 +158,23 @@
             .option(ChannelOption.SO_BACKLOG, 1024)
             .childOption(ChannelOption.TCP_NODELAY, true)
             .childOption(ChannelOption.SO_KEEPALIVE, true)
-            // A caller that shut down its side in the middle of a request can still read the
-            // answer that says so.
+            // A caller that shut down its output in the middle of a request can still read the
+            // answer that rejects the request.
             .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
             .childHandler(
                 new ChannelInitializer<SocketChannel>() {
                   @Override
                   protected void initChannel(SocketChannel channel) {
-                    accept(channel);
+                    initConnection(channel);
                   }
                 });
     return ListeningSocket.bind(bootstrap, config.host(), config.port());
   }
 
-  private void accept(SocketChannel channel) {
+  private void initConnection(SocketChannel channel) {
     connections.add(channel);
-    int excess = open.incrementAndGet() - config.maxConnections();
-    channel.closeFuture().addListener(closed -> open.decrementAndGet());
+    int excess = openConnections.incrementAndGet() - config.maxConnections();
+    channel.closeFuture().addListener(closed -> openConnections.decrementAndGet());
     ServerConnection connection =
         new ServerConnection(
             channel,
@@ -177,8 +184,8 @@
             excess,
             unanswered,
             newcomers,
-            bodies,
-            () -> stopping);
+            bodyBudget,
+            () -> closingAfterAnswers);
     channel
         .pipeline()
         .addLast(connection.firstByteDetector())
--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/HttpServerConfig.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/HttpServerConfig.java
@@ -4,13 +4,15 @@
 import org.teaseldeal.api.Preconditions;
 
 /**
- * Limits of a server.
+ * Listening address and limits of a server.
  *
- * @param host the IP number to listen on
- * @param port zero lets the system choose
- * @param maxHeaderBytes all headers of a request together
- * @param requestTimeout from a request's first byte to its last
- * @param idleTimeout of a connection between requests
+ * @param host the IP address to listen on
+ * @param port the port to listen on; 0 lets the system choose
+ * @param maxConnections the maximum number of open connections
+ * @param maxHeaderBytes the maximum size of a request's first line, and of its headers together
+ * @param maxBodyBytes the maximum size of a request's body
+ * @param requestTimeout the time limit from a request's first byte to its last
+ * @param idleTimeout how long a connection may stay idle between requests
  */
 public record HttpServerConfig(
     String host,
@@ -32,7 +34,7 @@
   }
 
   /**
-   * Limits that suit tools and stand-ins on a port that the system chooses if {@code port} is 0.
+   * Returns limits suitable for tools and fakes; if {@code port} is 0, the system chooses the port.
    */
   public static HttpServerConfig defaults(String host, int port) {
     return new HttpServerConfig(
--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/IpAddresses.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/IpAddresses.java
@@ -5,13 +5,13 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Reads addresses by IP number; no name is ever looked up. */
+/** Parses and formats socket addresses given as IP addresses; host names are never resolved. */
 public final class IpAddresses {
   private static final int MAX_PORT = 65_535;
 
   private IpAddresses() {}
 
-  /** Reads {@code host:port}, or {@code [host]:port} for IPv6. */
+  /** Parses {@code host:port}, or {@code [host]:port} for IPv6. */
   public static InetSocketAddress parse(String address) {
     int colon = address.lastIndexOf(':');
     if (colon <= 0) {
@@ -21,10 +21,10 @@
     if (host.startsWith("[") && host.endsWith("]")) {
       host = host.substring(1, host.length() - 1);
     }
-    return socketAddress(host, port(address, address.substring(colon + 1)));
+    return socketAddress(host, parsePort(address, address.substring(colon + 1)));
   }
 
-  /** Returns the socket address of an IP number. */
+  /** Returns the socket address of an IP address and a port. */
   public static InetSocketAddress socketAddress(String host, int port) {
     byte[] number = NetUtil.createByteArrayFromIpAddressString(host);
     if (number == null) {
@@ -37,12 +37,12 @@
     }
   }
 
-  /** Writes {@code host:port}, with brackets for IPv6. */
+  /** Formats as {@code host:port}, with brackets for IPv6. */
   public static String format(InetSocketAddress address) {
     return NetUtil.toSocketAddressString(address);
   }
 
-  private static int port(String address, String digits) {
+  private static int parsePort(String address, String digits) {
     try {
       int port = Integer.parseInt(digits);
       if (port > 0 && port <= MAX_PORT) {
--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/KeepAliveHeader.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/KeepAliveHeader.java
@@ -6,31 +6,34 @@
 import java.util.regex.Pattern;
 import org.jspecify.annotations.Nullable;
 
-/** What a server says in {@code Keep-Alive} of how long it keeps an idle connection. */
+/**
+ * Reads the {@code Keep-Alive} header, in which a server states how long it keeps an idle
+ * connection.
+ */
 final class KeepAliveHeader {
-  private static final Pattern TIMEOUT = Pattern.compile("timeout\\s*=\\s*(\\d{1,6})");
+  private static final Pattern TIMEOUT_PATTERN = Pattern.compile("timeout\\s*=\\s*(\\d{1,6})");
 
   /**
-   * The part of the server's time that a connection is reused in. A request sent just as the server
-   * closes gets no answer and may not be sent again if it isn't idempotent; half the time leaves
-   * whole seconds for clocks and delays to differ.
+   * Divisor of the server's timeout, giving the time within which a connection is reused. A request
+   * sent just as the server closes the connection gets no answer, and must not be sent again if it
+   * is not idempotent. Half of the timeout leaves whole seconds for clock differences and delays.
    */
-  private static final int SAFE_PART = 2;
+  private static final int SAFETY_DIVISOR = 2;
 
   private KeepAliveHeader() {}
 
-  /** The timeout that the server names, if it names one. */
-  static @Nullable Duration timeout(Map<String, String> headers) {
+  /** Returns the timeout that the server states, or null if it states none. */
+  static @Nullable Duration parseTimeout(Map<String, String> headers) {
     String value = headers.get("keep-alive");
     if (value == null) {
       return null;
     }
-    Matcher matcher = TIMEOUT.matcher(value);
+    Matcher matcher = TIMEOUT_PATTERN.matcher(value);
     return matcher.find() ? Duration.ofSeconds(Long.parseLong(matcher.group(1))) : null;
   }
 
-  /** How long an idle connection may be reused. */
+  /** Returns how long an idle connection may be reused. */
   static Duration safeIdleTime(Duration serverTimeout) {
-    return serverTimeout.dividedBy(SAFE_PART);
+    return serverTimeout.dividedBy(SAFETY_DIVISOR);
   }
 }
--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/ListeningSocket.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/ListeningSocket.java
@@ -21,13 +21,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A socket that listens, and lets go of its address without losing a connection.
+ * A listening socket that can release its address without losing a connection.
  *
- * <p>Failure: a socket is closed while callers connect. The system resets each connection that it
- * has established and nobody has taken. Symptom: callers of a server that stops send a request and
- * get no byte of an answer. A selector keeps a closed socket listening until its next round, so the
- * socket is first taken from its selector; then the last connections are taken and the socket is
- * closed at once.
+ * <p>If a listening socket is closed while callers connect, the system resets each connection that
+ * it has established and that has not been accepted yet. Callers of a stopping server would then
+ * send a request and receive no byte of an answer. A selector keeps a closed socket listening until
+ * its next round, so {@link #release} first deregisters the socket from its selector, then accepts
+ * the remaining connections and closes the socket at once.
  */
 final class ListeningSocket {
   private static final Logger LOG = LoggerFactory.getLogger(ListeningSocket.class);
@@ -41,9 +41,9 @@
   }
 
   /**
-   * Listens at {@code host}, an IP number; connections are handled as {@code bootstrap} says.
+   * Listens on {@code host}, an IP address; {@code bootstrap} sets up accepted connections.
    *
-   * @throws IOException if the address can't be had
+   * @throws IOException if the address cannot be bound
    */
   static ListeningSocket bind(ServerBootstrap bootstrap, String host, int port) throws IOException {
     ServerSocketChannel socket = ServerSocketChannel.open();
@@ -63,24 +63,24 @@
     return new ListeningSocket(socket, bound.channel());
   }
 
-  /** Where it listens. */
+  /** Returns the address that the socket listens on. */
   InetSocketAddress address() {
     return (InetSocketAddress) channel.localAddress();
   }
 
-  /** The event loop that takes its connections. */
-  EventLoop loop() {
+  /** Returns the event loop that accepts connections. */
+  EventLoop eventLoop() {
     return channel.eventLoop();
   }
 
   /**
-   * Lets go of the address; done when it is free and the last connections are known to their
-   * handlers.
+   * Releases the address. The future is done when the address is free and the last connections have
+   * reached their handlers.
    */
   Future<Void> release() {
-    EventLoop loop = loop();
+    EventLoop loop = eventLoop();
     Promise<Void> released = loop.newPromise();
-    // The selector lets go of the socket in the round after the one that cancels its key.
+    // The selector drops the socket in the round after the one that cancels its key.
     loop.execute(
         () ->
             channel
@@ -90,23 +90,23 @@
                         NetRuntime.afterPendingInput(
                             loop,
                             () -> {
-                              takeLast();
+                              acceptRemaining();
                               completeAfterQueuedWork(released);
                             })));
     return released;
   }
 
-  private void takeLast() {
-    List<SocketChannel> last = new ArrayList<>();
+  private void acceptRemaining() {
+    List<SocketChannel> acceptedConnections = new ArrayList<>();
     try {
-      for (SocketChannel next = accept(); next != null; next = accept()) {
-        last.add(next);
+      for (SocketChannel connection = acceptNext(); connection != null; connection = acceptNext()) {
+        acceptedConnections.add(connection);
       }
       socket.close();
     } catch (IOException e) {
-      LOG.warn("the last connections of {} could not be taken", address(), e);
+      LOG.warn("failed to accept the remaining connections of {}; they are reset", address(), e);
     }
-    for (SocketChannel connection : last) {
+    for (SocketChannel connection : acceptedConnections) {
       channel.pipeline().fireChannelRead(new NioSocketChannel(channel, connection));
     }
     channel.pipeline().fireChannelReadComplete();
@@ -114,21 +114,24 @@
   }
 
   /**
-   * The next connection that nobody has taken; none if there is none, or none is taken any more.
+   * Returns the next established connection; null if there is none or the socket has been closed.
    */
-  private @Nullable SocketChannel accept() throws IOException {
+  private @Nullable SocketChannel acceptNext() throws IOException {
     return socket.isOpen() ? socket.accept() : null;
   }
 
-  /** The last connections are being handed to their event loops; each has a task in its queue. */
+  /**
+   * Completes {@code released} once each event loop has run the tasks that are now in its queue,
+   * among them the registration of the last connections.
+   */
   private static void completeAfterQueuedWork(Promise<Void> released) {
     List<EventExecutor> loops = new ArrayList<>();
     NetRuntime.group().forEach(loops::add);
-    AtomicInteger left = new AtomicInteger(loops.size());
+    AtomicInteger pendingLoops = new AtomicInteger(loops.size());
     for (EventExecutor loop : loops) {
       loop.execute(
           () -> {
-            if (left.decrementAndGet() == 0) {
+            if (pendingLoops.decrementAndGet() == 0) {
               released.setSuccess(null);
             }
           });
--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/NetRuntime.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/NetRuntime.java
@@ -8,55 +8,59 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The event loops that all servers, clients and connections of a process share.
+ * The event loops shared by all servers, clients and connections of a process.
  *
- * <p>Their threads are daemons and live as long as the process. They are few on purpose: an
- * instance is small, and the work on them is short.
+ * <p>Their threads are daemons and live as long as the process. There are few of them on purpose:
+ * an instance is small, and its tasks on them are short.
  */
 public final class NetRuntime {
   private static final int MAX_THREADS = 4;
 
-  /** System property: how many threads the event loops have, for programs that need just one. */
+  /** System property with the number of event loop threads, for programs that need exactly one. */
   public static final String THREADS_PROPERTY = "teaseldeal.net.threads";
 
   private NetRuntime() {}
 
-  private static int threads() {
-    int present = Math.clamp(Runtime.getRuntime().availableProcessors(), 1, MAX_THREADS);
-    return Integer.getInteger(THREADS_PROPERTY, present);
+  private static int threadCount() {
+    int defaultThreads = Math.clamp(Runtime.getRuntime().availableProcessors(), 1, MAX_THREADS);
+    return Integer.getInteger(THREADS_PROPERTY, defaultThreads);
   }
 
   private static final class Holder {
     static final EventLoopGroup GROUP =
         new MultiThreadIoEventLoopGroup(
-            threads(), new DefaultThreadFactory("net", true), NioIoHandler.newFactory());
+            threadCount(), new DefaultThreadFactory("net", true), NioIoHandler.newFactory());
   }
 
   /**
-   * Runs {@code task} on {@code loop} after it has handled all input that has arrived by now.
+   * Runs {@code task} on {@code loop} after the loop has handled all input that has arrived by now.
    *
-   * <p>A task that is only queued may run in a round that began before the input arrived. A timer
-   * set on the loop itself runs in the next round at the earliest, and a round starts with input.
+   * <p>A task that is merely queued may run in a round that began before the input arrived. A timer
+   * set on the loop itself runs in the next round at the earliest, and each round starts by
+   * handling input.
    */
   static void afterPendingInput(EventLoop loop, Runnable task) {
     loop.execute(() -> loop.schedule(task, 0, TimeUnit.NANOSECONDS));
   }
 
   /**
-   * The only event loop, for programs whose parts trust that one thread runs them all. With more,
-   * two of them could start the same request, and its caller would get two answers in one.
+   * Returns the only event loop, for programs whose parts rely on running on one thread. With
+   * several, two of them could start the same request, and its caller would receive two mixed
+   * answers.
    *
-   * @throws IllegalStateException if there are several; see {@link #THREADS_PROPERTY}
+   * @throws IllegalStateException if there is more than one event loop; see {@link
+   *     #THREADS_PROPERTY}
    */
   public static EventLoop onlyLoop() {
-    if (threads() != 1) {
+    if (threadCount() != 1) {
       throw new IllegalStateException(
-          "the event loops were %d, expected one: set %s".formatted(threads(), THREADS_PROPERTY));
+          "there are %d event loops, but this program needs exactly one: set %s to 1"
+              .formatted(threadCount(), THREADS_PROPERTY));
     }
     return group().next();
   }
 
-  /** The shared event loops. */
+  /** Returns the shared event loops. */
   public static EventLoopGroup group() {
     return Holder.GROUP;
   }
--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/PeerDatagrams.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/PeerDatagrams.java
@@ -15,7 +15,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Datagrams among instances: small messages that may be lost, doubled or late. */
+/**
+ * Sends and receives datagrams between instances: small messages that may be lost, duplicated or
+ * delayed.
+ */
 public final class PeerDatagrams {
   private static final Logger LOG = LoggerFactory.getLogger(PeerDatagrams.class);
 
@@ -23,9 +26,9 @@
   private volatile Consumer<byte[]> receiver = message -> {};
 
   /**
-   * Binds to {@code address}, {@code host:port} by IP number.
+   * Binds to {@code address}, {@code host:port} with the host as an IP address.
    *
-   * @throws IOException if the address can't be had
+   * @throws IOException if the address cannot be bound
    */
   public PeerDatagrams(EventLoop loop, String address) throws IOException {
     ChannelFuture bound =
@@ -42,12 +45,12 @@
     channel = bound.channel();
   }
 
-  /** Gives each message received from now on to {@code consumer}, on the event loop. */
+  /** Passes each message received from now on to {@code consumer}, on the event loop. */
   public void receiveWith(Consumer<byte[]> consumer) {
     receiver = consumer;
   }
 
-  /** Sends a message to {@code address}, {@code host:port} by IP number. */
+  /** Sends a message to {@code address}, {@code host:port} with the host as an IP address. */
   public void send(String address, byte[] message) {
     channel.writeAndFlush(
         new DatagramPacket(Unpooled.wrappedBuffer(message), IpAddresses.parse(address)),
@@ -70,8 +73,9 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      // A peer that is away answers with an error of the network; the next message may arrive.
-      LOG.debug("a datagram failed: {}", cause.toString());
+      // An unreachable peer causes a network error here; later messages may still arrive.
+      LOG.debug(
+          "network error on the datagram socket; continuing to receive: {}", cause.toString());
     }
   }
 }
--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/ResponseStream.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/ResponseStream.java
@@ -1,16 +1,19 @@
 package org.teaseldeal.net;
 
-/** The body of an answer that is sent in parts, chunked. */
+/** The body of an answer, sent in chunks. */
 public interface ResponseStream {
-  /** Sends a part. */
+  /** Sends a part of the body. */
   void write(byte[] part);
 
-  /** Bytes written here and not yet taken by the caller's connection. */
+  /** Returns the number of bytes written to this stream that the connection has not sent yet. */
   long pendingBytes();
 
-  /** Ends the answer, which is whole. */
+  /** Completes the answer. */
   void finish();
 
-  /** Closes the connection without the last chunk, so that the caller sees a broken answer. */
+  /**
+   * Closes the connection without the last chunk, so that the caller can tell that the answer is
+   * incomplete.
+   */
   void abort();
 }
--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/ServerConnection.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/ServerConnection.java
@@ -34,26 +34,33 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One caller's connection: gathers requests within the limits and hands them on one by one. */
+/**
+ * One caller's connection: collects requests within the limits and passes them to the handler one
+ * at a time.
+ */
 final class ServerConnection extends ChannelInboundHandlerAdapter {
   /**
-   * The one transfer coding that is read here. A body in another one would be passed on without the
-   * header that names it, so that the server gets bytes that the caller did not mean.
+   * The only transfer coding that the server decodes. A body in another coding would be forwarded
+   * without the header that names the coding, so the backend server would receive other bytes than
+   * the caller meant.
    */
-  private static final Predicate<String> PLAIN_CHUNKS =
+  private static final Predicate<String> IS_CHUNKED =
       HttpHeaderValues.CHUNKED::contentEqualsIgnoreCase;
 
   private static final Logger LOG = LoggerFactory.getLogger(ServerConnection.class);
 
   /**
-   * How long a connection is read and discarded after a last answer. Closing with unread input
-   * makes the system reset the connection, and the caller would lose the answer that it hasn't read
-   * yet; a caller that goes on sending is cut off after this time all the same.
+   * How long input is read and discarded after the last answer. Closing a connection with unread
+   * input makes the system reset it, and the caller would lose an answer that it has not read yet.
+   * A caller that keeps sending is cut off after this time.
    */
-  private static final Duration LINGER = Duration.ofSeconds(1);
+  private static final Duration LINGER_TIMEOUT = Duration.ofSeconds(1);
 
-  /** Connections beyond the limit that are told so; further ones are closed without a word. */
-  private static final int MAX_REJECTED = 256;
+  /**
+   * Number of connections beyond the limit that receive a rejection; further ones are closed
+   * without an answer.
+   */
+  private static final int MAX_REJECTED_CONNECTIONS = 256;
 
   private enum State {
     IDLE,
@@ -66,50 +73,53 @@
   private final HttpServerConfig config;
   private final HttpHandler handler;
   private final HttpRejectionAnswer rejectionAnswer;
-  private final int excess;
-  private final AtomicInteger unanswered;
-  private final AtomicInteger newcomers;
-  private final ByteBudget bodies;
-  private final BooleanSupplier stopping;
+  private final int excessConnections;
+  private final AtomicInteger unansweredRequests;
+  private final AtomicInteger connectionsWithoutRequest;
+  private final ByteBudget bodyBudget;
+  private final BooleanSupplier closingAfterAnswers;
 
   private State state = State.IDLE;
   private @Nullable HttpRequest request;
-  private long headNanos;
+  private long headReceivedNanos;
   private ByteArrayOutputStream body = new ByteArrayOutputStream(0);
   private @Nullable Future<?> timer;
   private @Nullable ServerExchange exchange;
   private boolean pipelined;
 
-  /** Whether the connection is open and no request of it has been taken. */
-  private boolean newcomer;
+  /** Whether the connection is open and has not received its first request. */
+  private boolean awaitingFirstRequest;
 
-  /** Bytes of the body that is arriving or being answered. */
-  private int held;
+  /** Bytes of the body that is being received or whose request is being answered. */
+  private int heldBodyBytes;
 
-  private long unsentSeen;
+  private long lastUnsentBytes;
 
   ServerConnection(
       SocketChannel channel,
       HttpServerConfig config,
       HttpHandler handler,
       HttpRejectionAnswer rejectionAnswer,
-      int excess,
-      AtomicInteger unanswered,
-      AtomicInteger newcomers,
-      ByteBudget bodies,
-      BooleanSupplier stopping) {
+      int excessConnections,
+      AtomicInteger unansweredRequests,
+      AtomicInteger connectionsWithoutRequest,
+      ByteBudget bodyBudget,
+      BooleanSupplier closingAfterAnswers) {
     this.channel = channel;
     this.config = config;
     this.handler = handler;
     this.rejectionAnswer = rejectionAnswer;
-    this.excess = excess;
-    this.unanswered = unanswered;
-    this.newcomers = newcomers;
-    this.bodies = bodies;
-    this.stopping = stopping;
+    this.excessConnections = excessConnections;
+    this.unansweredRequests = unansweredRequests;
+    this.connectionsWithoutRequest = connectionsWithoutRequest;
+    this.bodyBudget = bodyBudget;
+    this.closingAfterAnswers = closingAfterAnswers;
   }
 
-  /** Starts the clock of a request at its first byte, which the decoder would hide until later. */
+  /**
+   * Starts the request timeout at a request's first byte; the decoder passes nothing on until it
+   * has decoded a whole head.
+   */
   ChannelHandler firstByteDetector() {
     return new ChannelInboundHandlerAdapter() {
       @Override
@@ -129,23 +139,23 @@
 
   @Override
   public void channelActive(ChannelHandlerContext ctx) {
-    if (excess > MAX_REJECTED) {
+    if (excessConnections > MAX_REJECTED_CONNECTIONS) {
       channel.close();
       return;
     }
-    if (excess > 0) {
+    if (excessConnections > 0) {
       reject(HttpRejection.TOO_MANY_CONNECTIONS);
       return;
     }
-    newcomer = true;
-    newcomers.incrementAndGet();
+    awaitingFirstRequest = true;
+    connectionsWithoutRequest.incrementAndGet();
     startIdle();
   }
 
-  private void leaveNewcomers() {
-    if (newcomer) {
-      newcomer = false;
-      newcomers.decrementAndGet();
+  private void stopAwaitingFirstRequest() {
+    if (awaitingFirstRequest) {
+      awaitingFirstRequest = false;
+      connectionsWithoutRequest.decrementAndGet();
     }
   }
 
@@ -162,15 +172,15 @@
   public void channelInactive(ChannelHandlerContext ctx) {
     cancelTimer();
     state = State.CLOSING;
-    leaveNewcomers();
+    stopAwaitingFirstRequest();
     releaseBody();
-    callerGone();
+    notifyDisconnect();
   }
 
   @Override
   public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
     if (event instanceof ChannelInputShutdownEvent) {
-      inputShutDown();
+      onInputShutdown();
     }
   }
 
@@ -208,7 +218,7 @@
       return;
     }
     request = head;
-    headNanos = System.nanoTime();
+    headReceivedNanos = System.nanoTime();
     body = new ByteArrayOutputStream(0);
     if (HttpUtil.is100ContinueExpected(head)) {
       channel.writeAndFlush(
@@ -225,7 +235,7 @@
     if (http11 && !head.headers().contains(HttpHeaderNames.HOST)) {
       return HttpRejection.MALFORMED;
     }
-    if (!head.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING).stream().allMatch(PLAIN_CHUNKS)) {
+    if (!head.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING).stream().allMatch(IS_CHUNKED)) {
       return HttpRejection.MALFORMED;
     }
     return HttpUtil.getContentLength(head, 0L) > config.maxBodyBytes()
@@ -239,11 +249,11 @@
       reject(HttpRejection.BODY_TOO_LARGE);
       return;
     }
-    if (!bodies.take(bytes.readableBytes())) {
+    if (!bodyBudget.tryReserve(bytes.readableBytes())) {
       reject(HttpRejection.TOO_MANY_CONNECTIONS);
       return;
     }
-    held += bytes.readableBytes();
+    heldBodyBytes += bytes.readableBytes();
     byte[] part = new byte[bytes.readableBytes()];
     bytes.readBytes(part);
     body.writeBytes(part);
@@ -255,31 +265,34 @@
   private void dispatch(HttpRequest head) {
     cancelTimer();
     state = State.ANSWERING;
-    unanswered.incrementAndGet();
-    leaveNewcomers();
-    ServerExchange current = new ServerExchange(this, channel, head, body.toByteArray(), headNanos);
+    unansweredRequests.incrementAndGet();
+    stopAwaitingFirstRequest();
+    ServerExchange current =
+        new ServerExchange(this, channel, head, body.toByteArray(), headReceivedNanos);
     exchange = current;
     request = null;
     body = new ByteArrayOutputStream(0);
     try {
       handler.handle(current);
     } catch (RuntimeException e) {
-      LOG.error("handler failed", e);
+      LOG.error("request handler threw an exception; closing the connection", e);
       channel.close();
     }
   }
 
-  /** Whether the connection outlives the answer to {@code head} as things stand now. */
+  /** Returns whether the connection currently would stay open after the answer to {@code head}. */
   boolean keepAlive(HttpRequest head) {
-    return HttpUtil.isKeepAlive(head) && !stopping.getAsBoolean() && !pipelined;
+    return HttpUtil.isKeepAlive(head) && !closingAfterAnswers.getAsBoolean() && !pipelined;
   }
 
-  /** Called on the event loop after the last byte of an answer was handed to the channel. */
-  void answered(boolean keepAlive) {
+  /** Called on the event loop after the last byte of an answer has been written to the channel. */
+  void onAnswered(boolean keepAlive) {
     exchange = null;
     releaseBody();
-    // An empty write is done when all before it has left, or when the connection is closed.
-    channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(done -> unanswered.decrementAndGet());
+    // An empty write completes when everything before it has been sent or the connection is closed.
+    channel
+        .writeAndFlush(Unpooled.EMPTY_BUFFER)
+        .addListener(done -> unansweredRequests.decrementAndGet());
     if (!keepAlive || pipelined) {
       closeGracefully();
       return;
@@ -291,25 +304,31 @@
 
   private void startIdle() {
     state = State.IDLE;
-    closeWhenIdle();
+    scheduleIdleClose();
   }
 
-  /** Closes after the idle timeout, unless the caller is still taking an answer by then. */
-  private void closeWhenIdle() {
-    unsentSeen = unsent();
+  /**
+   * Closes the connection after the idle timeout, unless the caller is still receiving an answer at
+   * that time.
+   */
+  private void scheduleIdleClose() {
+    lastUnsentBytes = unsentBytes();
     setTimer(
         config.idleTimeout(),
         () -> {
-          if (unsent() == unsentSeen) {
+          if (unsentBytes() == lastUnsentBytes) {
             channel.close();
           } else {
-            closeWhenIdle();
+            scheduleIdleClose();
           }
         });
   }
 
-  /** A number that changes as long as the connection takes bytes, and is zero when all are out. */
-  private long unsent() {
+  /**
+   * Returns a number that changes as long as the caller receives bytes, and is zero when all have
+   * been sent.
+   */
+  private long unsentBytes() {
     ChannelOutboundBuffer buffer = channel.unsafe().outboundBuffer();
     return buffer == null ? 0 : buffer.totalPendingWriteBytes() - buffer.currentProgress();
   }
@@ -319,11 +338,11 @@
     setTimer(config.requestTimeout(), () -> reject(HttpRejection.SLOW_OR_TRUNCATED));
   }
 
-  private void inputShutDown() {
+  private void onInputShutdown() {
     switch (state) {
       case READING -> reject(HttpRejection.SLOW_OR_TRUNCATED);
-      // Callers don't shut down one side only while they wait for an answer: this is how a closed
-      // connection looks from here.
+      // Callers do not shut down only their output while they wait for an answer; a shutdown here
+      // means that the connection was closed.
       case IDLE, ANSWERING, CLOSING -> channel.close();
     }
   }
@@ -333,37 +352,37 @@
     request = null;
     body = new ByteArrayOutputStream(0);
     releaseBody();
-    unanswered.incrementAndGet();
-    leaveNewcomers();
+    unansweredRequests.incrementAndGet();
+    stopAwaitingFirstRequest();
     channel
-        .writeAndFlush(ServerExchange.wholeAnswer(answer, false))
-        .addListener(done -> unanswered.decrementAndGet());
+        .writeAndFlush(ServerExchange.toFullResponse(answer, false))
+        .addListener(done -> unansweredRequests.decrementAndGet());
     closeGracefully();
   }
 
   private void closeGracefully() {
     state = State.CLOSING;
-    closeWhenIdle();
+    scheduleIdleClose();
     channel
         .writeAndFlush(Unpooled.EMPTY_BUFFER)
         .addListener(
             (ChannelFutureListener)
                 done -> {
                   channel.shutdownOutput();
-                  setTimer(LINGER, channel::close);
+                  setTimer(LINGER_TIMEOUT, channel::close);
                 });
   }
 
   private void releaseBody() {
-    bodies.giveBack(held);
-    held = 0;
+    bodyBudget.release(heldBodyBytes);
+    heldBodyBytes = 0;
   }
 
-  private void callerGone() {
+  private void notifyDisconnect() {
     if (exchange != null) {
-      exchange.callerIsGone();
+      exchange.onDisconnect();
       exchange = null;
-      unanswered.decrementAndGet();
+      unansweredRequests.decrementAndGet();
     }
   }
 
--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/ServerExchange.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/ServerExchange.java
@@ -26,21 +26,21 @@
 /**
  * A request on a {@link ServerConnection} and its answer.
  *
- * <p>Every call goes through the event loop's queue, also from the event loop itself: a call made
- * there at once would overtake those that other threads made before it.
+ * <p>Every call is queued on the event loop, even if it is made on the event loop itself: executed
+ * at once, it would overtake calls that other threads made earlier.
  */
 final class ServerExchange implements HttpExchange {
   private final ServerConnection connection;
   private final SocketChannel channel;
   private final HttpRequest head;
   private final byte[] body;
-  private final long headNanos;
+  private final long headReceivedNanos;
   private final AtomicBoolean answerStarted = new AtomicBoolean();
 
-  /** Touched on the event loop only, like {@link #gone}. */
-  private @Nullable Runnable goneAction;
+  /** Accessed only on the event loop, like {@link #disconnected}. */
+  private @Nullable Runnable disconnectAction;
 
-  private boolean gone;
+  private boolean disconnected;
   private boolean ended;
 
   ServerExchange(
@@ -48,12 +48,12 @@
       SocketChannel channel,
       HttpRequest head,
       byte[] body,
-      long headNanos) {
+      long headReceivedNanos) {
     this.connection = connection;
     this.channel = channel;
     this.head = head;
     this.body = body;
-    this.headNanos = headNanos;
+    this.headReceivedNanos = headReceivedNanos;
   }
 
   @Override
@@ -83,7 +83,7 @@
 
   @Override
   public Duration sinceHead() {
-    return Duration.ofNanos(System.nanoTime() - headNanos);
+    return Duration.ofNanos(System.nanoTime() - headReceivedNanos);
   }
 
   @Override
@@ -95,14 +95,14 @@
   @Override
   public void respond(int status, Map<String, String> headers, byte[] answer) {
     claimAnswer();
-    HttpAnswer whole = new HttpAnswer(status, headers, answer);
-    channel.eventLoop().execute(() -> sendWhole(whole));
+    HttpAnswer fullAnswer = new HttpAnswer(status, headers, answer);
+    channel.eventLoop().execute(() -> sendAnswer(fullAnswer));
   }
 
   @Override
   public ResponseStream startStream(int status, Map<String, String> headers) {
     claimAnswer();
-    Stream stream = new Stream();
+    ChunkedStream stream = new ChunkedStream();
     Map<String, String> copy = Map.copyOf(headers);
     channel.eventLoop().execute(() -> stream.sendHead(status, copy));
     return stream;
@@ -120,25 +120,25 @@
         .eventLoop()
         .execute(
             () -> {
-              if (gone) {
+              if (disconnected) {
                 action.run();
               } else if (!ended) {
-                goneAction = action;
+                disconnectAction = action;
               }
             });
   }
 
-  /** Called on the event loop when the connection closed before the answer had ended. */
-  void callerIsGone() {
-    gone = true;
-    if (goneAction != null) {
-      goneAction.run();
-      goneAction = null;
+  /** Called on the event loop when the connection is closed before the answer has ended. */
+  void onDisconnect() {
+    disconnected = true;
+    if (disconnectAction != null) {
+      disconnectAction.run();
+      disconnectAction = null;
     }
   }
 
-  /** A whole answer as Netty's codec takes it. */
-  static FullHttpResponse wholeAnswer(HttpAnswer answer, boolean keepAlive) {
+  /** Converts a complete answer for Netty's codec. */
+  static FullHttpResponse toFullResponse(HttpAnswer answer, boolean keepAlive) {
     FullHttpResponse response =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1,
@@ -157,12 +157,12 @@
     }
   }
 
-  private void sendWhole(HttpAnswer answer) {
-    if (gone) {
+  private void sendAnswer(HttpAnswer answer) {
+    if (disconnected) {
       return;
     }
     boolean keepAlive = connection.keepAlive(head);
-    FullHttpResponse response = wholeAnswer(answer, keepAlive);
+    FullHttpResponse response = toFullResponse(answer, keepAlive);
     if (head.method().equals(HttpMethod.HEAD) || !mayHaveBody(answer.status())) {
       response.content().clear();
     }
@@ -172,8 +172,8 @@
 
   private void end(boolean keepAlive) {
     ended = true;
-    goneAction = null;
-    connection.answered(keepAlive);
+    disconnectAction = null;
+    connection.onAnswered(keepAlive);
   }
 
   private static boolean mayHaveBody(int status) {
@@ -188,17 +188,17 @@
     }
   }
 
-  /** The body of an answer in parts. */
-  private final class Stream implements ResponseStream {
+  /** The body of an answer, sent in parts. */
+  private final class ChunkedStream implements ResponseStream {
     private final AtomicLong pending = new AtomicLong();
     private boolean keepAlive;
     private boolean chunked;
 
     void sendHead(int status, Map<String, String> headers) {
-      if (gone) {
+      if (disconnected) {
         return;
       }
-      // HTTP/1.0 knows no chunks: the end of the connection is the end of the answer.
+      // HTTP/1.0 has no chunked coding: the end of the connection marks the end of the answer.
       chunked = head.protocolVersion().equals(HttpVersion.HTTP_1_1);
       keepAlive = chunked && connection.keepAlive(head);
       HttpResponse response =
@@ -220,7 +220,7 @@
     }
 
     private void send(byte[] part) {
-      if (gone || ended) {
+      if (disconnected || ended) {
         pending.addAndGet(-part.length);
         return;
       }
@@ -240,7 +240,7 @@
           .eventLoop()
           .execute(
               () -> {
-                if (gone || ended) {
+                if (disconnected || ended) {
                   return;
                 }
                 channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
@@ -254,23 +254,24 @@
           .eventLoop()
           .execute(
               () -> {
-                if (gone || ended) {
+                if (disconnected || ended) {
                   return;
                 }
                 ended = true;
-                goneAction = null;
-                closeWithoutEnd();
+                disconnectAction = null;
+                closeIncomplete();
               });
     }
 
-    private void closeWithoutEnd() {
+    private void closeIncomplete() {
       if (!chunked) {
-        // Without chunks only a reset tells the caller that the answer isn't whole.
+        // Without chunked coding, only a connection reset tells the caller that the answer is
+        // incomplete.
         channel.config().setSoLinger(0);
         channel.close();
         return;
       }
-      connection.answered(false);
+      connection.onAnswered(false);
     }
   }
 }
--- a/teaseldeal-net/src/test/java/org/teaseldeal/net/HttpClientTests.java
+++ b/teaseldeal-net/src/test/java/org/teaseldeal/net/HttpClientTests.java
@@ -26,7 +26,7 @@
   private final HttpClient client =
       new HttpClient(
           new HttpClientConfig(Duration.ofSeconds(1), 2, 2, Duration.ofSeconds(10), 8192, 1 << 16));
-  private final LinkedBlockingQueue<String> told = new LinkedBlockingQueue<>();
+  private final LinkedBlockingQueue<String> recorded = new LinkedBlockingQueue<>();
 
   @AfterEach
   void closeClient() {
@@ -37,17 +37,17 @@
   class Answers {
     @Test
     void arriveAsHeadPartsAndEnd() throws Exception {
-      try (HttpServer server = echo()) {
-        client.send(request(server.address(), "POST", "hello"), new Recorder(told));
-        assertEquals("head 200 POST", told.take());
-        assertEquals("part hello", told.take());
-        assertEquals("end", told.take());
+      try (HttpServer server = startEchoServer()) {
+        client.send(request(server.address(), "POST", "hello"), new RecordingListener(recorded));
+        assertEquals("head 200 POST", recorded.take());
+        assertEquals("part hello", recorded.take());
+        assertEquals("end", recorded.take());
       }
     }
 
     @Test
-    void areFetchedWhole() throws Exception {
-      try (HttpServer server = echo()) {
+    void areFetchedCompletely() throws Exception {
+      try (HttpServer server = startEchoServer()) {
         HttpAnswer answer = client.fetch(request(server.address(), "POST", "hello")).get();
         assertEquals("hello", answer.text());
         assertEquals("POST", answer.headers().get("x-method"));
@@ -55,15 +55,15 @@
     }
 
     @Test
-    void areFetchedOnlyUpToTheLimit() throws Exception {
-      try (HttpServer server = echo()) {
+    void failToBeFetchedBeyondSizeLimit() throws Exception {
+      try (HttpServer server = startEchoServer()) {
         String large = "x".repeat((1 << 16) + 1);
         assertFetchFails(HttpFailure.BROKEN_ANSWER, request(server.address(), "POST", large));
       }
     }
 
     @Test
-    void shareAConnection() throws Exception {
+    void reuseOneConnection() throws Exception {
       Set<Integer> ports = ConcurrentHashMap.newKeySet();
       try (ScriptedServer server =
           new ScriptedServer(
@@ -85,36 +85,36 @@
   @Nested
   class Failures {
     @Test
-    void ofConnectingAreNotSent() throws Exception {
+    void toConnectAreReportedAsNotSent() throws Exception {
       InetSocketAddress closed;
       try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
         closed = (InetSocketAddress) socket.getLocalSocketAddress();
       }
-      client.send(request(closed, "GET", ""), new Recorder(told));
-      assertEquals("NOT_SENT", told.take());
+      client.send(request(closed, "GET", ""), new RecordingListener(recorded));
+      assertEquals("NOT_SENT", recorded.take());
     }
 
     @Test
-    void ofAddressesThatAreNoIpNumberAreNotSent() throws Exception {
+    void ofHostNamesAreReportedAsNotSent() throws Exception {
       client.send(
           new HttpCallRequest(
               "example.test:80", "GET", "/", Map.of(), new byte[0], Duration.ofSeconds(5)),
-          new Recorder(told));
-      assertEquals("NOT_SENT", told.take());
+          new RecordingListener(recorded));
+      assertEquals("NOT_SENT", recorded.take());
     }
 
     @Test
-    void ofTooManyConnectionsAreNotSent() throws Exception {
+    void beyondConnectionLimitAreReportedAsNotSent() throws Exception {
       try (ScriptedServer server = new ScriptedServer(socket -> Thread.sleep(20_000))) {
         for (int i = 0; i < 3; i++) {
-          client.send(request(server.address(), "GET", ""), new Recorder(told));
+          client.send(request(server.address(), "GET", ""), new RecordingListener(recorded));
         }
-        assertEquals("NOT_SENT", told.take());
+        assertEquals("NOT_SENT", recorded.take());
       }
     }
 
     @Test
-    void withoutAHeadInTimeAreNoAnswer() throws Exception {
+    void byTimeoutAreReportedAsNoAnswer() throws Exception {
       try (ScriptedServer server = new ScriptedServer(socket -> Thread.sleep(20_000))) {
         HttpCallRequest request =
             new HttpCallRequest(
@@ -124,21 +124,21 @@
                 Map.of(),
                 new byte[0],
                 Duration.ofMillis(200));
-        client.send(request, new Recorder(told));
-        assertEquals("NO_ANSWER", told.take());
+        client.send(request, new RecordingListener(recorded));
+        assertEquals("NO_ANSWER", recorded.take());
       }
     }
 
     @Test
-    void ofConnectionsClosedAfterTheRequestAreNoAnswer() throws Exception {
+    void byCloseAfterRequestAreReportedAsNoAnswer() throws Exception {
       try (ScriptedServer server = new ScriptedServer(ScriptedServer::readRequest)) {
-        client.send(request(server.address(), "POST", "x"), new Recorder(told));
-        assertEquals("NO_ANSWER", told.take());
+        client.send(request(server.address(), "POST", "x"), new RecordingListener(recorded));
+        assertEquals("NO_ANSWER", recorded.take());
       }
     }
 
     @Test
-    void ofTruncatedAnswersAreBroken() throws Exception {
+    void ofTruncatedAnswersAreReportedAsBroken() throws Exception {
       for (String head : new String[] {"Content-Length: 9", "Transfer-Encoding: chunked"}) {
         try (ScriptedServer server =
             new ScriptedServer(
@@ -152,7 +152,7 @@
     }
 
     @Test
-    void ofMalformedAnswersAreBroken() throws Exception {
+    void ofMalformedAnswersAreReportedAsBroken() throws Exception {
       try (ScriptedServer server =
           new ScriptedServer(
               socket -> {
@@ -167,9 +167,9 @@
   @Nested
   class PooledConnections {
     @Test
-    void closedByTheServerAreReplacedBeforeAByteIsWritten() throws Exception {
-      // The server answers and closes its side a moment later. The next call must not be counted
-      // as sent on the dead connection: it goes over a new one, and the caller sees its answer.
+    void closedByServerAreReplacedBeforeWriting() throws Exception {
+      // The server answers and closes the connection a moment later. The next call must not count
+      // as sent on the closed connection: it uses a new one and gets its answer.
       try (ScriptedServer server =
           new ScriptedServer(
               socket -> {
@@ -184,31 +184,32 @@
     }
 
     @Test
-    void areNeverReusedAfterACancel() throws Exception {
-      // A call is cancelled in the middle of its answer, of which the rest arrives later. If the
-      // connection were used again, the next call would be given the rest of another's answer.
+    void areNotReusedAfterCancellation() throws Exception {
+      // A call is cancelled in the middle of its answer, whose rest arrives later. If the
+      // connection were reused, the next call would receive the rest of the first call's answer.
       LinkedBlockingQueue<HttpExchange> held = new LinkedBlockingQueue<>();
       try (HttpServer server =
           HttpServer.start(HttpServerConfig.defaults("127.0.0.1", 0), held::add)) {
-        HttpCall first = client.send(request(server.address(), "GET", ""), new Recorder(told));
+        HttpCall first =
+            client.send(request(server.address(), "GET", ""), new RecordingListener(recorded));
         ResponseStream stream = held.take().startStream(200, Map.of());
         stream.write("first".getBytes(StandardCharsets.UTF_8));
-        assertEquals("head 200 null", told.take());
-        assertEquals("part first", told.take());
+        assertEquals("head 200 null", recorded.take());
+        assertEquals("part first", recorded.take());
         first.cancel();
         var second = client.fetch(request(server.address(), "GET", ""));
         stream.write("rest".getBytes(StandardCharsets.UTF_8));
         stream.finish();
         held.take().respond(200, Map.of(), "second".getBytes(StandardCharsets.UTF_8));
         assertEquals("second", second.get().text());
-        assertTrue(told.isEmpty());
+        assertTrue(recorded.isEmpty());
       }
     }
 
     @Test
-    void withoutACallAreClosedOnRequest() throws Exception {
-      // A server's process has ended without closing its connections. What is kept to its address
-      // is closed; the next call goes over a new connection.
+    void areClosedByCloseIdle() throws Exception {
+      // A server's process has ended without closing its connections. The idle connections to its
+      // address are closed, and the next call uses a new one.
       try (ScriptedServer server =
           new ScriptedServer(
               socket -> {
@@ -226,7 +227,7 @@
     }
 
     @Test
-    void areClosedWhenBytesComeThatNobodyAskedFor() throws Exception {
+    void areClosedOnUnsolicitedBytes() throws Exception {
       try (ScriptedServer server =
           new ScriptedServer(
               socket -> {
@@ -249,7 +250,7 @@
     assertEquals(expected, cause.failure());
   }
 
-  private static HttpServer echo() throws IOException {
+  private static HttpServer startEchoServer() throws IOException {
     return HttpServer.start(
         HttpServerConfig.defaults("127.0.0.1", 0),
         exchange -> exchange.respond(200, Map.of("X-Method", exchange.method()), exchange.body()));
--- a/teaseldeal-net/src/test/java/org/teaseldeal/net/HttpServerTests.java
+++ b/teaseldeal-net/src/test/java/org/teaseldeal/net/HttpServerTests.java
@@ -26,13 +26,13 @@
 
 @Timeout(30)
 class HttpServerTests {
-  private static final int MOST_CONNECTIONS = 64;
+  private static final int MAX_TEST_CONNECTIONS = 64;
 
   private static final HttpServerConfig CONFIG =
       new HttpServerConfig(
           "127.0.0.1", 0, 3, 512, 64, Duration.ofMillis(400), Duration.ofSeconds(20));
 
-  private final LinkedBlockingQueue<HttpExchange> held = new LinkedBlockingQueue<>();
+  private final LinkedBlockingQueue<HttpExchange> heldExchanges = new LinkedBlockingQueue<>();
   private final List<HttpServer> servers = new ArrayList<>();
 
   @AfterEach
@@ -43,16 +43,16 @@
   @Nested
   class WhileServing {
     @Test
-    void answersOneRequestAfterTheOtherOnAKeptConnection() throws IOException {
-      try (RawConnection connection = connect(startEcho())) {
+    void answersSeveralRequestsOnOneConnection() throws IOException {
+      try (RawConnection connection = connect(startEchoServer())) {
         assertEquals(ok("POST /a one"), connection.send(post("/a", "one")).readUntil("one"));
         assertEquals(ok("POST /b two"), connection.send(post("/b", "two")).readUntil("two"));
       }
     }
 
     @Test
-    void closesAfterTheAnswerIfTheCallerAsksForIt() throws IOException {
-      try (RawConnection connection = connect(startEcho())) {
+    void closesAfterAnswerIfCallerRequestsIt() throws IOException {
+      try (RawConnection connection = connect(startEchoServer())) {
         connection.send("GET /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
         assertEquals(
             "HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 7\r\n\r\nGET /a ",
@@ -62,15 +62,15 @@
 
     @Test
     void readsChunkedBodies() throws IOException {
-      try (RawConnection connection = connect(startEcho())) {
+      try (RawConnection connection = connect(startEchoServer())) {
         connection.send(chunkedHead() + "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
         assertEquals(ok("POST /c abcde"), connection.readUntil("abcde"));
       }
     }
 
     @Test
-    void asksForTheBodyThatACallerHoldsBack() throws IOException {
-      try (RawConnection connection = connect(startEcho())) {
+    void sendsContinueIfCallerExpectsIt() throws IOException {
+      try (RawConnection connection = connect(startEchoServer())) {
         connection.send(
             "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\nExpect: 100-continue\r\n\r\n");
         assertEquals("HTTP/1.1 100 Continue\r\n\r\n", connection.readUntil("\r\n\r\n"));
@@ -79,18 +79,18 @@
     }
 
     @Test
-    void sendsNoBodyToHead() throws IOException {
-      try (RawConnection connection = connect(startEcho())) {
+    void sendsNoBodyInAnswerToHead() throws IOException {
+      try (RawConnection connection = connect(startEchoServer())) {
         connection.send("HEAD /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
         assertTrue(connection.readToEnd().endsWith("content-length: 8\r\n\r\n"));
       }
     }
 
     @Test
-    void keepsTheOrderOfPartsFromAnyThread() throws Exception {
-      try (RawConnection connection = connect(startHolding())) {
+    void keepsOrderOfPartsFromDifferentThreads() throws Exception {
+      try (RawConnection connection = connect(startServerThatHoldsExchanges())) {
         connection.send(get("/s"));
-        ResponseStream stream = held.take().startStream(200, Map.of());
+        ResponseStream stream = heldExchanges.take().startStream(200, Map.of());
         for (int i = 0; i < 100; i++) {
           byte[] part = bytes("%02d".formatted(i));
           Thread writer = Thread.startVirtualThread(() -> stream.write(part));
@@ -99,17 +99,17 @@
         stream.finish();
         String answer = connection.readUntil("0\r\n\r\n");
         for (int i = 0; i < 99; i++) {
-          String next = "2\r\n%02d\r\n2\r\n%02d\r\n".formatted(i, i + 1);
-          assertTrue(answer.contains(next), answer);
+          String pair = "2\r\n%02d\r\n2\r\n%02d\r\n".formatted(i, i + 1);
+          assertTrue(answer.contains(pair), answer);
         }
       }
     }
 
     @Test
-    void countsWhatASlowCallerHasNotTaken() throws Exception {
-      try (RawConnection connection = connect(startHolding())) {
+    void countsBytesPendingForSlowCaller() throws Exception {
+      try (RawConnection connection = connect(startServerThatHoldsExchanges())) {
         connection.send(get("/s"));
-        ResponseStream stream = held.take().startStream(200, Map.of());
+        ResponseStream stream = heldExchanges.take().startStream(200, Map.of());
         byte[] part = new byte[1 << 20];
         for (int i = 0; i < 32; i++) {
           stream.write(part);
@@ -122,12 +122,13 @@
     }
 
     @Test
-    void keepsALargeAnswerFlowingToASlowCallerThatAskedToClose() throws Exception {
-      // The caller asked for Connection: close and reads late. The server has handed everything to
-      // the connection and only waits to close it. The answer must arrive whole all the same.
-      try (RawConnection connection = connect(startHolding())) {
+    void completesLargeAnswerToSlowCallerBeforeClosing() throws Exception {
+      // The caller asks for the connection to be closed and reads late. The server has written the
+      // whole answer to the connection and only waits to close it; the answer must still arrive
+      // completely.
+      try (RawConnection connection = connect(startServerThatHoldsExchanges())) {
         connection.send("GET /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
-        held.take().respond(200, Map.of(), new byte[16 << 20]);
+        heldExchanges.take().respond(200, Map.of(), new byte[16 << 20]);
         Thread.sleep(1500);
         String answer = connection.readToEnd();
         assertEquals((16 << 20) + answer.indexOf("\r\n\r\n") + 4, answer.length());
@@ -135,10 +136,10 @@
     }
 
     @Test
-    void showsABrokenStreamByEndingWithoutTheLastChunk() throws Exception {
-      try (RawConnection connection = connect(startHolding())) {
+    void endsAbortedStreamWithoutLastChunk() throws Exception {
+      try (RawConnection connection = connect(startServerThatHoldsExchanges())) {
         connection.send(get("/s"));
-        ResponseStream stream = held.take().startStream(200, Map.of());
+        ResponseStream stream = heldExchanges.take().startStream(200, Map.of());
         stream.write(bytes("part"));
         stream.abort();
         assertTrue(connection.readToEnd().endsWith("\r\n\r\n4\r\npart\r\n"));
@@ -146,43 +147,43 @@
     }
 
     @Test
-    void closesWithoutAnAnswerIfToldTo() throws Exception {
-      try (RawConnection connection = connect(startHolding())) {
+    void closesWithoutAnswerOnAbort() throws Exception {
+      try (RawConnection connection = connect(startServerThatHoldsExchanges())) {
         connection.send(get("/a"));
-        held.take().abort();
+        heldExchanges.take().abort();
         assertEquals("", connection.readToEnd());
       }
     }
 
     @Test
-    void saysWhenTheCallerIsGone() throws Exception {
+    void notifiesWhenCallerDisconnects() throws Exception {
       CountDownLatch gone = new CountDownLatch(1);
-      try (RawConnection connection = connect(startHolding())) {
+      try (RawConnection connection = connect(startServerThatHoldsExchanges())) {
         connection.send(get("/s"));
-        held.take().onCallerGone(gone::countDown);
+        heldExchanges.take().onCallerGone(gone::countDown);
       }
       assertTrue(gone.await(10, TimeUnit.SECONDS));
     }
 
     @Test
-    void closesAfterTheAnswerIfAnotherRequestCameBeforeIt() throws Exception {
-      // The caller pipelines a second request. It gets the first answer whole, then the connection
-      // closes, and it knows that the second request was not taken.
-      try (RawConnection connection = connect(startHolding())) {
+    void closesAfterAnswerIfAnotherRequestWasPipelined() throws Exception {
+      // The caller pipelines a second request. It receives the first answer completely, then the
+      // connection closes, so the caller knows that the second request was not accepted.
+      try (RawConnection connection = connect(startServerThatHoldsExchanges())) {
         connection.send(get("/first") + get("/second"));
-        HttpExchange first = held.take();
+        HttpExchange first = heldExchanges.take();
         first.respond(200, Map.of(), bytes("first"));
         String answer = connection.readToEnd();
         assertTrue(answer.endsWith("\r\n\r\nfirst"), answer);
-        assertTrue(held.isEmpty());
+        assertTrue(heldExchanges.isEmpty());
       }
     }
 
     @Test
-    void refusesASecondAnswer() throws Exception {
-      try (RawConnection connection = connect(startHolding())) {
+    void rejectsSecondAnswer() throws Exception {
+      try (RawConnection connection = connect(startServerThatHoldsExchanges())) {
         connection.send(get("/a"));
-        HttpExchange exchange = held.take();
+        HttpExchange exchange = heldExchanges.take();
         exchange.respond(200, Map.of(), bytes("a"));
         assertThrows(
             IllegalStateException.class, () -> exchange.respond(200, Map.of(), bytes("b")));
@@ -193,8 +194,8 @@
   @Nested
   class WhenStopping {
     @Test
-    void answersNewConnectionsUntilItStopsAccepting() throws Exception {
-      HttpServer server = startEcho();
+    void servesNewConnectionsUntilItStopsAccepting() throws Exception {
+      HttpServer server = startEchoServer();
       try (RawConnection before = connect(server)) {
         server.closeAfterAnswers();
         assertTrue(before.send(post("/a", "x")).readToEnd().endsWith("POST /a x"));
@@ -205,11 +206,11 @@
     }
 
     @Test
-    void finishesWhatIsOnItsWayAndTakesNoNewConnection() throws Exception {
-      HttpServer server = startHolding();
+    void finishesRequestsInFlightAndRefusesNewConnections() throws Exception {
+      HttpServer server = startServerThatHoldsExchanges();
       try (RawConnection connection = connect(server)) {
         connection.send(get("/a"));
-        HttpExchange exchange = held.take();
+        HttpExchange exchange = heldExchanges.take();
         server.stopAccepting();
         assertThrows(ConnectException.class, () -> connect(server).close());
         exchange.respond(200, Map.of(), bytes("late"));
@@ -221,15 +222,15 @@
   }
 
   @Nested
-  class Stops {
+  class WhenReleasingTheAddress {
     /**
-     * A caller's connection is reset and its request never read. The system had accepted the
-     * connection for the server while its event loop was busy, and the listening socket was closed
-     * before the loop came to take it.
+     * Connections that the system has accepted must be served when the server stops. The event loop
+     * is busy, and the listening socket used to be closed before the loop accepted the connection;
+     * it was reset and its request never read.
      */
     @Test
-    void takeTheConnectionsThatTheSystemHasAccepted() throws Exception {
-      HttpServer server = startEcho();
+    void servesConnectionsAlreadyAcceptedBySystem() throws Exception {
+      HttpServer server = startEchoServer();
       CountDownLatch busy = new CountDownLatch(1);
       NetRuntime.group().forEach(loop -> loop.execute(() -> awaitQuietly(busy)));
       try (RawConnection connection = connect(server)) {
@@ -246,19 +247,19 @@
     }
 
     /**
-     * A caller's connection is closed without a byte of an answer. The system establishes it after
-     * the event loop has looked for the last time, and before the socket is closed. Here the loop
-     * itself connects in each of its rounds, so that nothing depends on time.
+     * Connections established between the event loop's last accept and the close of the socket must
+     * be served; they used to be closed without a byte of an answer. The event loop itself connects
+     * in each of its rounds, so the test does not depend on timing.
      */
     @Test
-    void takeTheConnectionsThatTheSystemAcceptsAsTheyEnd() throws Exception {
-      HttpServer server = startEcho();
+    void servesConnectionsAcceptedDuringRelease() throws Exception {
+      HttpServer server = startEchoServer();
       server.useLimits(HttpServerConfig.defaults("127.0.0.1", 0));
       Queue<RawConnection> connections = new ConcurrentLinkedQueue<>();
       CountDownLatch busy = new CountDownLatch(1);
       NetRuntime.group().forEach(loop -> loop.execute(() -> awaitQuietly(busy)));
       Future<Void> released = server.beginToStopAccepting();
-      EventLoop loop = server.loop();
+      EventLoop loop = server.eventLoop();
       loop.execute(() -> connectEachRound(loop, server, connections));
       busy.countDown();
       assertTrue(released.await(20, TimeUnit.SECONDS));
@@ -269,23 +270,26 @@
       }
     }
 
-    /** Connects in each round of an event loop, until nobody listens. */
+    /** Connects in each round of an event loop until the server refuses connections. */
     private void connectEachRound(
         EventLoop loop, HttpServer server, Queue<RawConnection> connections) {
-      if (connections.size() >= MOST_CONNECTIONS) {
+      if (connections.size() >= MAX_TEST_CONNECTIONS) {
         return;
       }
       try {
         connections.add(connect(server));
         loop.schedule(() -> connectEachRound(loop, server, connections), 0, TimeUnit.NANOSECONDS);
       } catch (IOException e) {
-        // Refused: the address is free.
+        // The connection was refused, so the address is free.
       }
     }
 
-    /** The process may not end before a rejection has left it either. */
+    /**
+     * A rejection counts as unanswered until it has been sent, so that the process does not end
+     * before.
+     */
     @Test
-    void waitForRejectionsToo() throws Exception {
+    void countsRejectionAsUnansweredUntilSent() throws Exception {
       byte[] large = new byte[32 << 20];
       HttpServer server =
           HttpServer.start(
@@ -342,7 +346,7 @@
 
     @Test
     void ofSlowSenders() throws IOException {
-      // The sender stops in the middle of the head, or of the body, and keeps the connection open.
+      // The sender stops in the middle of the head or of the body and keeps the connection open.
       assertRejected("GET / HT", "408 Request Timeout", "slow-or-truncated");
       assertRejected(
           "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nab",
@@ -352,8 +356,8 @@
 
     @Test
     void ofTruncatedBodies() throws IOException {
-      // The sender shuts its side down before the last chunk, and still reads.
-      try (RawConnection connection = connect(startEcho())) {
+      // The sender shuts down its output before the last chunk and still reads.
+      try (RawConnection connection = connect(startEchoServer())) {
         connection.send(chunkedHead() + "3\r\nabc\r\n").shutdownOutput();
         assertEquals(rejected("408 Request Timeout", "slow-or-truncated"), connection.readToEnd());
       }
@@ -361,22 +365,22 @@
 
     @Test
     void ofTooManyConnections() throws Exception {
-      HttpServer server = startEcho();
-      try (RawConnection one = connect(server);
-          RawConnection two = connect(server);
-          RawConnection three = connect(server)) {
-        for (RawConnection connection : List.of(one, two, three)) {
+      HttpServer server = startEchoServer();
+      try (RawConnection first = connect(server);
+          RawConnection second = connect(server);
+          RawConnection third = connect(server)) {
+        for (RawConnection connection : List.of(first, second, third)) {
           connection.send(post("/a", "x")).readUntil("POST /a x");
         }
-        try (RawConnection four = connect(server)) {
+        try (RawConnection excess = connect(server)) {
           assertEquals(
-              rejected("503 Service Unavailable", "too-many-connections"), four.readToEnd());
+              rejected("503 Service Unavailable", "too-many-connections"), excess.readToEnd());
         }
-        one.close();
+        first.close();
         awaitTrue(
             () -> {
-              try (RawConnection five = connect(server)) {
-                return five.send(post("/a", "x")).readUntil("\n").startsWith("HTTP/1.1 200");
+              try (RawConnection retried = connect(server)) {
+                return retried.send(post("/a", "x")).readUntil("\n").startsWith("HTTP/1.1 200");
               } catch (IOException e) {
                 return false;
               }
@@ -385,37 +389,39 @@
     }
 
     @Test
-    void ofBodiesThatTogetherTakeTooMuchMemory() throws Exception {
-      // A request waits for its answer and its body is kept. Another, whose body is within the
-      // limit of one, is told to come back; once the first is answered there is room again.
-      HttpServer server = HttpServer.start(CONFIG, held::add, HttpRejectionAnswer.plain(), 100);
+    void ofBodiesBeyondTotalMemoryLimit() throws Exception {
+      // A request waits for its answer while its body is held in memory. Another, whose body is
+      // within the limit for one body, is rejected with 503; once the first has been answered,
+      // there is room again.
+      HttpServer server =
+          HttpServer.start(CONFIG, heldExchanges::add, HttpRejectionAnswer.plain(), 100);
       servers.add(server);
-      try (RawConnection one = connect(server)) {
-        one.send(post("/a", "x".repeat(60)));
-        HttpExchange first = held.take();
-        try (RawConnection two = connect(server)) {
+      try (RawConnection first = connect(server)) {
+        first.send(post("/a", "x".repeat(60)));
+        HttpExchange firstExchange = heldExchanges.take();
+        try (RawConnection second = connect(server)) {
           assertEquals(
               rejected("503 Service Unavailable", "too-many-connections"),
-              two.send(post("/b", "x".repeat(60))).readToEnd());
+              second.send(post("/b", "x".repeat(60))).readToEnd());
         }
-        first.respond(200, Map.of(), bytes("done"));
-        one.readUntil("done");
-        one.send(post("/c", "x".repeat(60)));
-        assertEquals("/c", held.take().path());
+        firstExchange.respond(200, Map.of(), bytes("done"));
+        first.readUntil("done");
+        first.send(post("/c", "x".repeat(60)));
+        assertEquals("/c", heldExchanges.take().path());
       }
     }
 
     @Test
-    void neverReachTheHandler() throws IOException {
-      HttpServer server = startHolding();
+    void doNotReachHandler() throws IOException {
+      HttpServer server = startServerThatHoldsExchanges();
       try (RawConnection connection = connect(server)) {
         connection.send(post("/a", "x".repeat(65))).readToEnd();
       }
-      assertTrue(held.isEmpty());
+      assertTrue(heldExchanges.isEmpty());
     }
 
     private void assertRejected(String request, String status, String kind) throws IOException {
-      try (RawConnection connection = connect(startEcho())) {
+      try (RawConnection connection = connect(startEchoServer())) {
         assertEquals(rejected(status, kind), connection.send(request).readToEnd());
       }
     }
@@ -429,14 +435,14 @@
 
   @Test
   void failsToStartOnAnAddressInUse() throws IOException {
-    HttpServer first = startEcho();
+    HttpServer first = startEchoServer();
     HttpServerConfig same = HttpServerConfig.defaults("127.0.0.1", first.address().getPort());
     IOException failure =
         assertThrows(IOException.class, () -> HttpServer.start(same, exchange -> {}));
     assertFalse(String.valueOf(failure.getMessage()).isBlank());
   }
 
-  private HttpServer startEcho() throws IOException {
+  private HttpServer startEchoServer() throws IOException {
     return start(
         exchange ->
             exchange.respond(
@@ -450,8 +456,8 @@
                             new String(exchange.body(), StandardCharsets.UTF_8)))));
   }
 
-  private HttpServer startHolding() throws IOException {
-    return start(held::add);
+  private HttpServer startServerThatHoldsExchanges() throws IOException {
+    return start(heldExchanges::add);
   }
 
   private HttpServer start(HttpHandler handler) throws IOException {
--- a/teaseldeal-net/src/test/java/org/teaseldeal/net/RawConnection.java
+++ b/teaseldeal-net/src/test/java/org/teaseldeal/net/RawConnection.java
@@ -7,7 +7,7 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** A plain socket that sends text as it is, and reads what comes back. */
+/** A plain socket that sends raw text and reads the raw answer. */
 final class RawConnection implements AutoCloseable {
   private static final int READ_TIMEOUT_MILLIS = 10_000;
 
@@ -30,12 +30,12 @@
     return this;
   }
 
-  /** Reads until the other side closes. */
+  /** Reads until the peer closes the connection. */
   String readToEnd() throws IOException {
     return new String(in.readAllBytes(), StandardCharsets.ISO_8859_1);
   }
 
-  /** Reads until what was read ends with {@code suffix}. */
+  /** Reads until the text read so far ends with {@code suffix}. */
   String readUntil(String suffix) throws IOException {
     StringBuilder read = new StringBuilder();
     while (!endsWith(read, suffix)) {
--- a/teaseldeal-net/src/test/java/org/teaseldeal/net/ScriptedServer.java
+++ b/teaseldeal-net/src/test/java/org/teaseldeal/net/ScriptedServer.java
@@ -11,15 +11,14 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A server that runs a script of bytes on each connection, one after the other, then closes it. */
+/** A server that handles one connection at a time: runs a script on it and then closes it. */
 final class ScriptedServer implements AutoCloseable {
-  /** What it does on a connection. */
+  /** The script that runs on each connection. */
   interface Script {
     void run(Socket socket) throws Exception;
   }
 
-  private final ServerSocket listening =
-      new ServerSocket(0, 16, InetAddress.getByName("127.0.0.1"));
+  private final ServerSocket listener = new ServerSocket(0, 16, InetAddress.getByName("127.0.0.1"));
   private final LinkedBlockingQueue<Integer> closed = new LinkedBlockingQueue<>();
 
   ScriptedServer(Script script) throws IOException {
@@ -27,7 +26,7 @@
   }
 
   InetSocketAddress address() {
-    return (InetSocketAddress) listening.getLocalSocketAddress();
+    return (InetSocketAddress) listener.getLocalSocketAddress();
   }
 
   void awaitClosed(int count) throws InterruptedException {
@@ -36,8 +35,8 @@
 
   private void accept(Script script) {
     int count = 0;
-    while (!listening.isClosed()) {
-      try (Socket socket = listening.accept()) {
+    while (!listener.isClosed()) {
+      try (Socket socket = listener.accept()) {
         Thread served =
             Thread.ofVirtual()
                 .start(
@@ -45,7 +44,7 @@
                       try (socket) {
                         script.run(socket);
                       } catch (Exception e) {
-                        // The client gave up, or the test is over.
+                        // The client closed the connection, or the test has ended.
                       }
                     });
         served.join();
@@ -58,7 +57,7 @@
 
   @Override
   public void close() throws IOException {
-    listening.close();
+    listener.close();
   }
 
   /** Reads the head of a request. */
--- a/teaseldeal-net/src/test/java/org/teaseldeal/net/DoubtfulAnswerTests.java
+++ b/teaseldeal-net/src/test/java/org/teaseldeal/net/UnusualAnswerTests.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Answers that come at the wrong time or end in the wrong way, byte by byte. */
+/** Answers that arrive at the wrong time or end in the wrong way, scripted byte by byte. */
 @Timeout(30)
-class DoubtfulAnswerTests {
-  private static final int MORE_THAN_SOCKETS_HOLD = 64 << 20;
+class UnusualAnswerTests {
+  private static final int MORE_THAN_SOCKET_BUFFERS_BYTES = 64 << 20;
 
   private final HttpClient client = new HttpClient(HttpClientConfig.defaults());
 
@@ -25,12 +25,13 @@
   }
 
   /**
-   * The caller of the second request gets its own answer. A server answers a long request before it
-   * has read it, keeps the connection and reads on later: what is sent next there would be taken
-   * for the rest of the first body. So the next request goes over a new connection.
+   * A connection is not reused while the body of its request is still being sent. A server answers
+   * a large request before reading all of it, keeps the connection open and reads on later; the
+   * next request on it would be taken for the rest of the first body. It has to use a new
+   * connection.
    */
   @Test
-  void sendsNothingElseWhereABodyIsStillDue() throws Exception {
+  void doesNotReuseConnectionWhileBodyIsUnsent() throws Exception {
     LinkedBlockingQueue<String> firstLines = new LinkedBlockingQueue<>();
     try (ScriptedServer server =
         new ScriptedServer(
@@ -40,33 +41,36 @@
               ScriptedServer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
               socket.getInputStream().transferTo(OutputStream.nullOutputStream());
             })) {
-      assertEquals("ok", fetch(server, new byte[MORE_THAN_SOCKETS_HOLD]));
+      assertEquals("ok", fetch(server, new byte[MORE_THAN_SOCKET_BUFFERS_BYTES]));
       assertEquals("ok", fetch(server, new byte[0]));
       assertEquals("POST /answer HTTP/1.1", firstLines.take());
       assertEquals("POST /answer HTTP/1.1", firstLines.take());
     }
   }
 
-  /** An answer without a length ends with its connection; that is whole only if it was closed. */
+  /**
+   * An answer without a length ends with its connection. It is complete only if the connection was
+   * closed and not reset.
+   */
   @Test
-  void takesAnAnswerWithoutLengthAsWholeOnlyIfItsConnectionIsClosed() throws Exception {
+  void acceptsAnswerWithoutLengthOnlyIfConnectionIsClosedNotReset() throws Exception {
     for (boolean reset : new boolean[] {false, true}) {
       CountDownLatch partRead = new CountDownLatch(1);
-      LinkedBlockingQueue<String> told = new LinkedBlockingQueue<>();
+      LinkedBlockingQueue<String> recorded = new LinkedBlockingQueue<>();
       try (ScriptedServer server =
           new ScriptedServer(
               socket -> {
                 ScriptedServer.readRequest(socket);
                 ScriptedServer.write(socket, "HTTP/1.1 200 OK\r\n\r\nall there is");
-                // A reset discards what has not been read.
+                // A reset discards the bytes that have not been read.
                 partRead.await();
                 socket.setSoLinger(reset, 0);
               })) {
-        client.send(request(server, new byte[0]), new Recorder(told));
-        assertEquals("head 200 null", told.take());
-        assertEquals("part all there is", told.take());
+        client.send(request(server, new byte[0]), new RecordingListener(recorded));
+        assertEquals("head 200 null", recorded.take());
+        assertEquals("part all there is", recorded.take());
         partRead.countDown();
-        assertEquals(reset ? "BROKEN_ANSWER" : "end", told.take());
+        assertEquals(reset ? "BROKEN_ANSWER" : "end", recorded.take());
       }
     }
   }
