--- a/teaseldeal-settings/src/main/java/org/teaseldeal/settings/CustomerSettings.java
+++ b/teaseldeal-settings/src/main/java/org/teaseldeal/settings/CustomerSettings.java
@@ -6,11 +6,12 @@
 import org.teaseldeal.api.Preconditions;
 
 /**
- * One customer of a team.
+ * Settings of one customer of a team.
  *
- * @param tokenSha256 the SHA-256 of the bearer token, as 64 lower-case hexadecimal digits
- * @param services the names of the team's services that it may call; empty for all
- * @param weight its share of a service under load, relative to the other customers'
+ * @param tokenSha256 the SHA-256 of the customer's bearer token, as 64 lower-case hexadecimal
+ *     digits
+ * @param services the names of the team's services that the customer may call; empty for all
+ * @param weight the customer's share of a service under load, relative to the other customers'
  */
 public record CustomerSettings(
     CustomerId id, String tokenSha256, Set<String> services, int weight) {
@@ -25,7 +26,7 @@
     Preconditions.requirePositive(weight, "weight");
   }
 
-  /** Whether this customer may call the service {@code name}. */
+  /** Returns whether this customer may call the service {@code name}. */
   public boolean mayCall(String name) {
     return services.isEmpty() || services.contains(name);
   }
--- a/teaseldeal-settings/src/main/java/org/teaseldeal/settings/FleetParser.java
+++ b/teaseldeal-settings/src/main/java/org/teaseldeal/settings/FleetParser.java
@@ -5,20 +5,20 @@
 import java.util.Map;
 import org.teaseldeal.settings.toml.TomlReader;
 
-/** Reads the fleet's subtree; docs/SETTINGS.md has the reason of each default. */
+/** Parses the fleet's subtree; docs/SETTINGS.md gives the reason for each default. */
 final class FleetParser {
   private static final Duration MILLISECOND = Duration.ofMillis(1);
   private static final Duration SECOND = Duration.ofSeconds(1);
   private static final Duration HOUR = Duration.ofHours(1);
   private static final Duration DAY = Duration.ofDays(1);
-  private static final int MODEL_CONCURRENCY = 32;
-  private static final int PLAIN_CONCURRENCY = 16;
+  private static final int DEFAULT_MODEL_CONCURRENCY = 32;
+  private static final int DEFAULT_PLAIN_CONCURRENCY = 16;
   private static final int MAX_CONCURRENCY = 100_000;
   private static final double MIN_SHARE = 0.001;
-  private static final double MAX_SHARE = 0.25;
-  private static final double RETRY_SHARE = 0.1;
-  private static final long MINIMUM_TOKENS = 1_000;
-  private static final long MAX_TOKENS = 1_000_000_000;
+  private static final double DEFAULT_MAX_SHARE = 0.25;
+  private static final double DEFAULT_MAX_RETRY_SHARE = 0.1;
+  private static final long DEFAULT_MINIMUM_TOKENS = 1_000;
+  private static final long MAX_MINIMUM_TOKENS = 1_000_000_000;
 
   private FleetParser() {}
 
@@ -37,7 +37,7 @@
         readLease(root.table("lease")),
         requests.duration("progress_timeout", Duration.ofSeconds(10), MILLISECOND, HOUR),
         requests.duration("default_timeout", Duration.ofMinutes(1), MILLISECOND, DAY),
-        requests.fraction("max_retry_share", RETRY_SHARE, 0, 1),
+        requests.fraction("max_retry_share", DEFAULT_MAX_RETRY_SHARE, 0, 1),
         window,
         keyMemory);
   }
@@ -50,18 +50,19 @@
 
   private static PoolSettings readPool(String name, TomlReader pool) {
     ServiceKind kind = pool.oneOf("kind", ServiceKind.class);
-    int byDefault = kind == ServiceKind.MODEL ? MODEL_CONCURRENCY : PLAIN_CONCURRENCY;
+    int defaultConcurrency =
+        kind == ServiceKind.MODEL ? DEFAULT_MODEL_CONCURRENCY : DEFAULT_PLAIN_CONCURRENCY;
     return new PoolSettings(
         name,
         kind,
-        pool.smallInteger("max_concurrent_per_server", byDefault, 1, MAX_CONCURRENCY),
+        pool.smallInteger("max_concurrent_per_server", defaultConcurrency, 1, MAX_CONCURRENCY),
         pool.bool("checks_fencing", false),
-        forModels(kind, pool, "models", pool.versions("models")),
-        forModels(kind, pool, "adapters", pool.versions("adapters")),
-        forModels(kind, pool, "role", pool.optionalName("role")));
+        modelPoolOnly(kind, pool, "models", pool.versions("models")),
+        modelPoolOnly(kind, pool, "adapters", pool.versions("adapters")),
+        modelPoolOnly(kind, pool, "role", pool.optionalName("role")));
   }
 
-  private static <T> T forModels(ServiceKind kind, TomlReader pool, String key, T value) {
+  private static <T> T modelPoolOnly(ServiceKind kind, TomlReader pool, String key, T value) {
     if (kind != ServiceKind.MODEL && pool.has(key)) {
       pool.addProblem(key, "was given, expected none for a pool of kind \"plain\"");
     }
@@ -71,8 +72,8 @@
   private static LeasePolicySettings readLease(TomlReader lease) {
     return new LeasePolicySettings(
         lease.duration("horizon", Duration.ofMinutes(10), SECOND, DAY),
-        lease.fraction("max_share", MAX_SHARE, MIN_SHARE, 1),
-        lease.integer("minimum_tokens", MINIMUM_TOKENS, 1, MAX_TOKENS),
+        lease.fraction("max_share", DEFAULT_MAX_SHARE, MIN_SHARE, 1),
+        lease.integer("minimum_tokens", DEFAULT_MINIMUM_TOKENS, 1, MAX_MINIMUM_TOKENS),
         lease.duration("idle_return", Duration.ofMinutes(2), SECOND, DAY));
   }
 }
--- a/teaseldeal-settings/src/main/java/org/teaseldeal/settings/FleetSettings.java
+++ b/teaseldeal-settings/src/main/java/org/teaseldeal/settings/FleetSettings.java
@@ -5,13 +5,15 @@
 import org.teaseldeal.api.Preconditions;
 
 /**
- * The fleet's subtree: what all teams share.
+ * Settings of the fleet's subtree, which apply to all teams.
  *
- * @param progressTimeout how long a stream may stay without a frame before it counts as silent
+ * @param pools the pools of backend servers, by name
+ * @param lease how token budgets are divided into leases
+ * @param progressTimeout how long a stream may send no frame before it counts as silent
  * @param defaultTimeout the deadline of a request that names none
- * @param maxRetryShare the largest part of attempts that may be retries, in [0, 1]
- * @param claimWindow how long a claim's outcome is kept for repeats of its key
- * @param keyMemory how long a key is remembered at all
+ * @param maxRetryShare the largest share of attempts that may be retries, in [0, 1]
+ * @param claimWindow how long the outcome of a claim is kept for requests that repeat its key
+ * @param keyMemory how long the key of a claim is remembered at all
  */
 public record FleetSettings(
     Map<String, PoolSettings> pools,
--- a/teaseldeal-settings/src/main/java/org/teaseldeal/settings/LeasePolicySettings.java
+++ b/teaseldeal-settings/src/main/java/org/teaseldeal/settings/LeasePolicySettings.java
@@ -4,13 +4,14 @@
 import org.teaseldeal.api.Preconditions;
 
 /**
- * How budgets are divided among instances.
+ * How token budgets are divided into leases of the instances.
  *
- * @param horizon how long a lease should last at the present rate of spending; no shorter than the
- *     log outages that should go unnoticed
- * @param maxShare the largest part of what remains of a budget that one lease may take, in (0, 1]
- * @param minimumTokens the smallest lease worth an entry on the log
- * @param idleReturn how long a lease may lie unused before it goes back
+ * @param horizon how long a lease should last at the current rate of spending; at least as long as
+ *     the outages of the log that should have no effect on requests
+ * @param maxShare the largest share of a budget's remaining tokens that one lease may take, in (0,
+ *     1]
+ * @param minimumTokens the size of the smallest lease that justifies a record in the log
+ * @param idleReturn how long a lease may stay unused before its tokens are returned
  */
 public record LeasePolicySettings(
     Duration horizon, double maxShare, long minimumTokens, Duration idleReturn) {
--- a/teaseldeal-settings/src/main/java/org/teaseldeal/settings/PoolSettings.java
+++ b/teaseldeal-settings/src/main/java/org/teaseldeal/settings/PoolSettings.java
@@ -5,15 +5,17 @@
 import org.teaseldeal.api.Preconditions;
 
 /**
- * A pool of backend servers that the fleet's subtree describes; its members come from the
- * platform's list.
+ * Settings of a pool of backend servers. Its members come from the platform's server list.
  *
- * @param maxConcurrentPerServer requests that one server is given at once by the whole fleet
- * @param checksFencing whether its engines refuse an order with an old fencing number
- * @param models versions by name of all models that its engines are to have loaded; empty to leave
- *     them as they are
- * @param adapters versions by name of adapters that its engines are to have loaded
- * @param role the role that its engines are to have; empty to leave it as it is
+ * @param name the name of the pool
+ * @param kind the kind of its backend servers
+ * @param maxConcurrentPerServer the maximum number of concurrent requests that the whole fleet
+ *     sends to one server
+ * @param checksFencing whether its engines reject an order with an outdated fencing token
+ * @param models the versions, by name, of all models that its engines have to load; empty to leave
+ *     the loaded models unchanged
+ * @param adapters the versions, by name, of the adapters that its engines have to load
+ * @param role the role that its engines have to take; empty to leave it unchanged
  */
 public record PoolSettings(
     String name,
@@ -30,13 +32,13 @@
     Preconditions.requirePositive(maxConcurrentPerServer, "max_concurrent_per_server");
   }
 
-  /** Creates a pool whose engines are left as they are. */
+  /** Creates a pool that leaves its engines' models, adapters and roles unchanged. */
   public PoolSettings(
       String name, ServiceKind kind, int maxConcurrentPerServer, boolean checksFencing) {
     this(name, kind, maxConcurrentPerServer, checksFencing, Map.of(), Map.of(), Optional.empty());
   }
 
-  /** Whether anything is said of what its engines are to have. */
+  /** Returns whether the settings specify models, adapters or a role for the pool's engines. */
   public boolean ordersEngines() {
     return !models.isEmpty() || !adapters.isEmpty() || role.isPresent();
   }
--- a/teaseldeal-settings/src/main/java/org/teaseldeal/settings/PriorityClass.java
+++ b/teaseldeal-settings/src/main/java/org/teaseldeal/settings/PriorityClass.java
@@ -1,6 +1,6 @@
 package org.teaseldeal.settings;
 
-/** How urgently a service's requests are served; lower {@link #rank()} first. */
+/** The priority of a service's requests; requests with a lower {@link #rank()} are served first. */
 public enum PriorityClass {
   INTERACTIVE(0),
   STANDARD(1),
@@ -12,7 +12,7 @@
     this.rank = rank;
   }
 
-  /** The order of service, zero first. */
+  /** Returns the position in the order of service; zero is served first. */
   public int rank() {
     return rank;
   }
--- a/teaseldeal-settings/src/main/java/org/teaseldeal/settings/ServiceKind.java
+++ b/teaseldeal-settings/src/main/java/org/teaseldeal/settings/ServiceKind.java
@@ -1,13 +1,19 @@
 package org.teaseldeal.settings;
 
-/** What kind of backend server runs a service's requests. */
+/** The kind of backend server that runs a service's requests. */
 public enum ServiceKind {
-  /** A model engine: streams, batches, resumes and cancels; usage is reported by the engine. */
+  /**
+   * A model engine: its requests can be streamed, batched, resumed and cancelled; the engine
+   * reports the usage.
+   */
   MODEL,
-  /** A plain service: one call, one answer, no resume; usage is a fixed cost a call. */
+  /**
+   * A plain service: one answer for each call, which cannot be resumed; the usage is a fixed cost
+   * per call.
+   */
   PLAIN;
 
-  /** Whether an answer that broke off can be continued from a position. */
+  /** Returns whether an interrupted answer can be resumed from a position. */
   public boolean resumable() {
     return this == MODEL;
   }
--- a/teaseldeal-settings/src/main/java/org/teaseldeal/settings/ServiceSettings.java
+++ b/teaseldeal-settings/src/main/java/org/teaseldeal/settings/ServiceSettings.java
@@ -5,13 +5,13 @@
 import org.teaseldeal.api.ServiceId;
 
 /**
- * One service of a team.
+ * Settings of one service of a team.
  *
- * @param pool the pool whose servers run it
- * @param model the model name sent to engines; the service's own name for plain services
- * @param idempotent whether a request may be run again after it may have run
- * @param maxOutputTokens the cap on output tokens sent to the engine
- * @param tokensPerCall what a plain call costs; zero for model services
+ * @param pool the name of the pool whose backend servers run the service
+ * @param model the model name sent to engines; for plain services the service's own name
+ * @param idempotent whether a request that may already have run may be run again
+ * @param maxOutputTokens the limit on output tokens that is sent to the engine
+ * @param tokensPerCall the cost of a plain call in tokens; zero for model services
  */
 public record ServiceSettings(
     ServiceId id,
--- a/teaseldeal-settings/src/main/java/org/teaseldeal/settings/SettingsProblem.java
+++ b/teaseldeal-settings/src/main/java/org/teaseldeal/settings/SettingsProblem.java
@@ -1,10 +1,11 @@
 package org.teaseldeal.settings;
 
 /**
- * One thing wrong with a settings text.
+ * One problem found in a settings text.
  *
- * @param path the key's path, such as {@code services.drafts.pool}; empty for a syntax error
- * @param line the line it stands on, from 1
+ * @param path the path of the key, such as {@code services.drafts.pool}; empty for a syntax error
+ * @param line the line of the key, from 1
+ * @param message what was found and what was expected
  */
 public record SettingsProblem(String path, int line, String message) {
   @Override
--- a/teaseldeal-settings/src/main/java/org/teaseldeal/settings/SubtreeId.java
+++ b/teaseldeal-settings/src/main/java/org/teaseldeal/settings/SubtreeId.java
@@ -3,9 +3,9 @@
 import org.teaseldeal.api.Preconditions;
 import org.teaseldeal.api.TeamId;
 
-/** Names a subtree of the settings: {@code fleet}, or {@code team/NAME}. */
+/** The name of a subtree of the settings tree: {@code fleet} or {@code team/NAME}. */
 public record SubtreeId(String value) implements Comparable<SubtreeId> {
-  /** The subtree with what all teams share. */
+  /** The fleet's subtree, whose settings apply to all teams. */
   public static final SubtreeId FLEET = new SubtreeId("fleet");
 
   private static final String TEAM_PREFIX = "team/";
@@ -19,17 +19,17 @@
     }
   }
 
-  /** The subtree of {@code team}. */
+  /** Returns the name of {@code team}'s subtree. */
   public static SubtreeId of(TeamId team) {
     return new SubtreeId(TEAM_PREFIX + team);
   }
 
-  /** Whether this is the fleet's own subtree. */
+  /** Returns whether this is the fleet's subtree. */
   public boolean isFleet() {
     return equals(FLEET);
   }
 
-  /** The team whose subtree this is; fails for the fleet's. */
+  /** Returns the team that the subtree belongs to; throws if this is the fleet's subtree. */
   public TeamId team() {
     Preconditions.require(!isFleet(), "subtree was fleet, expected a team's");
     return new TeamId(value.substring(TEAM_PREFIX.length()));
--- a/teaseldeal-settings/src/main/java/org/teaseldeal/settings/TeamParser.java
+++ b/teaseldeal-settings/src/main/java/org/teaseldeal/settings/TeamParser.java
@@ -12,7 +12,7 @@
 import org.teaseldeal.api.TeamId;
 import org.teaseldeal.settings.toml.TomlReader;
 
-/** Reads a team's subtree; docs/SETTINGS.md has the reason of each default. */
+/** Parses a team's subtree; docs/SETTINGS.md gives the reason for each default. */
 final class TeamParser {
   private static final Duration DEFAULT_TIMEOUT = Duration.ofMinutes(1);
   private static final Duration MIN_TIMEOUT = Duration.ofMillis(1);
@@ -46,18 +46,19 @@
         table.name("pool"),
         table.text("model", name),
         table.oneOf("priority", PriorityClass.STANDARD),
-        // Whether a plain call may be repeated is never guessed: a wrong guess books twice.
+        // There is no default for plain services: if a call that is not idempotent were repeated,
+        // it would take effect twice.
         model ? table.bool("idempotent", true) : table.bool("idempotent"),
         model
             ? table.integer("max_output_tokens", 1, MAX_OUTPUT_TOKENS)
-            : none(table, "max_output_tokens", "plain"),
+            : rejectIfPresent(table, "max_output_tokens", "plain"),
         model
-            ? none(table, "tokens_per_call", "model")
+            ? rejectIfPresent(table, "tokens_per_call", "model")
             : table.integer("tokens_per_call", 1, MAX_TOKENS_PER_CALL),
         table.duration("timeout", DEFAULT_TIMEOUT, MIN_TIMEOUT, MAX_TIMEOUT));
   }
 
-  private static long none(TomlReader table, String key, String kind) {
+  private static long rejectIfPresent(TomlReader table, String key, String kind) {
     if (table.has(key)) {
       table.addProblem(
           key, "was given, expected none for a service of kind \"%s\"".formatted(kind));
@@ -67,11 +68,11 @@
 
   private CustomerSettings customer(String name, TomlReader table, Set<String> services) {
     String token = table.sha256("token_sha256");
-    String other = customerOfToken.putIfAbsent(token, name);
-    if (other != null && !token.equals(TomlReader.PLACEHOLDER_SHA256)) {
+    String existingCustomer = customerOfToken.putIfAbsent(token, name);
+    if (existingCustomer != null && !token.equals(TomlReader.PLACEHOLDER_SHA256)) {
       table.addProblem(
           "token_sha256",
-          "was the same as of customer %s, expected one of its own".formatted(other));
+          "was the same as of customer %s, expected one of its own".formatted(existingCustomer));
     }
     List<String> allowed = table.texts("services");
     allowed.stream()
--- a/teaseldeal-settings/src/main/java/org/teaseldeal/settings/TeamSettings.java
+++ b/teaseldeal-settings/src/main/java/org/teaseldeal/settings/TeamSettings.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import org.teaseldeal.api.TeamId;
 
-/** A team's subtree: its customers and services, each by name. */
+/** Settings of a team's subtree: its customers and services, each by name. */
 public record TeamSettings(
     TeamId team, Map<String, CustomerSettings> customers, Map<String, ServiceSettings> services) {
   public TeamSettings {
--- a/teaseldeal-settings/src/main/java/org/teaseldeal/settings/package-info.java
+++ b/teaseldeal-settings/src/main/java/org/teaseldeal/settings/package-info.java
@@ -1,4 +1,6 @@
-/** The settings tree: its typed model, one subtree for the fleet and one for each team. */
+/**
+ * The typed model of the settings tree, which has one subtree for the fleet and one for each team.
+ */
 @NullMarked
 package org.teaseldeal.settings;
 
--- a/teaseldeal-settings/src/main/java/org/teaseldeal/settings/toml/CheckedValue.java
+++ b/teaseldeal-settings/src/main/java/org/teaseldeal/settings/toml/CheckedValue.java
@@ -1,18 +1,20 @@
 package org.teaseldeal.settings.toml;
 
-/** A value read from a text, or what was given in its place and what is expected. */
+/**
+ * The result of checking a value: the typed value, or what was found instead and what was expected.
+ */
 sealed interface CheckedValue<T> {
-  /** A value that keeps its rules. */
-  record Right<T>(T value) implements CheckedValue<T> {}
+  /** A valid value. */
+  record Valid<T>(T value) implements CheckedValue<T> {}
 
-  /** A value of the wrong type or out of its range. */
-  record Wrong<T>(String given, String expected) implements CheckedValue<T> {}
+  /** A value of the wrong type or out of range. */
+  record Invalid<T>(String found, String expected) implements CheckedValue<T> {}
 
-  static <T> CheckedValue<T> right(T value) {
-    return new Right<>(value);
+  static <T> CheckedValue<T> valid(T value) {
+    return new Valid<>(value);
   }
 
-  static <T> CheckedValue<T> wrong(String given, String expected) {
-    return new Wrong<>(given, expected);
+  static <T> CheckedValue<T> invalid(String given, String expected) {
+    return new Invalid<>(given, expected);
   }
 }
--- a/teaseldeal-settings/src/main/java/org/teaseldeal/settings/toml/TomlDocument.java
+++ b/teaseldeal-settings/src/main/java/org/teaseldeal/settings/toml/TomlDocument.java
@@ -10,24 +10,24 @@
 import org.tomlj.TomlParseResult;
 
 /**
- * Reads a whole TOML text into a typed value or into the list of all that is wrong with it.
+ * Parses a complete TOML text into a typed value or a list of all its problems.
  *
- * <p>Never throws, whatever the text, and the result depends on the text alone.
+ * <p>It never throws, whatever the text is, and its result depends only on the text.
  */
 public final class TomlDocument {
   /**
-   * The longest text that is read, in characters.
+   * The maximum length of a text in characters.
    *
-   * <p>The parser's tree takes some hundred times the text: four times as much was seen to run a
-   * heap of 64 MiB out of memory, at which readers with larger heaps would have come to another
-   * verdict.
+   * <p>The parser's tree takes about a hundred times the memory of the text. A text four times as
+   * long has exhausted a heap of 64 MiB; readers with larger heaps would have accepted it, so the
+   * readers would have disagreed on the settings in force.
    */
   public static final int MAX_LENGTH = 1 << 16;
 
-  /** The most problems that are told of one text. */
+  /** The maximum number of problems reported for one text. */
   public static final int MAX_PROBLEMS = 100;
 
-  /** The most brackets that may be open at once, and the most dots on a line. */
+  /** The maximum number of open brackets at any place, and of dots on a line. */
   public static final int MAX_DEPTH = 32;
 
   private static final Comparator<SettingsProblem> LINE_ORDER =
@@ -40,10 +40,11 @@
   private TomlDocument() {}
 
   /**
-   * Reads {@code toml} with {@code body}, which asks the reader for every key it knows.
+   * Parses {@code toml} with {@code body}, which has to call a getter of the reader for every key
+   * that it supports.
    *
-   * <p>The getters give a value within their range also where the text is wrong, so that {@code
-   * body} runs to its end and all problems are found in one go.
+   * <p>The getters return a value in range even where the text is invalid, so that {@code body}
+   * runs to its end and all problems are found in one pass.
    */
   public static <T> Parsed<T> read(String toml, Function<TomlReader, T> body) {
     TomlDocument document = new TomlDocument();
@@ -52,7 +53,7 @@
         : new Parsed.Invalid<>(document.problems);
   }
 
-  void add(SettingsProblem problem) {
+  void addProblem(SettingsProblem problem) {
     problems.add(problem);
   }
 
@@ -65,8 +66,8 @@
           List.of(new SettingsProblem("", 1, "not readable as TOML: " + e.getMessage())));
     }
     if (result.hasErrors()) {
-      result.errors().forEach(error -> add(syntaxProblem(error)));
-      return invalid();
+      result.errors().forEach(error -> addProblem(syntaxProblem(error)));
+      return invalidResult();
     }
     return evaluate(new TomlReader(this, result, "", 1), body);
   }
@@ -76,19 +77,20 @@
     try {
       value = body.apply(root);
     } catch (IllegalArgumentException e) {
-      // A record's own guard fired: a rule over several keys that the getters can't see. Where a
-      // getter has already complained, the guard only saw the value put in place of the wrong one.
+      // The constructor of a settings record rejected a combination of several keys, which the
+      // getters cannot check. If a getter has already reported a problem, the constructor only saw
+      // the substitute for the invalid value, so its message is dropped.
       if (problems.isEmpty()) {
-        add(new SettingsProblem("", 1, String.valueOf(e.getMessage())));
+        addProblem(new SettingsProblem("", 1, String.valueOf(e.getMessage())));
       }
       root.reportUnknownKeys();
-      return invalid();
+      return invalidResult();
     }
     root.reportUnknownKeys();
-    return problems.isEmpty() ? new Parsed.Valid<>(value) : invalid();
+    return problems.isEmpty() ? new Parsed.Valid<>(value) : invalidResult();
   }
 
-  private <T> Parsed<T> invalid() {
+  private <T> Parsed<T> invalidResult() {
     problems.sort(LINE_ORDER);
     return new Parsed.Invalid<>(problems.subList(0, Math.min(problems.size(), MAX_PROBLEMS)));
   }
@@ -98,15 +100,16 @@
   }
 
   /**
-   * Refuses what would drive the recursive parser out of stack.
+   * Rejects texts that could overflow the stack of the recursive parser.
    *
-   * <p>Without this the verdict on a deeply nested text would depend on the thread's stack size, so
-   * two readers of the same record could disagree on the settings in force. Brackets inside text
-   * count too: the check errs towards refusing, the same way for everyone.
+   * <p>Without this check the result for a deeply nested text would depend on the thread's stack
+   * size, so two readers of the same record could disagree on the settings in force. Brackets
+   * inside strings count too: the check may reject more than necessary, but in the same way for
+   * every reader.
    */
   private boolean checkLimits(String toml) {
     if (toml.length() > MAX_LENGTH) {
-      add(
+      addProblem(
           new SettingsProblem(
               "",
               1,
@@ -114,12 +117,12 @@
       return false;
     }
     int line = 1;
-    int open = 0;
+    int openBrackets = 0;
     int dots = 0;
     for (int i = 0; i < toml.length(); i++) {
       switch (toml.charAt(i)) {
-        case '[', '{' -> open++;
-        case ']', '}' -> open = Math.max(0, open - 1);
+        case '[', '{' -> openBrackets++;
+        case ']', '}' -> openBrackets = Math.max(0, openBrackets - 1);
         case '.' -> dots++;
         case '\n' -> {
           line++;
@@ -127,11 +130,11 @@
         }
         default -> {}
       }
-      if (open > MAX_DEPTH || dots > MAX_DEPTH) {
-        String what = open > MAX_DEPTH ? "brackets are open" : "dots stand on the line";
-        add(
+      if (openBrackets > MAX_DEPTH || dots > MAX_DEPTH) {
+        String excess = openBrackets > MAX_DEPTH ? "brackets are open" : "dots stand on the line";
+        addProblem(
             new SettingsProblem(
-                "", line, "more than %d %s, expected fewer".formatted(MAX_DEPTH, what)));
+                "", line, "more than %d %s, expected fewer".formatted(MAX_DEPTH, excess)));
         return false;
       }
     }
--- a/teaseldeal-settings/src/main/java/org/teaseldeal/settings/toml/TomlReader.java
+++ b/teaseldeal-settings/src/main/java/org/teaseldeal/settings/toml/TomlReader.java
@@ -18,27 +18,29 @@
 import org.tomlj.TomlTable;
 
 /**
- * Typed getters over one TOML table.
+ * Typed getters for one TOML table.
  *
- * <p>Each getter names a key that the table may have; a key that no getter named is reported as
- * unknown. A getter without a default requires its key. Where the text is wrong the getter adds a
- * {@link SettingsProblem} and returns its default or some value within its range.
+ * <p>Each call of a getter declares a key that the table may have; keys of the text that no getter
+ * has declared are reported as unknown. A getter without a default requires its key. If a value is
+ * invalid, the getter adds a {@link SettingsProblem} and returns its default or another value in
+ * range.
  */
 public final class TomlReader {
-  /** What {@link #sha256} returns where the text has none. */
+  /** The value that {@link #sha256} returns if the text has no valid one. */
   public static final String PLACEHOLDER_SHA256 = "0".repeat(64);
 
   private static final TomlTable EMPTY = Toml.parse("");
   private static final String PLACEHOLDER = "invalid";
-  private static final Pattern VERSIONED = Pattern.compile("([^@\\s]{1,200})@([^@\\s]{1,200})");
+  private static final Pattern NAME_AND_VERSION =
+      Pattern.compile("([^@\\s]{1,200})@([^@\\s]{1,200})");
 
   private final TomlDocument document;
   private final TomlTable table;
   private final String path;
   private final int line;
-  private final TreeSet<String> known = new TreeSet<>();
+  private final TreeSet<String> declaredKeys = new TreeSet<>();
   private final List<TomlReader> children = new ArrayList<>();
-  private boolean anyName;
+  private boolean acceptsAnyKey;
 
   TomlReader(TomlDocument document, TomlTable table, String path, int line) {
     this.document = document;
@@ -47,113 +49,134 @@
     this.line = line;
   }
 
-  /** Whether the table has {@code key}. */
+  /** Declares {@code key} and returns whether the table has it. */
   public boolean has(String key) {
-    known.add(key);
-    return raw(key) != null;
+    declaredKeys.add(key);
+    return rawValue(key) != null;
   }
 
-  /** Adds a problem with the value of {@code key}, for rules that no getter knows. */
+  /** Adds a problem with the value of {@code key}, for rules that the getters cannot check. */
   public void addProblem(String key, String message) {
-    document.add(new SettingsProblem(pathOf(key), lineOf(key), message));
+    document.addProblem(new SettingsProblem(pathOf(key), lineOf(key), message));
   }
 
-  /** Text that isn't blank. */
+  /** Returns non-blank text. */
   public String text(String key) {
-    return required(key, PLACEHOLDER, ValueRule.TEXT);
+    return readRequired(key, PLACEHOLDER, ValueRule.TEXT);
   }
 
-  /** Text that isn't blank, or {@code byDefault} if the key is missing. */
-  public String text(String key, String byDefault) {
-    return optional(key, byDefault, ValueRule.TEXT);
+  /** Returns non-blank text, or {@code defaultValue} if the key is missing. */
+  public String text(String key, String defaultValue) {
+    return readOptional(key, defaultValue, ValueRule.TEXT);
   }
 
-  /** Text that isn't blank, if the key is there. */
+  /** Returns non-blank text, or empty if the key is missing. */
   public Optional<String> optionalText(String key) {
     return has(key) ? Optional.of(text(key)) : Optional.empty();
   }
 
-  /** A name: lower-case letters, digits, dots, underscores and hyphens. */
+  /** Returns a name: lower-case letters, digits, dots, underscores and hyphens. */
   public String name(String key) {
-    return required(key, PLACEHOLDER, ValueRule.NAME);
+    return readRequired(key, PLACEHOLDER, ValueRule.NAME);
   }
 
-  /** A name, or {@code byDefault} if the key is missing. */
-  public String name(String key, String byDefault) {
-    return optional(key, byDefault, ValueRule.NAME);
+  /** Returns a name, or {@code defaultValue} if the key is missing. */
+  public String name(String key, String defaultValue) {
+    return readOptional(key, defaultValue, ValueRule.NAME);
   }
 
-  /** A name, if the key is there. */
+  /** Returns a name, or empty if the key is missing. */
   public Optional<String> optionalName(String key) {
     return has(key) ? Optional.of(name(key)) : Optional.empty();
   }
 
-  /** A SHA-256 as 64 lower-case hexadecimal digits; what was given never stands in a message. */
+  /**
+   * Returns a SHA-256 as 64 lower-case hexadecimal digits. An invalid value is never quoted in a
+   * message, as it may be a secret.
+   */
   public String sha256(String key) {
-    return required(key, PLACEHOLDER_SHA256, ValueRule.SHA256_HEX);
+    return readRequired(key, PLACEHOLDER_SHA256, ValueRule.SHA256_HEX);
   }
 
-  /** A whole number from {@code min} to {@code max}. */
+  /** Returns a whole number from {@code min} to {@code max}. */
   public long integer(String key, long min, long max) {
-    return required(key, min, ValueRule.integer(min, max));
+    return readRequired(key, min, ValueRule.integer(min, max));
   }
 
-  /** A whole number from {@code min} to {@code max}, or {@code byDefault}. */
-  public long integer(String key, long byDefault, long min, long max) {
-    return optional(key, byDefault, ValueRule.integer(min, max));
+  /**
+   * Returns a whole number from {@code min} to {@code max}, or {@code defaultValue} if the key is
+   * missing.
+   */
+  public long integer(String key, long defaultValue, long min, long max) {
+    return readOptional(key, defaultValue, ValueRule.integer(min, max));
   }
 
-  /** A whole number from {@code min} to {@code max}, or {@code byDefault}, as an {@code int}. */
-  public int smallInteger(String key, int byDefault, int min, int max) {
-    return Math.toIntExact(integer(key, byDefault, min, max));
+  /**
+   * Returns a whole number from {@code min} to {@code max} as an {@code int}, or {@code
+   * defaultValue} if the key is missing.
+   */
+  public int smallInteger(String key, int defaultValue, int min, int max) {
+    return Math.toIntExact(integer(key, defaultValue, min, max));
   }
 
-  /** A number from {@code min} to {@code max}. */
+  /** Returns a number from {@code min} to {@code max}. */
   public double fraction(String key, double min, double max) {
-    return required(key, min, ValueRule.fraction(min, max));
+    return readRequired(key, min, ValueRule.fraction(min, max));
   }
 
-  /** A number from {@code min} to {@code max}, or {@code byDefault}. */
-  public double fraction(String key, double byDefault, double min, double max) {
-    return optional(key, byDefault, ValueRule.fraction(min, max));
+  /**
+   * Returns a number from {@code min} to {@code max}, or {@code defaultValue} if the key is
+   * missing.
+   */
+  public double fraction(String key, double defaultValue, double min, double max) {
+    return readOptional(key, defaultValue, ValueRule.fraction(min, max));
   }
 
-  /** true or false. */
+  /** Returns true or false. */
   public boolean bool(String key) {
-    return required(key, false, ValueRule.BOOL);
+    return readRequired(key, false, ValueRule.BOOL);
   }
 
-  /** true or false, or {@code byDefault}. */
-  public boolean bool(String key, boolean byDefault) {
-    return optional(key, byDefault, ValueRule.BOOL);
+  /** Returns true or false, or {@code defaultValue} if the key is missing. */
+  public boolean bool(String key, boolean defaultValue) {
+    return readOptional(key, defaultValue, ValueRule.BOOL);
   }
 
-  /** One of an enum's constants, written in lower case with hyphens. */
+  /** Returns a constant of an enum, which the text writes in lower case with hyphens. */
   public <E extends Enum<E>> E oneOf(String key, Class<E> type) {
     List<E> constants = Arrays.asList(type.getEnumConstants());
-    return required(key, constants.getFirst(), ValueRule.oneOf(constants));
+    return readRequired(key, constants.getFirst(), ValueRule.oneOf(constants));
   }
 
-  /** One of an enum's constants, written in lower case with hyphens, or {@code byDefault}. */
-  public <E extends Enum<E>> E oneOf(String key, E byDefault) {
-    List<E> constants = Arrays.asList(byDefault.getDeclaringClass().getEnumConstants());
-    return optional(key, byDefault, ValueRule.oneOf(constants));
+  /**
+   * Returns a constant of an enum, which the text writes in lower case with hyphens, or {@code
+   * defaultValue} if the key is missing.
+   */
+  public <E extends Enum<E>> E oneOf(String key, E defaultValue) {
+    List<E> constants = Arrays.asList(defaultValue.getDeclaringClass().getEnumConstants());
+    return readOptional(key, defaultValue, ValueRule.oneOf(constants));
   }
 
-  /** A duration such as {@code 500ms}, {@code 4s}, {@code 10m}, {@code 24h} or {@code 30d}. */
-  public Duration duration(String key, Duration byDefault, Duration min, Duration max) {
-    return optional(key, byDefault, ValueRule.duration(min, max));
+  /**
+   * Returns a duration such as {@code 500ms}, {@code 4s}, {@code 10m}, {@code 24h} or {@code 30d},
+   * or {@code defaultValue} if the key is missing.
+   */
+  public Duration duration(String key, Duration defaultValue, Duration min, Duration max) {
+    return readOptional(key, defaultValue, ValueRule.duration(min, max));
   }
 
-  /** A byte size such as {@code 64KiB}. */
-  public long byteSize(String key, long byDefault, long min, long max) {
-    return optional(key, byDefault, ValueRule.byteSize(min, max));
+  /**
+   * Returns a size in bytes, written such as {@code 64KiB}, or {@code defaultValue} if the key is
+   * missing.
+   */
+  public long byteSize(String key, long defaultValue, long min, long max) {
+    return readOptional(key, defaultValue, ValueRule.byteSize(min, max));
   }
 
-  /** A list of text; empty if the key is missing. */
+  /** Returns a list of non-blank texts; empty if the key is missing. */
   public List<String> texts(String key) {
-    known.add(key);
-    Object value = raw(key);
+    declaredKeys.add(key);
+    Object value = rawValue(key);
     if (value == null) {
       return List.of();
     }
@@ -168,42 +191,45 @@
     return texts;
   }
 
-  /** A list of {@code name@version}, as versions by name; empty if the key is missing. */
+  /** Returns a list of {@code name@version} as versions by name; empty if the key is missing. */
   public Map<String, String> versions(String key) {
     Map<String, String> versions = new LinkedHashMap<>();
     List<String> texts = texts(key);
     for (String text : texts) {
-      Matcher matcher = VERSIONED.matcher(text);
+      Matcher matcher = NAME_AND_VERSION.matcher(text);
       if (!matcher.matches()) {
-        addProblem(key, wrongVersion(text, "NAME@VERSION, such as clerk-8b@3"));
+        addProblem(key, invalidVersionMessage(text, "NAME@VERSION, such as clerk-8b@3"));
       } else if (versions.putIfAbsent(matcher.group(1), matcher.group(2)) != null) {
-        addProblem(key, wrongVersion(text, "each name once"));
+        addProblem(key, invalidVersionMessage(text, "each name once"));
       }
     }
     return versions;
   }
 
-  private static String wrongVersion(String given, String expected) {
+  private static String invalidVersionMessage(String given, String expected) {
     return "has %s, expected %s".formatted(ValueRule.describe(given), expected);
   }
 
-  /** The table {@code key}, or an empty one if the key is missing. */
+  /** Returns the table {@code key}, or an empty one if the key is missing. */
   public TomlReader table(String key) {
-    known.add(key);
-    Object value = raw(key);
+    declaredKeys.add(key);
+    Object value = rawValue(key);
     if (value instanceof TomlTable child) {
       return child(key, child);
     }
     if (value != null) {
-      addProblem(key, expectedTable(key, value));
+      addProblem(key, expectedTableMessage(key, value));
     }
     return new TomlReader(document, EMPTY, pathOf(key), line);
   }
 
-  /** The tables under {@code key}, by name and in line order; each name is checked. */
+  /**
+   * Returns the tables under {@code key} by name, in the order of their lines; each name is
+   * checked.
+   */
   public Map<String, TomlReader> tables(String key) {
     TomlReader parent = table(key);
-    parent.anyName = true;
+    parent.acceptsAnyKey = true;
     Map<String, TomlReader> tables = new LinkedHashMap<>();
     parent.table.keySet().stream()
         .sorted(Comparator.comparingInt(parent::lineOf).thenComparing(Comparator.naturalOrder()))
@@ -212,28 +238,28 @@
   }
 
   void reportUnknownKeys() {
-    if (!anyName) {
-      table.keySet().stream().filter(key -> !known.contains(key)).forEach(this::addUnknown);
+    if (!acceptsAnyKey) {
+      table.keySet().stream().filter(key -> !declaredKeys.contains(key)).forEach(this::addUnknown);
     }
     children.forEach(TomlReader::reportUnknownKeys);
   }
 
   private void addUnknown(String key) {
-    addProblem(key, "unknown key, expected one of: " + String.join(", ", known));
+    addProblem(key, "unknown key, expected one of: " + String.join(", ", declaredKeys));
   }
 
   private void addNamed(String name, Map<String, TomlReader> tables) {
-    Object value = raw(name);
+    Object value = rawValue(name);
     if (!ValueRule.isName(name)) {
       addProblem(name, "expected " + ValueRule.NAME.expected());
     } else if (value instanceof TomlTable child) {
       tables.put(name, child(name, child));
     } else {
-      addProblem(name, expectedTable(name, value));
+      addProblem(name, expectedTableMessage(name, value));
     }
   }
 
-  private String expectedTable(String key, @Nullable Object value) {
+  private String expectedTableMessage(String key, @Nullable Object value) {
     return "was %s, expected a table [%s]".formatted(ValueRule.describe(value), pathOf(key));
   }
 
@@ -245,9 +271,9 @@
 
   private void addElement(String key, TomlArray array, int index, List<String> texts) {
     switch (ValueRule.TEXT.check(array.get(index))) {
-      case CheckedValue.Right<String>(String text) -> texts.add(text);
-      case CheckedValue.Wrong<String>(String given, String expected) ->
-          document.add(
+      case CheckedValue.Valid<String>(String text) -> texts.add(text);
+      case CheckedValue.Invalid<String>(String given, String expected) ->
+          document.addProblem(
               new SettingsProblem(
                   "%s[%d]".formatted(pathOf(key), index),
                   array.inputPositionOf(index).line(),
@@ -255,30 +281,30 @@
     }
   }
 
-  private <T> T required(String key, T fallback, ValueRule<T> rule) {
+  private <T> T readRequired(String key, T substitute, ValueRule<T> rule) {
     if (!has(key)) {
       addProblem(key, "is missing, expected " + rule.expected());
-      return fallback;
+      return substitute;
     }
-    return optional(key, fallback, rule);
+    return readOptional(key, substitute, rule);
   }
 
-  private <T> T optional(String key, T byDefault, ValueRule<T> rule) {
-    known.add(key);
-    Object value = raw(key);
+  private <T> T readOptional(String key, T defaultValue, ValueRule<T> rule) {
+    declaredKeys.add(key);
+    Object value = rawValue(key);
     if (value == null) {
-      return byDefault;
+      return defaultValue;
     }
     return switch (rule.check(value)) {
-      case CheckedValue.Right<T>(T right) -> right;
-      case CheckedValue.Wrong<T>(String given, String expected) -> {
+      case CheckedValue.Valid<T>(T right) -> right;
+      case CheckedValue.Invalid<T>(String given, String expected) -> {
         addProblem(key, "was %s, expected %s".formatted(given, expected));
-        yield byDefault;
+        yield defaultValue;
       }
     };
   }
 
-  private @Nullable Object raw(String key) {
+  private @Nullable Object rawValue(String key) {
     return table.get(List.of(key));
   }
 
@@ -289,6 +315,6 @@
   }
 
   private int lineOf(String key) {
-    return raw(key) == null ? line : table.inputPositionOf(List.of(key)).line();
+    return rawValue(key) == null ? line : table.inputPositionOf(List.of(key)).line();
   }
 }
--- a/teaseldeal-settings/src/main/java/org/teaseldeal/settings/toml/TomlUnits.java
+++ b/teaseldeal-settings/src/main/java/org/teaseldeal/settings/toml/TomlUnits.java
@@ -5,16 +5,16 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Reads and writes durations such as {@code 500ms} and byte sizes such as {@code 64KiB}. */
+/** Parses and formats durations such as {@code 500ms} and byte sizes such as {@code 64KiB}. */
 public final class TomlUnits {
-  private static final Pattern DURATION = Pattern.compile("([0-9]{1,9})(ms|s|m|h|d)");
-  private static final Pattern BYTE_SIZE = Pattern.compile("([0-9]{1,9})(B|KiB|MiB|GiB)");
+  private static final Pattern DURATION_PATTERN = Pattern.compile("([0-9]{1,9})(ms|s|m|h|d)");
+  private static final Pattern BYTE_SIZE_PATTERN = Pattern.compile("([0-9]{1,9})(B|KiB|MiB|GiB)");
 
   private TomlUnits() {}
 
-  /** Reads a whole number with the unit ms, s, m, h or d; empty if the text is none. */
+  /** Parses a whole number with the unit ms, s, m, h or d; empty if the text is not a duration. */
   public static Optional<Duration> parseDuration(String text) {
-    Matcher matcher = DURATION.matcher(text);
+    Matcher matcher = DURATION_PATTERN.matcher(text);
     if (!matcher.matches()) {
       return Optional.empty();
     }
@@ -29,9 +29,11 @@
         });
   }
 
-  /** Reads a whole number with the unit B, KiB, MiB or GiB; empty if the text is none. */
+  /**
+   * Parses a whole number with the unit B, KiB, MiB or GiB; empty if the text is not a byte size.
+   */
   public static Optional<Long> parseByteSize(String text) {
-    Matcher matcher = BYTE_SIZE.matcher(text);
+    Matcher matcher = BYTE_SIZE_PATTERN.matcher(text);
     if (!matcher.matches()) {
       return Optional.empty();
     }
@@ -45,7 +47,7 @@
         });
   }
 
-  /** Writes a duration in the largest unit that holds it as a whole number. */
+  /** Formats a duration in the largest unit in which it is a whole number. */
   public static String format(Duration duration) {
     long millis = duration.toMillis();
     if (millis == 0 || millis % 1_000 != 0) {
@@ -61,7 +63,7 @@
     return seconds % 60 == 0 ? seconds / 60 + "m" : seconds + "s";
   }
 
-  /** Writes a byte size in the largest unit that holds it as a whole number. */
+  /** Formats a byte size in the largest unit in which it is a whole number. */
   public static String formatBytes(long bytes) {
     if (bytes == 0 || bytes % 1_024 != 0) {
       return bytes + "B";
--- a/teaseldeal-settings/src/main/java/org/teaseldeal/settings/toml/ValueRule.java
+++ b/teaseldeal-settings/src/main/java/org/teaseldeal/settings/toml/ValueRule.java
@@ -13,14 +13,15 @@
 import org.tomlj.TomlTable;
 
 /**
- * What a value has to be, in words and as a check.
+ * A rule for a value: a description for messages and a check.
  *
- * @param expected the words for a message: "expected …"
- * @param read gives the typed value, or nothing where the rule is broken
+ * @param expected the description, which follows "expected" in a message
+ * @param convert converts a raw value to the typed one; empty if it breaks the rule
+ * @param secret whether an invalid value must not be quoted in a message
  */
-record ValueRule<T>(String expected, Function<Object, Optional<T>> read, boolean secret) {
+record ValueRule<T>(String expected, Function<Object, Optional<T>> convert, boolean secret) {
   private static final Pattern SHA256 = Pattern.compile("[0-9a-f]{64}");
-  private static final int MAX_GIVEN_LENGTH = 60;
+  private static final int MAX_QUOTED_LENGTH = 60;
 
   static final ValueRule<String> TEXT =
       new ValueRule<>("text", value -> asText(value).filter(text -> !text.isBlank()), false);
@@ -31,7 +32,9 @@
           value -> asText(value).filter(ValueRule::isName),
           false);
 
-  /** Someone may put the token itself where its hash belongs, so the value is never repeated. */
+  /**
+   * An invalid value is never quoted, as a user may enter the token itself in place of its hash.
+   */
   static final ValueRule<String> SHA256_HEX =
       new ValueRule<>(
           "64 lower-case hexadecimal digits (a SHA-256)",
@@ -68,7 +71,7 @@
         value ->
             asText(value)
                 .flatMap(TomlUnits::parseDuration)
-                .filter(d -> d.compareTo(min) >= 0 && d.compareTo(max) <= 0),
+                .filter(duration -> duration.compareTo(min) >= 0 && duration.compareTo(max) <= 0),
         false);
   }
 
@@ -93,10 +96,11 @@
   }
 
   CheckedValue<T> check(Object value) {
-    return read.apply(value)
-        .map(CheckedValue::right)
+    return convert
+        .apply(value)
+        .map(CheckedValue::valid)
         .orElseGet(
-            () -> CheckedValue.wrong(secret ? describeSecret(value) : describe(value), expected));
+            () -> CheckedValue.invalid(secret ? describeSecret(value) : describe(value), expected));
   }
 
   static boolean isName(String text) {
@@ -108,7 +112,7 @@
     }
   }
 
-  /** A value in words that fit on a line of a message. */
+  /** Describes a value so that it fits on one line of a message. */
   static String describe(@Nullable Object value) {
     return switch (value) {
       case String text -> "\"%s\"".formatted(shorten(text));
@@ -124,7 +128,7 @@
 
   static String shorten(String text) {
     String line = text.replaceAll("\\p{Cntrl}", "?");
-    return line.length() <= MAX_GIVEN_LENGTH ? line : line.substring(0, MAX_GIVEN_LENGTH) + "…";
+    return line.length() <= MAX_QUOTED_LENGTH ? line : line.substring(0, MAX_QUOTED_LENGTH) + "…";
   }
 
   private static String describeSecret(Object value) {
--- a/teaseldeal-settings/src/main/java/org/teaseldeal/settings/toml/package-info.java
+++ b/teaseldeal-settings/src/main/java/org/teaseldeal/settings/toml/package-info.java
@@ -1,4 +1,4 @@
-/** A checked reader of TOML that reports everything wrong with a text at once. */
+/** Validating TOML reader that reports all problems of a text at once. */
 @NullMarked
 package org.teaseldeal.settings.toml;
 
--- a/teaseldeal-settings/src/test/java/org/teaseldeal/settings/ExampleSettingsTests.java
+++ b/teaseldeal-settings/src/test/java/org/teaseldeal/settings/ExampleSettingsTests.java
@@ -19,7 +19,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"aarhus", "association"})
-  void areValidAndNameOnlyPoolsOfTheirFleet(String deployment) throws IOException {
+  void examplesAreValidAndUseOnlyPoolsOfTheirFleet(String deployment) throws IOException {
     FleetSettings fleet = fleet(deployment);
     List<TeamSettings> teams = teams(deployment);
 
--- a/teaseldeal-settings/src/test/java/org/teaseldeal/settings/SettingsParserPropertyTests.java
+++ b/teaseldeal-settings/src/test/java/org/teaseldeal/settings/SettingsParserPropertyTests.java
@@ -12,14 +12,14 @@
   private static final SubtreeId AUCTION = new SubtreeId("team/auction");
 
   @Property(tries = 2_000, seed = "4711")
-  void noTextMakesItThrow(@ForAll String text) {
+  void neverThrowsOnArbitraryText(@ForAll String text) {
     SettingsParser.parseFleet(text);
     SettingsParser.parseTeam(AUCTION, text);
   }
 
-  // Texts out of TOML's own pieces get past the lexer, where random characters hardly ever do.
+  // Texts composed of TOML fragments pass the lexer; random characters hardly ever do.
   @Property(tries = 2_000, seed = "4711")
-  void noTextOfTomlPiecesMakesItThrowOrChangeItsVerdict(@ForAll("pieces") String text) {
+  void givesSameResultTwiceOnTomlFragments(@ForAll("pieces") String text) {
     assertEquals(SettingsParser.parseFleet(text), SettingsParser.parseFleet(text));
     assertEquals(SettingsParser.parseTeam(AUCTION, text), SettingsParser.parseTeam(AUCTION, text));
   }
--- a/teaseldeal-settings/src/test/java/org/teaseldeal/settings/SettingsParserTests.java
+++ b/teaseldeal-settings/src/test/java/org/teaseldeal/settings/SettingsParserTests.java
@@ -28,7 +28,7 @@
   @Nested
   class ValidText {
     @Test
-    void takesDefaultsForAnEmptyFleet() {
+    void usesDefaultsForEmptyFleet() {
       FleetSettings fleet = valid(SettingsParser.parseFleet(""));
 
       assertEquals(Duration.ofMinutes(10), fleet.lease().horizon());
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void readsWhatThePoolsEnginesAreToHave() {
+    void readsEngineSettingsOfPools() {
       FleetSettings fleet =
           valid(
               SettingsParser.parseFleet(
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void readsServicesAndCustomersOfATeam() {
+    void readsServicesAndCustomersOfTeam() {
       TeamSettings team =
           valid(
               SettingsParser.parseTeam(
@@ -98,7 +98,7 @@
   @Nested
   class Messages {
     @Test
-    void nameEveryProblemOfAFleetInLineOrder() {
+    void listAllProblemsOfFleetInLineOrder() {
       approve(
           SettingsParser.parseFleet(
               """
@@ -127,7 +127,7 @@
     }
 
     @Test
-    void nameEveryProblemOfOrdersToEngines() {
+    void listAllProblemsOfEngineSettings() {
       approve(
           SettingsParser.parseFleet(
               """
@@ -144,7 +144,7 @@
     }
 
     @Test
-    void nameEveryProblemOfATeamInLineOrder() {
+    void listAllProblemsOfTeamInLineOrder() {
       approve(
           SettingsParser.parseTeam(
               AUCTION,
@@ -173,40 +173,40 @@
     }
 
     @Test
-    void nameTheLineOfASyntaxError() {
+    void giveLineOfSyntaxError() {
       approve(SettingsParser.parseFleet("[lease]\nhorizon = \n[lease\n"));
     }
 
     @Test
-    void nameADuplicateTable() {
+    void nameDuplicateTable() {
       approve(SettingsParser.parseFleet("[lease]\nhorizon = \"1m\"\n[lease]\n"));
     }
 
     @Test
-    void refuseTextThatIsNestedTooDeep() {
+    void rejectTextNestedTooDeeply() {
       approve(SettingsParser.parseFleet("\na = " + "[".repeat(50_000)));
     }
 
     @Test
-    void refuseKeysOfTooManyParts() {
+    void rejectKeysWithTooManyParts() {
       approve(SettingsParser.parseFleet("a" + ".a".repeat(30_000) + " = 1"));
     }
 
     @Test
-    void refuseTextThatIsTooLong() {
+    void rejectTextThatIsTooLong() {
       approve(SettingsParser.parseFleet("#".repeat(65_537)));
     }
   }
 
   @Test
-  void namesNoMoreProblemsThanAPersonReads() {
+  void limitsNumberOfProblems() {
     Parsed<FleetSettings> parsed = SettingsParser.parseFleet("[a]\n".repeat(10_000));
 
     assertEquals(100, ((Parsed.Invalid<FleetSettings>) parsed).problems().size());
   }
 
-  // A parser that recurses once for each element would run out of stack on some threads only, and
-  // two readers of one record would then disagree on the settings in force.
+  // A parser that recursed once per element would overflow the stack on some threads only, and two
+  // readers of one record would then disagree on the settings in force.
   @ParameterizedTest
   @ValueSource(
       strings = {
@@ -219,20 +219,23 @@
         "[a]\n",
         "\"a\","
       })
-  void keepsItsStackSmallOnLongTexts(String piece) throws InterruptedException {
-    AtomicReference<@Nullable Object> verdict = new AtomicReference<>();
-    String toml = "a = [" + piece.repeat(20_000 / piece.length());
+  void givesSameResultOnSmallStack(String fragment) throws InterruptedException {
+    AtomicReference<@Nullable Object> smallStackResult = new AtomicReference<>();
+    String toml = "a = [" + fragment.repeat(20_000 / fragment.length());
     Thread smallStack =
         new Thread(
-            null, () -> verdict.set(SettingsParser.parseFleet(toml)), "small stack", 256 << 10);
+            null,
+            () -> smallStackResult.set(SettingsParser.parseFleet(toml)),
+            "small stack",
+            256 << 10);
     smallStack.start();
     smallStack.join();
 
-    assertEquals(SettingsParser.parseFleet(toml), verdict.get());
+    assertEquals(SettingsParser.parseFleet(toml), smallStackResult.get());
   }
 
   @Test
-  void neverShowsATokenThatStandsInPlaceOfItsHash() {
+  void neverQuotesTokenGivenInPlaceOfItsHash() {
     Parsed<TeamSettings> parsed =
         SettingsParser.parseTeam(AUCTION, "[customers.mill]\ntoken_sha256 = \"my-secret-token\"\n");
 
--- a/teaseldeal-settings/src/test/java/org/teaseldeal/settings/package-info.java
+++ b/teaseldeal-settings/src/test/java/org/teaseldeal/settings/package-info.java
@@ -1,4 +1,4 @@
-/** Tests of the settings tree's subtrees, their defaults, cross-checks and messages. */
+/** Tests of the settings tree's subtrees: defaults, cross-checks and messages. */
 @NullMarked
 package org.teaseldeal.settings;
 
--- a/teaseldeal-settings/src/test/java/org/teaseldeal/settings/toml/package-info.java
+++ b/teaseldeal-settings/src/test/java/org/teaseldeal/settings/toml/package-info.java
@@ -1,4 +1,4 @@
-/** Tests of the checked TOML reader. */
+/** Tests of the validating TOML reader. */
 @NullMarked
 package org.teaseldeal.settings.toml;
 
