--- a/teaseldeal-metrics/src/main/java/org/teaseldeal/metrics/PrometheusText.java
+++ b/teaseldeal-metrics/src/main/java/org/teaseldeal/metrics/PrometheusText.java
@@ -8,7 +8,7 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** Writes a registry's metrics as Prometheus text. */
+/** Writes the metrics of a registry in the Prometheus text format. */
 public final class PrometheusText {
   /** The media type of the text. */
   public static final String CONTENT_TYPE = PrometheusTextFormatWriter.CONTENT_TYPE;
@@ -16,12 +16,12 @@
   private final PrometheusRegistry prometheus = new PrometheusRegistry();
   private final PrometheusTextFormatWriter writer = PrometheusTextFormatWriter.create();
 
-  /** Creates a view of {@code metrics}. */
+  /** Creates a writer for the metrics of {@code metrics}. */
   public PrometheusText(MetricRegistry metrics) {
     prometheus.register(new DropwizardExports(metrics));
   }
 
-  /** The metrics as they are now. */
+  /** Writes the current values of all metrics. */
   public byte[] write() {
     ByteArrayOutputStream text = new ByteArrayOutputStream();
     try {
--- a/teaseldeal-metrics/src/main/java/org/teaseldeal/metrics/package-info.java
+++ b/teaseldeal-metrics/src/main/java/org/teaseldeal/metrics/package-info.java
@@ -1,4 +1,4 @@
-/** Text that shows a process's metrics to whoever collects them. */
+/** Export of a process's metrics in the Prometheus text format. */
 @NullMarked
 package org.teaseldeal.metrics;
 
