--- a/teaseldeal-cli/src/main/java/org/teaseldeal/cli/Command.java
+++ b/teaseldeal-cli/src/main/java/org/teaseldeal/cli/Command.java
@@ -3,18 +3,23 @@
 import com.beust.jcommander.Parameter;
 import java.io.PrintStream;
 
-/** One command of a program, with its options as JCommander parameters. */
+/** A command of a program; subclasses declare its options as JCommander parameters. */
 public abstract class Command {
   @Parameter(names = "--help", help = true, description = "Show this text")
-  private boolean help;
+  private boolean helpRequested;
 
   /** Creates a command. */
   protected Command() {}
 
-  /** Does what the command is for. */
+  /**
+   * Runs the command.
+   *
+   * @return the status that the process exits with
+   * @throws CommandException if the command fails; it carries the exit status and the message
+   */
   protected abstract ExitStatus run(PrintStream out, PrintStream err) throws CommandException;
 
-  final boolean helpWanted() {
-    return help;
+  final boolean isHelpRequested() {
+    return helpRequested;
   }
 }
--- a/teaseldeal-cli/src/main/java/org/teaseldeal/cli/CommandException.java
+++ b/teaseldeal-cli/src/main/java/org/teaseldeal/cli/CommandException.java
@@ -1,6 +1,6 @@
 package org.teaseldeal.cli;
 
-/** Ends a command with a status and a message for the person who called it. */
+/** Ends a command with an exit status and an error message that is printed to standard error. */
 public final class CommandException extends Exception {
   private static final long serialVersionUID = 1L;
 
@@ -11,7 +11,7 @@
     this.status = status;
   }
 
-  /** The status to end with. */
+  /** The status that the process exits with. */
   public ExitStatus status() {
     return status;
   }
--- a/teaseldeal-cli/src/main/java/org/teaseldeal/cli/ExitStatus.java
+++ b/teaseldeal-cli/src/main/java/org/teaseldeal/cli/ExitStatus.java
@@ -1,6 +1,10 @@
 package org.teaseldeal.cli;
 
-/** How a process ends; the same for every program, whose help lists those that it uses. */
+/**
+ * The exit statuses of the processes.
+ *
+ * <p>A status means the same in every program; the help text of a program lists those that it uses.
+ */
 public enum ExitStatus {
   OK(0, "done, or ended as asked"),
   REFUSED(1, "refused, or a check did not hold"),
@@ -17,12 +21,12 @@
     this.meaning = meaning;
   }
 
-  /** The process's exit code. */
+  /** The numeric exit code of the process. */
   public int code() {
     return code;
   }
 
-  /** What it means, for help texts. */
+  /** The explanation of this status that help texts print. */
   public String meaning() {
     return meaning;
   }
--- a/teaseldeal-cli/src/main/java/org/teaseldeal/cli/Program.java
+++ b/teaseldeal-cli/src/main/java/org/teaseldeal/cli/Program.java
@@ -14,18 +14,19 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A program with commands, or one that is a single command: reads its command line, shows help and
- * version, runs the command.
+ * A command-line program that has either several named commands or a single one.
+ *
+ * <p>It parses the command line, prints the help text or the version, and runs the command.
  */
 public final class Program {
   private static final class HelpOption {
     @Parameter(names = "--help", help = true, description = "Show this text")
-    private boolean wanted;
+    private boolean requested;
   }
 
   private static final class VersionOption {
     @Parameter(names = "--version", help = true, description = "Show the version")
-    private boolean wanted;
+    private boolean requested;
   }
 
   private final String name;
@@ -33,26 +34,45 @@
   private final HelpOption help = new HelpOption();
   private final VersionOption version = new VersionOption();
   private final Map<String, Command> commands;
-  private final @Nullable Command only;
+  private final @Nullable Command singleCommand;
   private final JCommander parser;
 
-  /** Creates the program {@code name}; {@code statuses} are those that its commands end with. */
+  /**
+   * Creates a program with several commands.
+   *
+   * @param name the name of the program, as it is printed in messages
+   * @param commands the commands by name
+   * @param statuses the exit statuses of the commands; the help text also lists {@link
+   *     ExitStatus#OK} and {@link ExitStatus#WRONG_COMMAND_LINE}
+   */
   public Program(String name, Map<String, Command> commands, Set<ExitStatus> statuses) {
     this.name = name;
     this.commands = new TreeMap<>(commands);
-    this.only = null;
+    this.singleCommand = null;
     this.statuses = withCommonStatuses(statuses);
     parser = JCommander.newBuilder().programName(name).addObject(help).addObject(version).build();
     this.commands.forEach(parser::addCommand);
   }
 
-  /** Creates the program {@code name} that is one command, whose options are the program's. */
-  public Program(String name, Command only, Set<ExitStatus> statuses) {
+  /**
+   * Creates a program that consists of a single command, whose options are those of the program.
+   *
+   * @param name the name of the program, as it is printed in messages
+   * @param singleCommand the command
+   * @param statuses the exit statuses of the command; the help text also lists {@link
+   *     ExitStatus#OK} and {@link ExitStatus#WRONG_COMMAND_LINE}
+   */
+  public Program(String name, Command singleCommand, Set<ExitStatus> statuses) {
     this.name = name;
     this.commands = Map.of();
-    this.only = only;
+    this.singleCommand = singleCommand;
     this.statuses = withCommonStatuses(statuses);
-    parser = JCommander.newBuilder().programName(name).addObject(only).addObject(version).build();
+    parser =
+        JCommander.newBuilder()
+            .programName(name)
+            .addObject(singleCommand)
+            .addObject(version)
+            .build();
   }
 
   private static Set<ExitStatus> withCommonStatuses(Set<ExitStatus> statuses) {
@@ -62,20 +82,20 @@
     return all;
   }
 
-  /** Does what {@code args} say. */
+  /** Parses {@code args} and runs the command that they name; errors are printed to {@code err}. */
   public ExitStatus run(PrintStream out, PrintStream err, String... args) {
     try {
       parser.parse(args);
     } catch (ParameterException e) {
       return usageError(err, String.valueOf(e.getMessage()));
     }
-    if (version.wanted) {
+    if (version.requested) {
       out.println(name + " " + version());
       return ExitStatus.OK;
     }
     String parsed = parser.getParsedCommand();
-    Command command = parsed == null ? only : commands.get(parsed);
-    if (help.wanted || (command != null && command.helpWanted())) {
+    Command command = parsed == null ? singleCommand : commands.get(parsed);
+    if (help.requested || (command != null && command.isHelpRequested())) {
       printHelp(out, parsed);
       return ExitStatus.OK;
     }
@@ -113,7 +133,7 @@
     statuses.forEach(status -> out.println("  " + status.code() + "  " + status.meaning()));
   }
 
-  /** The version of the programs. */
+  /** Returns the version of the programs, or {@code unknown} if the build did not record one. */
   public static String version() {
     try (InputStream in = Program.class.getResourceAsStream("/teaseldeal-version.properties")) {
       Properties properties = new Properties();
--- a/teaseldeal-cli/src/main/java/org/teaseldeal/cli/log/JsonLineWriter.java
+++ b/teaseldeal-cli/src/main/java/org/teaseldeal/cli/log/JsonLineWriter.java
@@ -13,13 +13,13 @@
 import org.tinylog.core.LogEntryValue;
 import org.tinylog.writers.AbstractWriter;
 
-/** Writes each log entry to standard error as one JSON object on a line. */
+/** A tinylog writer that prints each log entry to standard error as one line of JSON. */
 public final class JsonLineWriter extends AbstractWriter {
   private static final int MAX_TRACE_FRAMES = 20;
 
   private final PrintStream out;
 
-  /** Called by the library. */
+  /** Creates a writer; tinylog calls this constructor with the configured properties. */
   public JsonLineWriter(Map<String, String> properties) {
     super(properties);
     this.out = System.err;
@@ -43,7 +43,7 @@
 
   @Override
   public void write(LogEntry entry) {
-    if (!LogLevelGate.passes(entry.getLevel())) {
+    if (!LogLevelFilter.isEnabled(entry.getLevel())) {
       return;
     }
     ObjectNode line =
--- a/teaseldeal-cli/src/main/java/org/teaseldeal/cli/log/LogLine.java
+++ b/teaseldeal-cli/src/main/java/org/teaseldeal/cli/log/LogLine.java
@@ -5,7 +5,11 @@
 import org.tinylog.Logger;
 import org.tinylog.ThreadContext;
 
-/** One log line with named fields; never given a token or a prompt. */
+/**
+ * A log line with named fields.
+ *
+ * <p>Fields must never contain a bearer token or a prompt.
+ */
 public final class LogLine {
   private final String message;
   private final Map<String, String> fields = new LinkedHashMap<>();
@@ -14,7 +18,7 @@
     this.message = message;
   }
 
-  /** Starts a line. */
+  /** Starts a line with {@code message}. */
   public static LogLine of(String message) {
     return new LogLine(message);
   }
@@ -40,7 +44,7 @@
     write(() -> Logger.debug(message));
   }
 
-  /** Writes the line at level error. */
+  /** Writes the line at level error, with {@code cause} and its stack trace. */
   public void error(Throwable cause) {
     write(() -> Logger.error(cause, message));
   }
--- a/teaseldeal-cli/src/main/java/org/teaseldeal/cli/log/package-info.java
+++ b/teaseldeal-cli/src/main/java/org/teaseldeal/cli/log/package-info.java
@@ -1,4 +1,4 @@
-/** Log lines as JSON, with the level set at run time. */
+/** Logging as JSON lines, with a level that can be changed at run time. */
 @NullMarked
 package org.teaseldeal.cli.log;
 
--- a/teaseldeal-cli/src/main/java/org/teaseldeal/cli/package-info.java
+++ b/teaseldeal-cli/src/main/java/org/teaseldeal/cli/package-info.java
@@ -1,4 +1,4 @@
-/** What the programs' command lines share: commands, help and exit statuses. */
+/** Command-line parsing, help texts and exit statuses, shared by all programs. */
 @NullMarked
 package org.teaseldeal.cli;
 
--- a/teaseldeal-cli/src/test/java/org/teaseldeal/cli/log/JsonLineWriterTests.java
+++ b/teaseldeal-cli/src/test/java/org/teaseldeal/cli/log/JsonLineWriterTests.java
@@ -21,11 +21,11 @@
 
   @AfterEach
   void resetLevel() {
-    LogLevelGate.set("info");
+    LogLevelFilter.set("info");
   }
 
   @Test
-  void writesOneObjectOnALineWhateverTheText() {
+  void writesOneObjectPerLineForAnyText() {
     writer.write(entry(Level.INFO, "a \"b\"\nc", null));
     assertEquals(
         """
@@ -48,13 +48,13 @@
   }
 
   @Test
-  void followsTheLevelSetAtRunTime() {
+  void appliesTheLevelSetAtRunTime() {
     writer.write(entry(Level.DEBUG, "before", null));
     assertEquals("", text());
-    assertEquals(Optional.of(Level.DEBUG), LogLevelGate.set("debug"));
+    assertEquals(Optional.of(Level.DEBUG), LogLevelFilter.set("debug"));
     writer.write(entry(Level.DEBUG, "after", null));
     assertEquals(1, text().lines().count());
-    assertEquals(Optional.empty(), LogLevelGate.set("loud"));
+    assertEquals(Optional.empty(), LogLevelFilter.set("loud"));
   }
 
   private static LogEntry entry(Level level, String message, @Nullable Throwable exception) {
--- a/teaseldeal-cli/src/test/java/org/teaseldeal/cli/log/package-info.java
+++ b/teaseldeal-cli/src/test/java/org/teaseldeal/cli/log/package-info.java
@@ -1,4 +1,4 @@
-/** Tests of the log lines. */
+/** Tests of the JSON log lines. */
 @NullMarked
 package org.teaseldeal.cli.log;
 
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/admin/AdminHandler.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/admin/AdminHandler.java
@@ -11,7 +11,7 @@
 import java.util.function.Function;
 import org.teaseldeal.api.ErrorKind;
 import org.teaseldeal.api.Problem;
-import org.teaseldeal.cli.log.LogLevelGate;
+import org.teaseldeal.cli.log.LogLevelFilter;
 import org.teaseldeal.cli.log.LogLine;
 import org.teaseldeal.net.HttpAnswer;
 import org.teaseldeal.net.HttpExchange;
@@ -151,7 +151,7 @@
       level = Optional.empty();
     }
     level
-        .flatMap(LogLevelGate::set)
+        .flatMap(LogLevelFilter::set)
         .ifPresentOrElse(
             set ->
                 respond(
