--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/CommandDispatcher.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/CommandDispatcher.java
@@ -7,14 +7,14 @@
 import org.teaseldeal.router.backend.EngineOrderCalls;
 import org.teaseldeal.router.caller.CallerGateway;
 import org.teaseldeal.router.peer.PeerSender;
-import org.teaseldeal.router.platform.LogIo;
+import org.teaseldeal.router.platform.LogClient;
 
-/** Hands each of the instance's commands to the part that carries it out. */
+/** Dispatches each command of the instance to the component that executes it. */
 record CommandDispatcher(
     CallerGateway callers,
-    BackendCalls backend,
-    EngineOrderCalls orders,
-    LogIo logIo,
+    BackendCalls backendCalls,
+    EngineOrderCalls orderCalls,
+    LogClient logClient,
     PeerSender peers,
     Runnable stop)
     implements Consumer<InstanceCommand> {
@@ -23,23 +23,23 @@
     switch (command) {
       case InstanceCommand.Refuse refuse -> callers.refuse(refuse);
       case InstanceCommand.SendFrame frame -> callers.sendFrame(frame);
-      case InstanceCommand.FinishStream finish -> callers.finish(finish);
-      case InstanceCommand.BreakStream broken -> callers.breakOff(broken);
+      case InstanceCommand.FinishStream finish -> callers.finishStream(finish);
+      case InstanceCommand.BreakStream broken -> callers.breakStream(broken);
       case InstanceCommand.AnswerPlain answer -> callers.answerPlain(answer);
-      case InstanceCommand.StartAttempt start -> backend.start(start);
-      case InstanceCommand.CancelAttempt cancel -> backend.cancel(cancel);
-      case InstanceCommand.DropAttempt drop -> backend.drop(drop);
-      case InstanceCommand.AskUsage ask -> backend.askUsage(ask);
-      case InstanceCommand.AskOrderState ask -> orders.askState(ask);
-      case InstanceCommand.SendOrder order -> orders.send(order);
-      case InstanceCommand.AtLog atLog -> logIo.carryOut(atLog.command());
+      case InstanceCommand.StartAttempt start -> backendCalls.start(start);
+      case InstanceCommand.CancelAttempt cancel -> backendCalls.cancel(cancel);
+      case InstanceCommand.DropAttempt drop -> backendCalls.drop(drop);
+      case InstanceCommand.AskUsage ask -> backendCalls.queryUsage(ask);
+      case InstanceCommand.AskOrderState ask -> orderCalls.queryState(ask);
+      case InstanceCommand.SendOrder order -> orderCalls.send(order);
+      case InstanceCommand.AtLog atLog -> logClient.execute(atLog.command());
       case InstanceCommand.SendPeer send -> peers.send(send);
-      case InstanceCommand.RequestEnded ended -> log(ended);
+      case InstanceCommand.RequestEnded ended -> logRequestEnd(ended);
       case InstanceCommand.Stop ignored -> stop.run();
     }
   }
 
-  private static void log(InstanceCommand.RequestEnded ended) {
+  private static void logRequestEnd(InstanceCommand.RequestEnded ended) {
     LogLine.of("request ended")
         .with("request", ended.request())
         .with("service", ended.service())
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/Main.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/Main.java
@@ -4,13 +4,14 @@
 import org.teaseldeal.cli.ExitStatus;
 import org.teaseldeal.cli.Program;
 
-/** Starts a router. */
+/** The entry point of the router daemon. */
 public final class Main {
   private Main() {}
 
-  /** Runs until the process is ended; ends it itself if it can't start. */
+  /** Starts the router, or exits with an error status if it can't start. */
   public static void main(String[] args) {
-    // Before the first log line: several programs share the class path, each with its own file.
+    // Must be set before the first log line. Several programs share the class path, and each has
+    // its own configuration file.
     System.setProperty("tinylog.configuration", "tinylog-router.properties");
     ExitStatus status = program().run(System.out, System.err, args);
     if (status != ExitStatus.OK) {
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/Router.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/Router.java
@@ -25,7 +25,7 @@
 import org.teaseldeal.router.backend.BackendCalls;
 import org.teaseldeal.router.backend.EngineOrderCalls;
 import org.teaseldeal.router.backend.LoadPoller;
-import org.teaseldeal.router.backend.PlainAddresses;
+import org.teaseldeal.router.backend.PlainServiceAddresses;
 import org.teaseldeal.router.caller.CallerGateway;
 import org.teaseldeal.router.instance.Instance;
 import org.teaseldeal.router.instance.InstanceLoop;
@@ -34,27 +34,30 @@
 import org.teaseldeal.router.peer.PeerServer;
 import org.teaseldeal.router.peer.PeerTimings;
 import org.teaseldeal.router.platform.InstanceListPoller;
-import org.teaseldeal.router.platform.LogIo;
+import org.teaseldeal.router.platform.LogClient;
 import org.teaseldeal.router.platform.Registration;
 import org.teaseldeal.router.settings.ListenSettings;
 import org.teaseldeal.router.settings.RouterSettings;
 
-/** One router: its listeners, its clients, and the loop between them. */
+/** A router: its HTTP and peer listeners, its clients and the event loop of its instance. */
 final class Router implements AutoCloseable {
-  private static final Duration FAREWELL_BOUND = Duration.ofSeconds(1);
-  private static final Duration FLUSH_POLL = Duration.ofMillis(5);
+  private static final Duration DEREGISTRATION_TIMEOUT = Duration.ofSeconds(1);
+  private static final Duration FLUSH_POLL_INTERVAL = Duration.ofMillis(5);
 
-  /** Callers send their request as soon as they are connected. */
-  private static final Duration LAST_CALL = Duration.ofMillis(500);
+  /**
+   * How long a draining router waits for the first request on a connection that was accepted last.
+   * Callers send their request as soon as they are connected.
+   */
+  private static final Duration FIRST_REQUEST_GRACE = Duration.ofMillis(500);
 
-  private static final int ADMIN_CONNECTIONS = 64;
+  private static final int MAX_ADMIN_CONNECTIONS = 64;
 
   private final RouterSettings settings;
   private final IncarnationId incarnation;
   private final MetricRegistry metrics = new MetricRegistry();
   private final HttpClient backendClient = new HttpClient(HttpClientConfig.defaults());
   private final HttpClient platformClient = new HttpClient(HttpClientConfig.defaults());
-  private final EventDoor events = new EventDoor();
+  private final DeferredEventSink events = new DeferredEventSink();
   private final CompletableFuture<Void> stopped = new CompletableFuture<>();
   private final AtomicBoolean draining = new AtomicBoolean();
   private final PeerServer peerServer;
@@ -66,7 +69,7 @@
   private final HttpServer admin;
   private final Registration registration;
 
-  /** Makes the core of an instance that is reached at a peer address. */
+  /** Creates the core of an instance that other instances reach at a given peer address. */
   @FunctionalInterface
   interface InstanceFactory {
     Instance create(String peerAddress);
@@ -81,7 +84,7 @@
       throws IOException {
     this.settings = settings;
     this.incarnation = incarnation;
-    PlainAddresses plainAddresses = new PlainAddresses();
+    PlainServiceAddresses plainAddresses = new PlainServiceAddresses();
     CallerGateway gateway = new CallerGateway(settings.limits(), events, metrics);
     peerServer =
         PeerServer.start(
@@ -107,25 +110,29 @@
             new CommandDispatcher(
                 gateway,
                 new BackendCalls(
-                    backendClient, events, plainAddresses, settings.limits().answer(), metrics),
+                    backendClient,
+                    events,
+                    plainAddresses,
+                    settings.limits().maxAnswerBytes(),
+                    metrics),
                 new EngineOrderCalls(backendClient, events),
-                new LogIo(platformClient, settings.platform(), events),
+                new LogClient(platformClient, settings.platform(), events),
                 peerSender,
                 () -> stopped.complete(null)),
             settings.tickInterval(),
             metrics);
-    events.open(loop);
+    events.connect(loop);
     callers = HttpServer.start(callerConfig(), gateway, gateway::answer);
     admin = HttpServer.start(adminConfig(), adminHandler());
     registration =
         new Registration(
-            platformClient, settings.platform(), settings.instance().name(), listEntry());
+            platformClient, settings.platform(), settings.instance().name(), registrationEntry());
   }
 
   /**
    * Starts a router.
    *
-   * @throws IOException if an address can't be had
+   * @throws IOException if the router can't listen on a configured address
    */
   static Router start(
       RouterSettings settings,
@@ -135,10 +142,9 @@
       RandomGenerator random)
       throws IOException {
     Router router = new Router(settings, incarnation, factory, clock, random);
-    // The sockets are bound, so this is true. Told later, the line could follow the first failed
-    // call
-    // of the platform, and a reader who takes the log's first line for the addresses would miss
-    // them.
+    // The sockets are bound by now. The line is written before the platform is first called,
+    // because
+    // a failure of that call is logged too and readers expect the addresses in the first line.
     router.logAddresses();
     router.loop.start();
     router.listPoller.start();
@@ -156,7 +162,7 @@
         .info();
   }
 
-  /** The one line that says where the router listens. */
+  /** Returns the JSON object that announces the addresses on which the router listens. */
   ObjectNode announcement() {
     return Json.object()
         .put("event", "listening")
@@ -169,52 +175,57 @@
   }
 
   String callerAddress() {
-    return advertised(settings.callers(), callers.address());
+    return advertisedAddress(settings.callers(), callers.address());
   }
 
   String peerAddress() {
-    return advertised(settings.peers(), peerServer.address());
+    return advertisedAddress(settings.peers(), peerServer.address());
   }
 
   String adminAddress() {
-    return advertised(settings.admin(), admin.address());
+    return advertisedAddress(settings.admin(), admin.address());
   }
 
-  /** Whether the instance takes new requests. */
+  /** Whether the instance accepts new requests. */
   boolean ready() {
     return loop.ready();
   }
 
-  /** Is done once the instance has nothing left to do after a drain. */
+  /** Returns a future that completes once the instance has finished all work after a drain. */
   CompletableFuture<Void> stopped() {
     return stopped;
   }
 
-  /** Takes no new requests from now on, and lets those in flight end. */
+  /** Starts a drain: refuses new requests from now on and lets those in flight finish. */
   void drain() {
     if (draining.compareAndSet(false, true)) {
       LogLine.of("draining").with("instance", settings.instance()).info();
       callers.closeAfterAnswers();
-      registration.leave();
+      registration.announceLeaving();
       events.accept(new InstanceEvent.DrainRequested());
     }
   }
 
-  /** Drains, waits as long as the settings allow, and closes; false if something was cut off. */
+  /**
+   * Drains the router, waits for requests in flight up to the drain time-out, and closes the
+   * router.
+   *
+   * @return false if requests were aborted because the time-out passed
+   */
   boolean drainAndClose() throws InterruptedException {
     long start = System.nanoTime();
-    long end = start + settings.limits().drain().toNanos();
+    long deadline = start + settings.limits().drainTimeout().toNanos();
     drain();
-    boolean whole = awaitStop(end);
-    sleepUntil(Math.min(end, start + settings.limits().leave().toNanos()));
-    leaveList();
+    boolean complete = awaitStop(deadline);
+    sleepUntil(Math.min(deadline, start + settings.limits().leaveGracePeriod().toNanos()));
+    deregister();
     callers.stopAccepting();
-    awaitNewcomers(Math.min(end, System.nanoTime() + LAST_CALL.toNanos()));
+    awaitFirstRequests(Math.min(deadline, System.nanoTime() + FIRST_REQUEST_GRACE.toNanos()));
     callers.stopReading();
-    whole = awaitLastAnswers(end) && whole;
+    complete = awaitAnswersWritten(deadline) && complete;
     close();
-    LogLine.of(whole ? "stopped" : "stopped with requests in flight").info();
-    return whole;
+    LogLine.of(complete ? "stopped" : "stopped with requests in flight").info();
+    return complete;
   }
 
   @Override
@@ -231,9 +242,9 @@
     platformClient.close();
   }
 
-  private boolean awaitStop(long endNanos) throws InterruptedException {
+  private boolean awaitStop(long deadlineNanos) throws InterruptedException {
     try {
-      stopped.get(endNanos - System.nanoTime(), TimeUnit.NANOSECONDS);
+      stopped.get(deadlineNanos - System.nanoTime(), TimeUnit.NANOSECONDS);
       return true;
     } catch (TimeoutException | ExecutionException e) {
       return false;
@@ -241,22 +252,29 @@
   }
 
   /**
-   * Connections that the system had accepted were taken as the instance stopped listening; their
-   * callers get an answer to what they are sending.
+   * Waits until every connection that has not sent a request yet has sent its first one.
+   *
+   * <p>The operating system may have accepted connections just before the router stopped listening.
+   * Their callers are still sending a request and must get an answer to it.
    */
-  private void awaitNewcomers(long endNanos) throws InterruptedException {
-    while (callers.newcomers() > 0 && System.nanoTime() < endNanos) {
-      Thread.sleep(FLUSH_POLL);
+  private void awaitFirstRequests(long deadlineNanos) throws InterruptedException {
+    while (callers.newcomers() > 0 && System.nanoTime() < deadlineNanos) {
+      Thread.sleep(FLUSH_POLL_INTERVAL);
     }
   }
 
-  /** The instance is done when it has given its last answers away; they still have to leave. */
-  private boolean awaitLastAnswers(long endNanos) throws InterruptedException {
+  /**
+   * Waits until all answers are written to their connections. The instance stops as soon as it has
+   * handed over its last answers, which may be before they are written.
+   *
+   * @return false if the deadline passed first
+   */
+  private boolean awaitAnswersWritten(long deadlineNanos) throws InterruptedException {
     while (callers.unanswered() > 0) {
-      if (System.nanoTime() > endNanos) {
+      if (System.nanoTime() > deadlineNanos) {
         return false;
       }
-      Thread.sleep(FLUSH_POLL);
+      Thread.sleep(FLUSH_POLL_INTERVAL);
     }
     return true;
   }
@@ -265,11 +283,11 @@
     Thread.sleep(Duration.ofNanos(Math.max(0, nanos - System.nanoTime())));
   }
 
-  private void leaveList() throws InterruptedException {
+  private void deregister() throws InterruptedException {
     try {
-      registration.remove().get(FAREWELL_BOUND.toMillis(), TimeUnit.MILLISECONDS);
+      registration.remove().get(DEREGISTRATION_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
     } catch (TimeoutException | ExecutionException e) {
-      LogLine.of("the platform was not told of the end").with("cause", e).warn();
+      LogLine.of("deregistration at the platform failed").with("cause", e).warn();
     }
   }
 
@@ -282,25 +300,25 @@
     return new HttpServerConfig(
         settings.callers().host(),
         settings.callers().port(),
-        settings.limits().connections(),
-        settings.limits().header(),
-        settings.limits().body(),
-        settings.limits().requestTime(),
-        settings.limits().idleTime());
+        settings.limits().maxConnections(),
+        settings.limits().maxHeaderBytes(),
+        settings.limits().maxBodyBytes(),
+        settings.limits().requestTimeout(),
+        settings.limits().idleTimeout());
   }
 
   private HttpServerConfig adminConfig() {
     return new HttpServerConfig(
         settings.admin().host(),
         settings.admin().port(),
-        ADMIN_CONNECTIONS,
-        settings.limits().header(),
-        settings.limits().header(),
-        settings.limits().requestTime(),
-        settings.limits().idleTime());
+        MAX_ADMIN_CONNECTIONS,
+        settings.limits().maxHeaderBytes(),
+        settings.limits().maxHeaderBytes(),
+        settings.limits().requestTimeout(),
+        settings.limits().idleTimeout());
   }
 
-  private ObjectNode listEntry() {
+  private ObjectNode registrationEntry() {
     ObjectNode entry =
         Json.object()
             .put("incarnation", incarnation.value())
@@ -308,19 +326,23 @@
             .put("address", callerAddress())
             .put("peer_address", peerAddress())
             .put("data_centre", settings.dataCentre().name());
-    if (adminCanBeReached()) {
+    if (isAdminReachable()) {
       entry.put("admin_address", adminAddress());
     }
     return entry;
   }
 
-  /** Operators elsewhere can't reach loopback, unless all of the fleet is on this host. */
-  private boolean adminCanBeReached() {
+  /**
+   * Whether operators can reach the admin listener. A listener on loopback can't be reached from
+   * other hosts; it counts as reachable only if callers use loopback too, because then the whole
+   * fleet runs on this host.
+   */
+  private boolean isAdminReachable() {
     return !admin.address().getAddress().isLoopbackAddress()
         || callers.address().getAddress().isLoopbackAddress();
   }
 
-  private static String advertised(ListenSettings listen, InetSocketAddress bound) {
+  private static String advertisedAddress(ListenSettings listen, InetSocketAddress bound) {
     return listen.advertised().orElseGet(() -> IpAddresses.format(bound));
   }
 }
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/RouterCommand.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/RouterCommand.java
@@ -16,12 +16,12 @@
 import org.teaseldeal.settings.SettingsParser.Parsed;
 import org.teaseldeal.settings.SettingsProblem;
 
-/** Reads the settings file and starts a router, which then runs on threads of its own. */
+/** Reads the settings file and starts a router, which keeps running on its own threads. */
 final class RouterCommand extends Command {
-  @Parameter(names = "--settings", description = "The TOML file to start from")
+  @Parameter(names = "--settings", description = "Path of the TOML settings file")
   private @Nullable String settings;
 
-  @Parameter(names = "--check", description = "Check the file and end")
+  @Parameter(names = "--check", description = "Check the settings file and exit")
   private boolean check;
 
   @Override
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/RouterProcess.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/RouterProcess.java
@@ -17,42 +17,46 @@
 import org.teaseldeal.router.settings.RouterSettings;
 
 /**
- * A router as a process of its own.
+ * Runs a router as a process.
  *
- * <p>On SIGTERM, and when an operator drains it, it ends with status 0 once nothing is in flight.
+ * <p>After SIGTERM or a drain by an operator, the process exits with status 0 once no request is in
+ * flight or the drain time-out has passed.
  */
 final class RouterProcess {
-  private static final int INCARNATION_DIGITS = 12;
+  private static final int INCARNATION_SUFFIX_LENGTH = 12;
 
   private RouterProcess() {}
 
-  /** Starts, and prints where the router listens as one JSON line. */
+  /** Starts a router and prints the addresses on which it listens as one line of JSON. */
   static void start(RouterSettings settings, PrintStream out) throws IOException {
     IncarnationId incarnation = newIncarnation(settings);
-    // Shared by several threads, which this generator allows.
+    // Several threads share this generator, which is thread-safe.
     Random random = new Random();
     InstantSource clock = InstantSource.system();
     Router router =
         Router.start(
             settings,
             incarnation,
-            peerAddress -> core(settings, incarnation, peerAddress, clock, random),
+            peerAddress -> createInstance(settings, incarnation, peerAddress, clock, random),
             clock,
             random);
-    Thread end = new Thread(() -> drainAndEnd(router), "drain");
-    Runtime.getRuntime().addShutdownHook(end);
+    Thread drainHook = new Thread(() -> drainAndHalt(router), "drain");
+    Runtime.getRuntime().addShutdownHook(drainHook);
     new Thread(() -> exitWhenStopped(router), "exit").start();
     out.println(router.announcement());
     out.flush();
   }
 
-  /** Its thread keeps the process alive: all others are daemons. */
+  /**
+   * Exits the process once the router has stopped. The thread that runs this method keeps the
+   * process alive, because all other threads are daemons.
+   */
   private static void exitWhenStopped(Router router) {
     router.stopped().join();
     System.exit(ExitStatus.OK.code());
   }
 
-  private static Instance core(
+  private static Instance createInstance(
       RouterSettings settings,
       IncarnationId incarnation,
       String peerAddress,
@@ -74,20 +78,24 @@
   }
 
   private static InstanceLimits limits(RouterSettings settings) {
-    return InstanceLimits.standard().withDrainBound(settings.limits().drain().dividedBy(2));
+    return InstanceLimits.standard().withDrainBound(settings.limits().drainTimeout().dividedBy(2));
   }
 
   private static IncarnationId newIncarnation(RouterSettings settings) {
-    String run = UUID.randomUUID().toString().replace("-", "").substring(0, INCARNATION_DIGITS);
-    return new IncarnationId(settings.instance().name() + "." + run);
+    String suffix =
+        UUID.randomUUID().toString().replace("-", "").substring(0, INCARNATION_SUFFIX_LENGTH);
+    return new IncarnationId(settings.instance().name() + "." + suffix);
   }
 
-  /** Status 0 needs halt: after SIGTERM the virtual machine itself would end with 143. */
-  private static void drainAndEnd(Router router) {
+  /**
+   * Drains the router and halts the process with status 0. After SIGTERM the virtual machine would
+   * exit with status 143 if it were not halted.
+   */
+  private static void drainAndHalt(Router router) {
     try {
       router.drainAndClose();
     } catch (InterruptedException | RuntimeException e) {
-      LogLine.of("the shutdown failed").error(e);
+      LogLine.of("shutdown failed; halting the process").error(e);
     } finally {
       Runtime.getRuntime().halt(ExitStatus.OK.code());
     }
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/admin/AdminCredential.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/admin/AdminCredential.java
@@ -7,27 +7,32 @@
 import org.teaseldeal.api.Sha256;
 import org.teaseldeal.net.HttpExchange;
 
-/** Checks the token that operators send; without a credential everyone who reaches us may pass. */
+/**
+ * Checks the bearer token that operators send.
+ *
+ * <p>If no credential is configured, every request is authorized.
+ */
 final class AdminCredential {
   private static final String BEARER = "bearer ";
 
-  private final Optional<byte[]> expected;
+  private final Optional<byte[]> expectedHash;
 
-  /** Creates a check against a SHA-256 in hexadecimal. */
+  /** Creates a check against the SHA-256 of the token, given in hexadecimal. */
   AdminCredential(Optional<String> sha256) {
-    expected = sha256.map(HexFormat.of()::parseHex);
+    expectedHash = sha256.map(HexFormat.of()::parseHex);
   }
 
-  boolean admits(HttpExchange exchange) {
-    if (expected.isEmpty()) {
+  boolean authorizes(HttpExchange exchange) {
+    if (expectedHash.isEmpty()) {
       return true;
     }
     String header = exchange.header("Authorization").orElse("");
     if (!header.toLowerCase(Locale.ROOT).startsWith(BEARER)) {
       return false;
     }
-    // Compared in constant time, and by hash, so that neither reveals how much of a guess is right.
+    // Comparing hashes in constant time keeps the response time from revealing how much of a
+    // guessed token is right.
     return MessageDigest.isEqual(
-        expected.get(), Sha256.of(header.substring(BEARER.length()).trim()));
+        expectedHash.get(), Sha256.of(header.substring(BEARER.length()).trim()));
   }
 }
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/admin/AdminHandler.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/admin/AdminHandler.java
@@ -22,10 +22,10 @@
 import org.teaseldeal.router.instance.Readiness;
 import org.teaseldeal.router.json.Json;
 
-/** Answers operators. */
+/** Answers the HTTP requests of operators. */
 public final class AdminHandler implements HttpHandler {
-  private static final Duration ASK_BOUND = Duration.ofSeconds(2);
-  private static final Duration LIVE_BOUND = Duration.ofSeconds(10);
+  private static final Duration QUERY_TIMEOUT = Duration.ofSeconds(2);
+  private static final Duration MAX_TICK_AGE = Duration.ofSeconds(10);
   private static final Map<String, String> JSON = Map.of("Content-Type", "application/json");
 
   private enum Resource {
@@ -44,7 +44,7 @@
       this.path = path;
     }
 
-    static Optional<Resource> at(String path) {
+    static Optional<Resource> forPath(String path) {
       return List.of(values()).stream().filter(r -> r.path.equals(path)).findFirst();
     }
   }
@@ -57,8 +57,11 @@
   /**
    * Creates a handler.
    *
-   * @param credentialSha256 the SHA-256 of the operators' token; without one everyone may pass
-   * @param drain starts the shutdown
+   * @param credentialSha256 the SHA-256 of the operators' token, in hexadecimal; if it is empty,
+   *     every request is authorized
+   * @param loop the event loop of the instance that is queried
+   * @param metrics the metrics of this process
+   * @param drain starts the drain of this router
    */
   public AdminHandler(
       Optional<String> credentialSha256, InstanceLoop loop, MetricsText metrics, Runnable drain) {
@@ -70,11 +73,11 @@
 
   @Override
   public void handle(HttpExchange exchange) {
-    if (!credential.admits(exchange)) {
+    if (!credential.authorizes(exchange)) {
       refuse(exchange, ErrorKind.UNAUTHENTICATED, "this listener needs the operators' token");
       return;
     }
-    Optional<Resource> resource = Resource.at(exchange.path());
+    Optional<Resource> resource = Resource.forPath(exchange.path());
     if (resource.isEmpty()) {
       refuse(exchange, ErrorKind.UNKNOWN_SERVICE, "nothing is served at this path");
     } else if (!resource.get().method.equals(exchange.method())) {
@@ -86,10 +89,11 @@
 
   private void serve(HttpExchange exchange, Resource resource) {
     switch (resource) {
-      case LIVE -> live(exchange);
-      case READY -> answerFromCore(exchange, Instance::readiness, AdminHandler::readyAnswer);
+      case LIVE -> respondLiveness(exchange);
+      case READY ->
+          respondFromInstance(exchange, Instance::readiness, AdminHandler::readinessAnswer);
       case METRICS ->
-          answerFromCore(
+          respondFromInstance(
               exchange,
               Instance::counters,
               counters ->
@@ -98,7 +102,7 @@
                       Map.of("Content-Type", MetricsText.CONTENT_TYPE),
                       metrics.write(counters)));
       case DUMP ->
-          answerFromCore(
+          respondFromInstance(
               exchange,
               instance -> Json.bytes(Json.tree(instance.dump())),
               dump -> new HttpAnswer(200, JSON, dump));
@@ -110,12 +114,12 @@
     }
   }
 
-  private void live(HttpExchange exchange) {
-    boolean live = loop.sinceLastTick().compareTo(LIVE_BOUND) < 0;
+  private void respondLiveness(HttpExchange exchange) {
+    boolean live = loop.sinceLastTick().compareTo(MAX_TICK_AGE) < 0;
     respond(exchange, live ? 200 : 503, Json.object().put("live", live));
   }
 
-  private static HttpAnswer readyAnswer(Readiness readiness) {
+  private static HttpAnswer readinessAnswer(Readiness readiness) {
     ObjectNode body =
         Json.object()
             .put("ready", readiness.ready())
@@ -126,19 +130,19 @@
     return new HttpAnswer(readiness.ready() ? 200 : 503, JSON, Json.bytes(body));
   }
 
-  private <T> void answerFromCore(
-      HttpExchange exchange, Function<Instance, T> question, Function<T, HttpAnswer> toAnswer) {
+  private <T> void respondFromInstance(
+      HttpExchange exchange, Function<Instance, T> query, Function<T, HttpAnswer> toAnswer) {
     CompletableFuture<HttpAnswer> answer =
-        loop.ask(question)
-            .orTimeout(ASK_BOUND.toMillis(), TimeUnit.MILLISECONDS)
+        loop.query(query)
+            .orTimeout(QUERY_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS)
             .thenApply(toAnswer);
     answer.whenComplete(
-        (whole, failure) -> {
-          if (whole == null) {
-            LogLine.of("an operator's question failed").error(failure);
+        (complete, failure) -> {
+          if (complete == null) {
+            LogLine.of("an operator's query failed").error(failure);
             refuse(exchange, ErrorKind.INTERNAL, "the instance did not say in time");
           } else {
-            exchange.respond(whole.status(), whole.headers(), whole.body());
+            exchange.respond(complete.status(), complete.headers(), complete.body());
           }
         });
   }
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/admin/MetricsText.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/admin/MetricsText.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 import org.teaseldeal.metrics.PrometheusText;
 
-/** The process's metrics as Prometheus text. */
+/** Writes the metrics of this process in the Prometheus text format. */
 public final class MetricsText {
   static final String CONTENT_TYPE = PrometheusText.CONTENT_TYPE;
 
@@ -16,7 +16,7 @@
   private final PrometheusText text;
   private volatile SortedMap<String, Long> coreCounters = new TreeMap<>();
 
-  /** Creates a view of {@code metrics}, to which those of the virtual machine are added. */
+  /** Creates a writer for {@code metrics}, and adds the metrics of the virtual machine to them. */
   public MetricsText(MetricRegistry metrics) {
     this.metrics = metrics;
     metrics.register("jvm_memory", new MemoryUsageGaugeSet());
@@ -24,7 +24,9 @@
     text = new PrometheusText(metrics);
   }
 
-  /** Writes all metrics, with the core's counters as they are given. */
+  /**
+   * Writes all metrics, including {@code counters}, the current counters of the instance's core.
+   */
   byte[] write(SortedMap<String, Long> counters) {
     coreCounters = counters;
     counters.keySet().forEach(this::registerCounter);
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/admin/package-info.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/admin/package-info.java
@@ -1,4 +1,4 @@
-/** What operators see and do: liveness, readiness, metrics, dump, log level, drain. */
+/** The HTTP interface for operators: liveness, readiness, metrics, dump, log level and drain. */
 @NullMarked
 package org.teaseldeal.router.admin;
 
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/backend/AttemptIds.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/backend/AttemptIdParser.java
@@ -3,9 +3,9 @@
 import org.teaseldeal.api.AttemptId;
 import org.teaseldeal.api.IncarnationId;
 
-/** Reads attempt ids as {@link AttemptId#toString} writes them. */
-final class AttemptIds {
-  private AttemptIds() {}
+/** Parses attempt ids in the format of {@link AttemptId#toString}. */
+final class AttemptIdParser {
+  private AttemptIdParser() {}
 
   static AttemptId parse(String text) {
     int dash = text.lastIndexOf('-');
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/backend/AttemptListener.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/backend/AttemptListener.java
@@ -8,75 +8,87 @@
 import org.teaseldeal.net.HttpFailure;
 import org.teaseldeal.net.HttpListener;
 
-/** What any attempt's listener does: tell the instance of one end, and only one. */
+/**
+ * Base class of the listeners for the answer to an attempt.
+ *
+ * <p>It publishes exactly one final event for each attempt.
+ */
 abstract class AttemptListener implements HttpListener {
-  private static final int MAX_BYTES_AFTER_END = 1 << 16;
+  /** The most bytes of an answer that are read after the attempt has completed. */
+  private static final int MAX_DRAINED_BYTES = 1 << 16;
 
   private final AttemptId attempt;
   private final Consumer<InstanceEvent> events;
-  private final Runnable ended;
-  private final Runnable cut;
-  private volatile boolean over;
-  private int bytesAfterEnd;
+  private final Runnable onCompletion;
+  private final Runnable closeConnection;
+  private volatile boolean completed;
+  private int drainedBytes;
 
   /**
    * Creates a listener.
    *
-   * @param ended run when the attempt is over for the instance, before it is told
-   * @param cut closes the connection
+   * @param attempt the attempt that is answered
+   * @param events receives the events of the attempt
+   * @param onCompletion run when the attempt has completed, before its final event is published
+   * @param closeConnection closes the connection of the attempt
    */
-  AttemptListener(AttemptId attempt, Consumer<InstanceEvent> events, Runnable ended, Runnable cut) {
+  AttemptListener(
+      AttemptId attempt,
+      Consumer<InstanceEvent> events,
+      Runnable onCompletion,
+      Runnable closeConnection) {
     this.attempt = attempt;
     this.events = events;
-    this.ended = ended;
-    this.cut = cut;
+    this.onCompletion = onCompletion;
+    this.closeConnection = closeConnection;
   }
 
   AttemptId attempt() {
     return attempt;
   }
 
-  boolean isOver() {
-    return over;
+  boolean isCompleted() {
+    return completed;
   }
 
-  void tell(InstanceEvent event) {
+  void publish(InstanceEvent event) {
     events.accept(event);
   }
 
-  void end(InstanceEvent last) {
-    if (over) {
+  void complete(InstanceEvent finalEvent) {
+    if (completed) {
       return;
     }
-    over = true;
-    ended.run();
-    events.accept(last);
+    completed = true;
+    onCompletion.run();
+    events.accept(finalEvent);
   }
 
-  /** Fails for good: nothing that may still come is worth the connection. */
-  void failAndCut(AttemptFailure failure, String detail) {
+  /** Fails the attempt and closes its connection, because the rest of the answer is not needed. */
+  void failAndClose(AttemptFailure failure, String detail) {
     fail(failure, detail);
-    cut.run();
+    closeConnection.run();
   }
 
-  /** Takes a part of the answer's body. */
-  abstract void take(byte[] part);
+  /** Handles a part of the answer's body; not called once the attempt has completed. */
+  abstract void onBody(byte[] part);
 
   @Override
   public final void onPart(byte[] part) {
-    if (!over) {
-      take(part);
+    if (!completed) {
+      onBody(part);
       return;
     }
-    // A little is read to its end, so that the connection can be used again; a lot is not worth it.
-    bytesAfterEnd += part.length;
-    if (bytesAfterEnd > MAX_BYTES_AFTER_END) {
-      cut.run();
+    // A short rest of the answer is read to its end, so that the connection can be reused. Reading
+    // a long one would cost more than a new connection.
+    drainedBytes += part.length;
+    if (drainedBytes > MAX_DRAINED_BYTES) {
+      closeConnection.run();
     }
   }
 
   void fail(AttemptFailure failure, String detail) {
-    end(new InstanceEvent.AttemptFailed(attempt, failure, detail));
+    complete(new InstanceEvent.AttemptFailed(attempt, failure, detail));
   }
 
   @Override
@@ -90,7 +102,7 @@
         detail);
   }
 
-  /** Whether a header has that value, without regard to case. */
+  /** Whether the header {@code name} has the given value, ignoring case. */
   static boolean hasHeader(Map<String, String> headers, String name, String value) {
     return value.equalsIgnoreCase(headers.get(name));
   }
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/backend/BackendCalls.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/backend/BackendCalls.java
@@ -24,35 +24,42 @@
 import org.teaseldeal.net.HttpClient;
 import org.teaseldeal.router.json.Json;
 
-/** Carries out the instance's commands about attempts, and tells it what comes of them. */
+/** Executes the instance's commands for attempts, and publishes their results as events. */
 public final class BackendCalls {
   /**
-   * Until an answer's head. The instance watches progress itself, by the settings in force; this is
-   * only so that no connection is held for good.
+   * How long an attempt waits for the head of the answer. The instance supervises the progress of
+   * attempts itself, by the current settings; this time-out only ensures that no connection is held
+   * forever.
    */
-  private static final Duration HEAD_TIMEOUT = Duration.ofMinutes(10);
+  private static final Duration RESPONSE_HEAD_TIMEOUT = Duration.ofMinutes(10);
 
-  private static final Duration ASK_TIMEOUT = Duration.ofSeconds(2);
+  private static final Duration USAGE_QUERY_TIMEOUT = Duration.ofSeconds(2);
   private static final byte[] NO_BODY = new byte[0];
 
   private final HttpClient client;
   private final Consumer<InstanceEvent> events;
-  private final PlainAddresses plainAddresses;
+  private final PlainServiceAddresses plainAddresses;
   private final int maxAnswerBytes;
-  private final Map<AttemptId, RunningAttempt> running = new ConcurrentHashMap<>();
+  private final Map<AttemptId, RunningAttempt> runningAttempts = new ConcurrentHashMap<>();
 
-  /** Creates the carrier; {@code events} takes what happens, in order, from any thread. */
+  /**
+   * Creates an executor of commands.
+   *
+   * @param events receives the events of each attempt in order; called from any thread
+   * @param plainAddresses the known addresses of plain services
+   * @param maxAnswerBytes the largest answer of a plain service that is accepted
+   */
   public BackendCalls(
       HttpClient client,
       Consumer<InstanceEvent> events,
-      PlainAddresses plainAddresses,
+      PlainServiceAddresses plainAddresses,
       int maxAnswerBytes,
       MetricRegistry metrics) {
     this.client = client;
     this.events = events;
     this.plainAddresses = plainAddresses;
     this.maxAnswerBytes = maxAnswerBytes;
-    metrics.gauge("attempts_running", () -> running::size);
+    metrics.gauge("attempts_running", () -> runningAttempts::size);
   }
 
   /** Starts or resumes an attempt. */
@@ -64,53 +71,54 @@
         .debug();
     AttemptId attempt = command.attempt();
     RunningAttempt started = new RunningAttempt();
-    running.put(attempt, started);
-    started.set(client.send(requestOf(command), listenerOf(command, started)));
+    runningAttempts.put(attempt, started);
+    started.setCall(client.send(createRequest(command), createListener(command, started)));
   }
 
-  /** Stops an attempt; an engine is told, and asked what the attempt used. */
+  /** Stops an attempt. An engine is sent a cancellation, whose answer reports the tokens used. */
   public void cancel(InstanceCommand.CancelAttempt command) {
     stop(command.attempt());
     if (!plainAddresses.contains(command.address())) {
-      ask("DELETE", command.attempt(), command.request(), command.address());
+      requestUsage("DELETE", command.attempt(), command.request(), command.address());
     }
   }
 
-  /** Drops an attempt's connection and nothing else. */
+  /** Closes an attempt's connection without cancelling the request at the backend server. */
   public void drop(InstanceCommand.DropAttempt command) {
     stop(command.attempt());
   }
 
-  /** Asks an engine what a request used. */
-  public void askUsage(InstanceCommand.AskUsage command) {
+  /** Queries an engine for the tokens that a request has used. */
+  public void queryUsage(InstanceCommand.AskUsage command) {
     if (plainAddresses.contains(command.address())) {
       events.accept(
           new InstanceEvent.UsageUnknown(command.attempt(), "a plain service reports no usage"));
       return;
     }
-    ask("GET", command.attempt(), command.request(), command.address());
+    requestUsage("GET", command.attempt(), command.request(), command.address());
   }
 
   private void stop(AttemptId attempt) {
-    RunningAttempt stopped = running.remove(attempt);
-    if (stopped != null) {
-      stopped.cut();
+    RunningAttempt removed = runningAttempts.remove(attempt);
+    if (removed != null) {
+      removed.cancel();
     }
   }
 
-  private AttemptListener listenerOf(InstanceCommand.StartAttempt command, RunningAttempt started) {
+  private AttemptListener createListener(
+      InstanceCommand.StartAttempt command, RunningAttempt started) {
     AttemptId attempt = command.attempt();
-    Runnable ended = () -> running.remove(attempt);
+    Runnable onCompletion = () -> runningAttempts.remove(attempt);
     return switch (command.payload()) {
       case Payload.ModelCall model ->
           new EngineListener(
-              attempt, command.resumeFrom().isPresent(), events, ended, started::cut);
+              attempt, command.resumeFrom().isPresent(), events, onCompletion, started::cancel);
       case Payload.PlainCall plain ->
-          new PlainListener(attempt, maxAnswerBytes, events, ended, started::cut);
+          new PlainServiceListener(attempt, maxAnswerBytes, events, onCompletion, started::cancel);
     };
   }
 
-  private HttpCallRequest requestOf(InstanceCommand.StartAttempt command) {
+  private HttpCallRequest createRequest(InstanceCommand.StartAttempt command) {
     return switch (command.payload()) {
       case Payload.ModelCall model -> engineRequest(command, model);
       case Payload.PlainCall plain -> plainRequest(command, plain);
@@ -123,11 +131,12 @@
       return new HttpCallRequest(
           command.address(),
           "GET",
-          "%s/stream?from=%d".formatted(path(command.request()), command.resumeFrom().getAsLong()),
+          "%s/stream?from=%d"
+              .formatted(requestPath(command.request()), command.resumeFrom().getAsLong()),
           Map.of(
               "Attempt-Id", command.attempt().toString(), "Request-Id", command.request().value()),
           NO_BODY,
-          HEAD_TIMEOUT);
+          RESPONSE_HEAD_TIMEOUT);
     }
     return new HttpCallRequest(
         command.address(),
@@ -142,12 +151,15 @@
             command.attempt().toString(),
             "Priority",
             Integer.toString(command.priority())),
-        withModelAndCap(model.body(), command.model(), command.maxOutputTokens()),
-        HEAD_TIMEOUT);
+        withModelAndOutputLimit(model.body(), command.model(), command.maxOutputTokens()),
+        RESPONSE_HEAD_TIMEOUT);
   }
 
-  /** Puts two fields in front of the others of {@code body}, an object that is never empty. */
-  static byte[] withModelAndCap(byte[] body, String model, long maxOutputTokens) {
+  /**
+   * Inserts the model name and the output limit in front of the other fields of {@code body}, which
+   * must be a JSON object that is not empty.
+   */
+  static byte[] withModelAndOutputLimit(byte[] body, String model, long maxOutputTokens) {
     byte[] fields =
         Json.bytes(Json.object().put("model", model).put("max_tokens", maxOutputTokens));
     ByteArrayOutputStream joined = new ByteArrayOutputStream(fields.length + body.length);
@@ -167,12 +179,19 @@
       headers.put("Content-Type", plain.contentType());
     }
     return new HttpCallRequest(
-        command.address(), plain.method(), plain.path(), headers, plain.body(), HEAD_TIMEOUT);
+        command.address(),
+        plain.method(),
+        plain.path(),
+        headers,
+        plain.body(),
+        RESPONSE_HEAD_TIMEOUT);
   }
 
-  private void ask(String method, AttemptId attempt, RequestId request, String address) {
+  private void requestUsage(String method, AttemptId attempt, RequestId request, String address) {
     client
-        .fetch(new HttpCallRequest(address, method, path(request), Map.of(), NO_BODY, ASK_TIMEOUT))
+        .fetch(
+            new HttpCallRequest(
+                address, method, requestPath(request), Map.of(), NO_BODY, USAGE_QUERY_TIMEOUT))
         .whenComplete((answer, failure) -> events.accept(usageEvent(attempt, answer, failure)));
   }
 
@@ -182,27 +201,27 @@
       return new InstanceEvent.UsageUnknown(attempt, String.valueOf(failure));
     }
     return switch (answer.status()) {
-      case 200 -> usageOf(attempt, answer.body());
+      case 200 -> parseUsage(attempt, answer.body());
       case 404 -> new InstanceEvent.UsageKnown(attempt, Optional.empty());
       default -> new InstanceEvent.UsageUnknown(attempt, "the engine answered " + answer.status());
     };
   }
 
-  private static InstanceEvent usageOf(AttemptId attempt, byte[] body) {
+  private static InstanceEvent parseUsage(AttemptId attempt, byte[] body) {
     try {
       ObjectNode state = Json.readObject(body);
       if (state.path("state").asText("").equals("running")) {
-        // What it used so far is less than what it will have used.
+        // The tokens used so far are fewer than those that the request will have used in the end.
         return new InstanceEvent.UsageUnknown(attempt, "the request is still running");
       }
-      Usage usage = EngineListener.usage(state.path("usage"));
+      Usage usage = EngineListener.parseUsage(state.path("usage"));
       return new InstanceEvent.UsageKnown(attempt, Optional.of(usage));
     } catch (IllegalArgumentException e) {
       return new InstanceEvent.UsageUnknown(attempt, String.valueOf(e.getMessage()));
     }
   }
 
-  private static String path(RequestId request) {
+  private static String requestPath(RequestId request) {
     return "/v1/requests/" + URLEncoder.encode(request.value(), StandardCharsets.UTF_8);
   }
 }
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/backend/EngineListener.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/backend/EngineListener.java
@@ -12,22 +12,22 @@
 import org.teaseldeal.core.event.InstanceEvent;
 import org.teaseldeal.router.json.Json;
 
-/** Turns a model engine's answer into frames, an end or a failure. */
+/** Turns the answer of a model engine into frame events and a final event. */
 final class EngineListener extends AttemptListener {
   private static final int MAX_EVENT_BYTES = 1 << 20;
   private static final byte[] DONE = "[DONE]".getBytes(StandardCharsets.US_ASCII);
 
-  private final boolean resume;
+  private final boolean resumed;
   private final SseParser parser = new SseParser(MAX_EVENT_BYTES, this::onEvent);
 
   EngineListener(
       AttemptId attempt,
-      boolean resume,
+      boolean resumed,
       Consumer<InstanceEvent> events,
-      Runnable ended,
-      Runnable cut) {
-    super(attempt, events, ended, cut);
-    this.resume = resume;
+      Runnable onCompletion,
+      Runnable closeConnection) {
+    super(attempt, events, onCompletion, closeConnection);
+    this.resumed = resumed;
   }
 
   @Override
@@ -38,11 +38,11 @@
   }
 
   @Override
-  void take(byte[] part) {
+  void onBody(byte[] part) {
     try {
       parser.feed(part);
     } catch (IllegalArgumentException e) {
-      failAndCut(AttemptFailure.LOST_MID_ANSWER, "the engine's answer: " + e.getMessage());
+      failAndClose(AttemptFailure.LOST_MID_ANSWER, "the engine's answer: " + e.getMessage());
     }
   }
 
@@ -52,8 +52,9 @@
   }
 
   private AttemptFailure failureOf(int status) {
-    if (resume) {
-      // The request has been running: an engine too busy to resume it has not refused to run it.
+    if (resumed) {
+      // The request has already been running. An engine that is too busy to resume it has not
+      // refused to run it.
       return switch (status) {
         case 404 -> AttemptFailure.RESUME_UNKNOWN;
         case 429, 503 -> AttemptFailure.LOST_BEFORE_ANSWER;
@@ -67,29 +68,29 @@
   }
 
   private void onEvent(byte[] data) {
-    if (isOver() || Arrays.equals(data, DONE)) {
+    if (isCompleted() || Arrays.equals(data, DONE)) {
       return;
     }
     ObjectNode chunk = Json.readObject(data);
-    AttemptId carried = AttemptIds.parse(chunk.path("attempt").asText(""));
+    AttemptId chunkAttempt = AttemptIdParser.parse(chunk.path("attempt").asText(""));
     JsonNode position = chunk.path("position");
     if (!position.canConvertToLong() || position.asLong() < 0) {
       throw new IllegalArgumentException("a chunk has no position");
     }
     if (isUsage(chunk)) {
-      finish(carried, position.asLong(), usage(chunk.get("usage")));
+      finishStream(chunkAttempt, position.asLong(), parseUsage(chunk.get("usage")));
     } else {
-      tell(new InstanceEvent.FrameReceived(carried, position.asLong(), data));
+      publish(new InstanceEvent.FrameReceived(chunkAttempt, position.asLong(), data));
     }
   }
 
-  private void finish(AttemptId carried, long frames, Usage usage) {
-    InstanceEvent finished = new InstanceEvent.StreamFinished(carried, frames, usage);
-    if (carried.equals(attempt())) {
-      end(finished);
+  private void finishStream(AttemptId chunkAttempt, long frames, Usage usage) {
+    InstanceEvent finished = new InstanceEvent.StreamFinished(chunkAttempt, frames, usage);
+    if (chunkAttempt.equals(attempt())) {
+      complete(finished);
     } else {
-      // Another attempt's end doesn't end this one; the instance drops and counts it.
-      tell(finished);
+      // The end of another attempt doesn't complete this one. The instance ignores and counts it.
+      publish(finished);
     }
   }
 
@@ -99,7 +100,7 @@
         && chunk.path("choices").isEmpty();
   }
 
-  static Usage usage(JsonNode usage) {
+  static Usage parseUsage(JsonNode usage) {
     JsonNode input = usage.path("prompt_tokens");
     JsonNode output = usage.path("completion_tokens");
     if (!input.canConvertToLong() || !output.canConvertToLong()) {
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/backend/EngineOrderCalls.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/backend/EngineOrderCalls.java
@@ -18,28 +18,36 @@
 import org.teaseldeal.net.HttpClient;
 import org.teaseldeal.router.json.Json;
 
-/** Asks engines what they have and gives them orders. */
+/** Sends orders to engines, and queries which models, adapters and role they have. */
 public final class EngineOrderCalls {
-  private static final Duration ASK_TIMEOUT = Duration.ofSeconds(2);
+  private static final Duration STATE_QUERY_TIMEOUT = Duration.ofSeconds(2);
 
-  /** Shorter than the instance waits; an engine that loads for longer is asked what it has. */
+  /**
+   * How long an order may take. It is shorter than the time that the instance waits for the result;
+   * the state of an engine that takes longer to load is queried instead.
+   */
   private static final Duration ORDER_TIMEOUT = Duration.ofSeconds(5);
 
   private final HttpClient client;
   private final Consumer<InstanceEvent> events;
 
-  /** Creates the carrier; {@code events} takes what happens, from any thread. */
+  /** Creates a sender; {@code events} receives the results and is called from any thread. */
   public EngineOrderCalls(HttpClient client, Consumer<InstanceEvent> events) {
     this.client = client;
     this.events = events;
   }
 
-  /** Asks an engine what it has. */
-  public void askState(InstanceCommand.AskOrderState command) {
+  /** Queries an engine for its models, its adapters and its role. */
+  public void queryState(InstanceCommand.AskOrderState command) {
     client
         .fetch(
             new HttpCallRequest(
-                command.address(), "GET", "/orders/state", Map.of(), new byte[0], ASK_TIMEOUT))
+                command.address(),
+                "GET",
+                "/orders/state",
+                Map.of(),
+                new byte[0],
+                STATE_QUERY_TIMEOUT))
         .whenComplete(
             (answer, failure) -> events.accept(stateEvent(command.server(), answer, failure)));
   }
@@ -47,7 +55,7 @@
   private static InstanceEvent stateEvent(
       BackendServerId server, @Nullable HttpAnswer answer, @Nullable Throwable failure) {
     if (answer == null || answer.status() != 200) {
-      return new InstanceEvent.OrderStateUnknown(server, why(answer, failure));
+      return new InstanceEvent.OrderStateUnknown(server, failureDetail(answer, failure));
     }
     try {
       ObjectNode state = Json.readObject(answer.body());
@@ -60,7 +68,12 @@
     }
   }
 
-  /** A report without a field is none: taken for empty, it would have everything loaded again. */
+  /**
+   * Reads an object of versions by name.
+   *
+   * <p>A report that lacks the object is refused. If it were read as empty, the instance would
+   * order the engine to load everything again.
+   */
   private static Map<String, String> versions(ObjectNode state, String field) {
     if (!(state.get(field) instanceof ObjectNode versions)) {
       throw new IllegalArgumentException("no object \"%s\"".formatted(field));
@@ -78,10 +91,10 @@
     return value.asText();
   }
 
-  /** Gives an engine an order. */
+  /** Sends an order to an engine. */
   public void send(InstanceCommand.SendOrder command) {
     EngineOrder order = command.order();
-    LogLine.of("engine ordered")
+    LogLine.of("order sent to engine")
         .with("server", command.server())
         .with("fencing", command.fencing())
         .with("kind", order.kind().label())
@@ -112,25 +125,27 @@
       return new InstanceEvent.OrderAnswered(command.server(), command.number());
     }
     if (answer != null && answer.status() == 409) {
-      return refusal(command, answer);
+      return refusalEvent(command, answer);
     }
-    return new InstanceEvent.OrderFailed(command.server(), command.number(), why(answer, failure));
+    return new InstanceEvent.OrderFailed(
+        command.server(), command.number(), failureDetail(answer, failure));
   }
 
-  private static InstanceEvent refusal(InstanceCommand.SendOrder command, HttpAnswer answer) {
+  private static InstanceEvent refusalEvent(InstanceCommand.SendOrder command, HttpAnswer answer) {
     try {
-      JsonNode highest = Json.readObject(answer.body()).path("highest");
-      if (highest.isIntegralNumber()) {
-        return new InstanceEvent.OrderRefused(command.server(), command.number(), highest.asLong());
+      JsonNode highestToken = Json.readObject(answer.body()).path("highest");
+      if (highestToken.isIntegralNumber()) {
+        return new InstanceEvent.OrderRefused(
+            command.server(), command.number(), highestToken.asLong());
       }
     } catch (IllegalArgumentException e) {
-      // Answered as a failure below, with the status.
+      // Reported as a failure below.
     }
     return new InstanceEvent.OrderFailed(
         command.server(), command.number(), "409 without the highest number");
   }
 
-  private static String why(@Nullable HttpAnswer answer, @Nullable Throwable failure) {
+  private static String failureDetail(@Nullable HttpAnswer answer, @Nullable Throwable failure) {
     return answer == null ? String.valueOf(failure) : "the engine answered " + answer.status();
   }
 }
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/backend/LoadPoller.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/backend/LoadPoller.java
@@ -23,10 +23,10 @@
 import org.teaseldeal.net.NetRuntime;
 import org.teaseldeal.router.json.Json;
 
-/** Asks every listed engine for its load, again and again. */
+/** Polls the load of every listed engine. */
 public final class LoadPoller implements AutoCloseable {
-  private static final Duration INTERVAL = Duration.ofMillis(200);
-  private static final Duration TIMEOUT = Duration.ofSeconds(1);
+  private static final Duration POLL_INTERVAL = Duration.ofMillis(200);
+  private static final Duration POLL_TIMEOUT = Duration.ofSeconds(1);
 
   private final HttpClient client;
   private final Consumer<InstanceEvent> events;
@@ -34,12 +34,12 @@
   private final RandomGenerator random;
   private final EventExecutor executor = NetRuntime.group().next();
 
-  /** Touched on the executor only. */
+  /** The addresses of the polled engines. Accessed by {@code executor} only. */
   private final Map<BackendServerId, String> engines = new HashMap<>();
 
   private boolean closed;
 
-  /** Creates a poller that knows no engine. */
+  /** Creates a poller without engines; {@code events} receives the load reports. */
   public LoadPoller(
       HttpClient client,
       Consumer<InstanceEvent> events,
@@ -51,7 +51,7 @@
     this.random = random;
   }
 
-  /** Takes the engines to ask from now on. */
+  /** Replaces the set of polled engines. */
   public void setEngines(List<ListedServer> listed) {
     executor.execute(() -> replaceEngines(listed));
   }
@@ -71,14 +71,17 @@
     engines.keySet().retainAll(present);
     for (ListedServer server : listed) {
       if (!closed && engines.putIfAbsent(server.id(), server.address()) == null) {
-        pollLater(server.id());
+        scheduleNextPoll(server.id());
       }
     }
   }
 
-  /** Jitter keeps the instances of a fleet from asking all at the same moment. */
-  private void pollLater(BackendServerId server) {
-    long nanos = INTERVAL.toNanos();
+  /**
+   * Schedules the next poll after 0.5 to 1.5 intervals. The jitter keeps the instances of a fleet
+   * from polling an engine all at the same moment.
+   */
+  private void scheduleNextPoll(BackendServerId server) {
+    long nanos = POLL_INTERVAL.toNanos();
     executor.schedule(() -> poll(server), nanos / 2 + random.nextLong(nanos), TimeUnit.NANOSECONDS);
   }
 
@@ -88,17 +91,17 @@
       return;
     }
     client
-        .fetch(new HttpCallRequest(address, "GET", "/load", Map.of(), new byte[0], TIMEOUT))
+        .fetch(new HttpCallRequest(address, "GET", "/load", Map.of(), new byte[0], POLL_TIMEOUT))
         .whenComplete(
             (answer, failure) -> {
               if (answer != null && answer.status() == 200) {
-                report(server, answer);
+                publishLoad(server, answer);
               }
-              executor.execute(() -> pollLater(server));
+              executor.execute(() -> scheduleNextPoll(server));
             });
   }
 
-  private void report(BackendServerId server, HttpAnswer answer) {
+  private void publishLoad(BackendServerId server, HttpAnswer answer) {
     try {
       ObjectNode load = Json.readObject(answer.body());
       Instant asOf = Instant.parse(load.path("as_of").asText(""));
@@ -111,7 +114,7 @@
               Math.clamp(load.path("cache_use").asDouble(0), 0, 1),
               age.isNegative() ? Duration.ZERO : age));
     } catch (IllegalArgumentException | DateTimeException e) {
-      // A report that can't be read is none; the next one comes soon.
+      // An unreadable report is ignored; the next poll follows within 1.5 intervals.
       return;
     }
   }
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/backend/PlainListener.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/backend/PlainServiceListener.java
@@ -7,20 +7,20 @@
 import org.teaseldeal.core.AttemptFailure;
 import org.teaseldeal.core.event.InstanceEvent;
 
-/** Gathers a plain service's answer. */
-final class PlainListener extends AttemptListener {
+/** Buffers the answer of a plain service and publishes it as one event. */
+final class PlainServiceListener extends AttemptListener {
   private final int maxBytes;
   private final ByteArrayOutputStream body = new ByteArrayOutputStream();
   private int status;
   private String contentType = "";
 
-  PlainListener(
+  PlainServiceListener(
       AttemptId attempt,
       int maxBytes,
       Consumer<InstanceEvent> events,
-      Runnable ended,
-      Runnable cut) {
-    super(attempt, events, ended, cut);
+      Runnable onCompletion,
+      Runnable closeConnection) {
+    super(attempt, events, onCompletion, closeConnection);
     this.maxBytes = maxBytes;
   }
 
@@ -28,16 +28,16 @@
   public void onHead(int answerStatus, Map<String, String> headers) {
     status = answerStatus;
     contentType = headers.getOrDefault("content-type", "");
-    // Without the header nothing says that the service did not run the call before it answered so.
+    // Without the header, the service may have run the call before it answered with this status.
     if ((status == 429 || status == 503) && hasHeader(headers, "not-run", "true")) {
       fail(AttemptFailure.REFUSED_BY_SERVER, "the service did not run the call, status " + status);
     }
   }
 
   @Override
-  void take(byte[] part) {
+  void onBody(byte[] part) {
     if (body.size() + part.length > maxBytes) {
-      failAndCut(
+      failAndClose(
           AttemptFailure.LOST_MID_ANSWER,
           "the service's answer is larger than %d bytes".formatted(maxBytes));
       return;
@@ -47,9 +47,9 @@
 
   @Override
   public void onEnd() {
-    if (isOver()) {
+    if (isCompleted()) {
       return;
     }
-    end(new InstanceEvent.PlainAnswered(attempt(), status, contentType, body.toByteArray()));
+    complete(new InstanceEvent.PlainAnswered(attempt(), status, contentType, body.toByteArray()));
   }
 }
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/backend/RunningAttempt.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/backend/RunningAttempt.java
@@ -3,20 +3,20 @@
 import org.jspecify.annotations.Nullable;
 import org.teaseldeal.net.HttpCall;
 
-/** An attempt's call, which can be cut also before it is known here. */
+/** The call of a running attempt, which can be cancelled even before the call is set. */
 final class RunningAttempt {
   private @Nullable HttpCall call;
-  private boolean cut;
+  private boolean cancelled;
 
-  synchronized void set(HttpCall started) {
+  synchronized void setCall(HttpCall started) {
     call = started;
-    if (cut) {
+    if (cancelled) {
       started.cancel();
     }
   }
 
-  synchronized void cut() {
-    cut = true;
+  synchronized void cancel() {
+    cancelled = true;
     if (call != null) {
       call.cancel();
     }
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/backend/SseParser.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/backend/SseParser.java
@@ -5,9 +5,10 @@
 import java.util.function.Consumer;
 
 /**
- * Reads the data of server-sent events from parts that may be split anywhere.
+ * Parses server-sent events from parts of a stream that may be split at any byte.
  *
- * <p>Takes only what engines send: {@code data} lines; other fields and comments are skipped.
+ * <p>Only {@code data} lines are read, which are all that engines send. Other fields and comments
+ * are skipped.
  */
 final class SseParser {
   private static final byte[] FIELD = "data:".getBytes(StandardCharsets.US_ASCII);
@@ -24,10 +25,14 @@
     this.events = events;
   }
 
-  /** Takes a part; throws {@link IllegalArgumentException} if an event exceeds the bound. */
+  /**
+   * Parses the next part of the stream.
+   *
+   * @throws IllegalArgumentException if an event exceeds the size limit
+   */
   void feed(byte[] part) {
     for (byte next : part) {
-      // A line ends with CR, LF or both; the LF of a pair may come with the next part.
+      // A line ends with CR, LF or CRLF. The LF of a CRLF may be the first byte of the next part.
       if (next == '\n' && afterCarriageReturn) {
         afterCarriageReturn = false;
         continue;
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/backend/package-info.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/backend/package-info.java
@@ -1,4 +1,4 @@
-/** Attempts at backend servers, and their load reports. */
+/** Calls to backend servers: attempts at running requests, orders to engines, load polling. */
 @NullMarked
 package org.teaseldeal.router.backend;
 
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/caller/GatheredAnswer.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/caller/AggregatedAnswer.java
@@ -14,33 +14,33 @@
 import org.teaseldeal.net.HttpExchange;
 import org.teaseldeal.router.json.Json;
 
-/** An answer gathered from its frames into one JSON object. */
-final class GatheredAnswer extends CallerAnswer {
-  /** Text that engines send in pieces; other text fields are sent whole. */
-  private static final Set<String> IN_PIECES =
+/** An answer whose frames are merged into one JSON object that is sent at the end. */
+final class AggregatedAnswer extends CallerAnswer {
+  /** Text fields whose values arrive split over several frames; others arrive in one frame. */
+  private static final Set<String> CONCATENATED_FIELDS =
       Set.of("content", "reasoning", "reasoning_content", "refusal", "arguments");
 
   private final int maxBytes;
-  private final ObjectNode head = Json.object();
+  private final ObjectNode sharedFields = Json.object();
   private final SortedMap<Integer, ObjectNode> choices = new TreeMap<>();
-  private int bytes;
+  private int receivedBytes;
 
-  GatheredAnswer(HttpExchange exchange, int maxBytes) {
+  AggregatedAnswer(HttpExchange exchange, int maxBytes) {
     super(exchange);
     this.maxBytes = maxBytes;
   }
 
   @Override
-  boolean frame(RequestId request, byte[] data) {
-    bytes += data.length;
-    if (bytes > maxBytes) {
+  boolean writeFrame(RequestId request, byte[] data) {
+    receivedBytes += data.length;
+    if (receivedBytes > maxBytes) {
       exchange().abort();
       return false;
     }
     ObjectNode chunk = Json.readObject(data);
     for (String field : List.of("created", "model", "system_fingerprint")) {
-      if (chunk.hasNonNull(field) && !head.has(field)) {
-        head.set(field, chunk.get(field));
+      if (chunk.hasNonNull(field) && !sharedFields.has(field)) {
+        sharedFields.set(field, chunk.get(field));
       }
     }
     chunk.path("choices").forEach(this::addChoice);
@@ -50,10 +50,10 @@
   @Override
   void finish(RequestId request, Usage usage) {
     ObjectNode answer = Json.object().put("id", request.value()).put("object", "chat.completion");
-    answer.setAll(head);
+    answer.setAll(sharedFields);
     ArrayNode list = answer.putArray("choices");
     choices.values().forEach(list::add);
-    answer.set("usage", usage(usage));
+    answer.set("usage", usageObject(usage));
     exchange()
         .respond(
             200,
@@ -62,11 +62,11 @@
   }
 
   @Override
-  void breakOff(RequestId request, Problem problem) {
+  void fail(RequestId request, Problem problem) {
     refuse(request, problem);
   }
 
-  static ObjectNode usage(Usage usage) {
+  static ObjectNode usageObject(Usage usage) {
     return Json.object()
         .put("prompt_tokens", usage.inputTokens())
         .put("completion_tokens", usage.outputTokens())
@@ -75,15 +75,15 @@
 
   private void addChoice(JsonNode choice) {
     int index = choice.path("index").asInt(0);
-    ObjectNode gathered = choices.computeIfAbsent(index, GatheredAnswer::emptyChoice);
+    ObjectNode merged = choices.computeIfAbsent(index, AggregatedAnswer::emptyChoice);
     if (choice.path("delta") instanceof ObjectNode delta) {
-      merge((ObjectNode) gathered.get("message"), delta);
+      merge((ObjectNode) merged.get("message"), delta);
     }
     if (choice.path("logprobs") instanceof ObjectNode logprobs) {
-      merge(gathered.withObject("/logprobs"), logprobs);
+      merge(merged.withObject("/logprobs"), logprobs);
     }
     if (choice.hasNonNull("finish_reason")) {
-      gathered.set("finish_reason", choice.get("finish_reason"));
+      merged.set("finish_reason", choice.get("finish_reason"));
     }
   }
 
@@ -93,8 +93,8 @@
     return choice.putNull("finish_reason");
   }
 
-  private static void merge(ObjectNode into, ObjectNode piece) {
-    piece.properties().forEach(field -> mergeField(into, field.getKey(), field.getValue()));
+  private static void merge(ObjectNode into, ObjectNode part) {
+    part.properties().forEach(field -> mergeField(into, field.getKey(), field.getValue()));
   }
 
   private static void mergeField(ObjectNode into, String name, JsonNode value) {
@@ -102,7 +102,7 @@
       return;
     }
     JsonNode present = into.path(name);
-    if (value.isTextual() && present.isTextual() && IN_PIECES.contains(name)) {
+    if (value.isTextual() && present.isTextual() && CONCATENATED_FIELDS.contains(name)) {
       into.put(name, present.asText() + value.asText());
     } else if (value instanceof ObjectNode object && present instanceof ObjectNode target) {
       merge(target, object);
@@ -113,12 +113,15 @@
     }
   }
 
-  /** Elements with an index are pieces of the element with that index, as in tool calls. */
+  /**
+   * Merges an element into an array. Elements with the same index, such as tool calls, are parts of
+   * one element; an element without an index is appended.
+   */
   private static void mergeElement(ArrayNode target, JsonNode element) {
-    if (element instanceof ObjectNode piece && piece.has("index")) {
+    if (element instanceof ObjectNode part && part.has("index")) {
       for (JsonNode present : target) {
-        if (present instanceof ObjectNode same && piece.get("index").equals(same.get("index"))) {
-          merge(same, piece);
+        if (present instanceof ObjectNode same && part.get("index").equals(same.get("index"))) {
+          merge(same, part);
           return;
         }
       }
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/caller/CallerAnswer.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/caller/CallerAnswer.java
@@ -7,7 +7,7 @@
 import org.teaseldeal.api.Usage;
 import org.teaseldeal.net.HttpExchange;
 
-/** One caller's answer in the making. */
+/** Writes the answer to one request of a caller. */
 abstract class CallerAnswer {
   private final HttpExchange exchange;
 
@@ -19,18 +19,27 @@
     return exchange;
   }
 
-  /** Takes the next frame; false if the caller takes its answer too slowly to go on. */
-  abstract boolean frame(RequestId request, byte[] data);
+  /**
+   * Adds the next frame to the answer.
+   *
+   * @return false if the answer was aborted because it exceeds its limit: the caller reads a
+   *     streamed answer too slowly, or an aggregated answer is too large
+   */
+  abstract boolean writeFrame(RequestId request, byte[] data);
 
+  /** Completes the answer with the tokens used. */
   abstract void finish(RequestId request, Usage usage);
 
-  abstract void breakOff(RequestId request, Problem problem);
+  /** Ends the answer with an error, possibly after some frames have been written. */
+  abstract void fail(RequestId request, Problem problem);
 
+  /** Answers with an error before any frame has been written. */
   void refuse(RequestId request, Problem problem) {
     ProblemAnswer.send(exchange, problem, Optional.of(request));
   }
 
-  void answer(RequestId request, int status, String contentType, byte[] body) {
+  /** Answers with the complete answer of a plain service. */
+  void respond(RequestId request, int status, String contentType, byte[] body) {
     Map<String, String> headers =
         contentType.isEmpty()
             ? Map.of("Request-Id", request.value())
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/caller/CallerGateway.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/caller/CallerGateway.java
@@ -21,15 +21,15 @@
 import org.teaseldeal.net.HttpRejection;
 import org.teaseldeal.router.settings.RouterLimits;
 
-/** Hands callers' requests to the instance, and its answers to the callers. */
+/** Submits the requests of callers to the instance, and writes the instance's answers to them. */
 public final class CallerGateway implements HttpHandler {
   private final Map<CallId, CallerAnswer> calls = new ConcurrentHashMap<>();
-  private final AtomicLong lastCall = new AtomicLong();
+  private final AtomicLong lastCallId = new AtomicLong();
   private final RouterLimits limits;
   private final Consumer<InstanceEvent> events;
   private final MetricRegistry metrics;
 
-  /** Creates the gateway; {@code events} takes what happens, in order, from any thread. */
+  /** Creates a gateway; {@code events} receives a caller's events in order, from any thread. */
   public CallerGateway(
       RouterLimits limits, Consumer<InstanceEvent> events, MetricRegistry metrics) {
     this.limits = limits;
@@ -40,26 +40,26 @@
 
   @Override
   public void handle(HttpExchange exchange) {
-    Optional<String> allowed = RequestReader.allowedInstead(exchange);
+    Optional<String> allowed = RequestReader.allowedMethodsOnMismatch(exchange);
     if (allowed.isPresent()) {
-      count(ErrorKind.METHOD_NOT_ALLOWED);
+      countRejection(ErrorKind.METHOD_NOT_ALLOWED);
       ProblemAnswer.sendNotAllowed(exchange, allowed.get());
       return;
     }
     switch (RequestReader.read(exchange)) {
-      case Result.Ok<ReadRequest>(ReadRequest request) -> take(exchange, request);
-      case Result.Err<ReadRequest>(Problem problem) -> turnAway(exchange, problem);
+      case Result.Ok<ParsedRequest>(ParsedRequest request) -> submit(exchange, request);
+      case Result.Err<ParsedRequest>(Problem problem) -> reject(exchange, problem);
     }
   }
 
-  /** The answer to a request that was turned away before it was read. */
+  /** Returns the answer to a request that the server rejected before it was read completely. */
   public HttpAnswer answer(HttpRejection rejection) {
     Problem problem = ProblemAnswer.ofRejection(rejection);
-    count(problem.kind());
+    countRejection(problem.kind());
     return ProblemAnswer.of(problem, Optional.empty());
   }
 
-  /** Carries out {@link InstanceCommand.Refuse}. */
+  /** Executes {@link InstanceCommand.Refuse}. */
   public void refuse(InstanceCommand.Refuse command) {
     CallerAnswer answer = calls.remove(command.call());
     if (answer != null) {
@@ -68,56 +68,59 @@
     }
   }
 
-  /** Carries out {@link InstanceCommand.SendFrame}. */
+  /** Executes {@link InstanceCommand.SendFrame}. */
   public void sendFrame(InstanceCommand.SendFrame command) {
     CallerAnswer answer = calls.get(command.call());
     if (answer == null) {
       return;
     }
     try {
-      if (answer.frame(command.request(), command.data())) {
+      if (answer.writeFrame(command.request(), command.data())) {
         return;
       }
       metrics.counter("slow_callers").inc();
-      LogLine.of("caller too slow").with("request", command.request()).info();
+      LogLine.of("answer aborted: the caller reads too slowly or the answer is too large")
+          .with("request", command.request())
+          .info();
     } catch (IllegalArgumentException e) {
-      // Without an end the caller would wait for an answer that can't be put together any more.
-      answer.breakOff(
-          command.request(), Problem.of(ErrorKind.INTERNAL, "a frame could not be read"));
-      LogLine.of("unreadable frame").with("request", command.request()).error(e);
+      // The answer can't be completed without this frame, so the caller must not wait for its end.
+      answer.fail(command.request(), Problem.of(ErrorKind.INTERNAL, "a frame could not be read"));
+      LogLine.of("request failed: a frame from the engine can't be read")
+          .with("request", command.request())
+          .error(e);
     }
     calls.remove(command.call());
     events.accept(new InstanceEvent.CallerGone(command.call()));
   }
 
-  /** Carries out {@link InstanceCommand.FinishStream}. */
-  public void finish(InstanceCommand.FinishStream command) {
+  /** Executes {@link InstanceCommand.FinishStream}. */
+  public void finishStream(InstanceCommand.FinishStream command) {
     CallerAnswer answer = calls.remove(command.call());
     if (answer != null) {
       answer.finish(command.request(), command.usage());
     }
   }
 
-  /** Carries out {@link InstanceCommand.BreakStream}. */
-  public void breakOff(InstanceCommand.BreakStream command) {
+  /** Executes {@link InstanceCommand.BreakStream}. */
+  public void breakStream(InstanceCommand.BreakStream command) {
     CallerAnswer answer = calls.remove(command.call());
     if (answer != null) {
-      answer.breakOff(command.request(), command.problem());
+      answer.fail(command.request(), command.problem());
       logProblem(command.request(), command.problem());
     }
   }
 
-  /** Carries out {@link InstanceCommand.AnswerPlain}. */
+  /** Executes {@link InstanceCommand.AnswerPlain}. */
   public void answerPlain(InstanceCommand.AnswerPlain command) {
     CallerAnswer answer = calls.remove(command.call());
     if (answer != null) {
-      answer.answer(command.request(), command.status(), command.contentType(), command.body());
+      answer.respond(command.request(), command.status(), command.contentType(), command.body());
     }
   }
 
-  private void take(HttpExchange exchange, ReadRequest request) {
-    CallId call = new CallId(lastCall.incrementAndGet());
-    calls.put(call, answerFor(exchange, request.payload()));
+  private void submit(HttpExchange exchange, ParsedRequest request) {
+    CallId call = new CallId(lastCallId.incrementAndGet());
+    calls.put(call, createAnswer(exchange, request.payload()));
     events.accept(
         new InstanceEvent.CallerRequest(
             call,
@@ -126,7 +129,8 @@
             request.idempotencyKey(),
             request.timeout(),
             request.payload()));
-    // Only now: the instance must not hear that a caller is gone before it hears of its request.
+    // Registered last, so that the instance never receives the event that a caller is gone before
+    // it receives the request of that caller.
     exchange.onCallerGone(() -> callerGone(call));
   }
 
@@ -136,23 +140,23 @@
     }
   }
 
-  private CallerAnswer answerFor(HttpExchange exchange, Payload payload) {
+  private CallerAnswer createAnswer(HttpExchange exchange, Payload payload) {
     return payload instanceof Payload.ModelCall model && model.stream()
-        ? new StreamedAnswer(exchange, limits.streamBuffer())
-        : new GatheredAnswer(exchange, limits.answer());
+        ? new StreamedAnswer(exchange, limits.maxStreamBufferBytes())
+        : new AggregatedAnswer(exchange, limits.maxAnswerBytes());
   }
 
-  private void turnAway(HttpExchange exchange, Problem problem) {
-    count(problem.kind());
+  private void reject(HttpExchange exchange, Problem problem) {
+    countRejection(problem.kind());
     ProblemAnswer.send(exchange, problem, Optional.empty());
   }
 
-  private void count(ErrorKind kind) {
+  private void countRejection(ErrorKind kind) {
     metrics.counter("turned_away_" + kind.label().replace('-', '_')).inc();
   }
 
   private static void logProblem(RequestId request, Problem problem) {
-    LogLine.of("caller given an error")
+    LogLine.of("error sent to caller")
         .with("request", request)
         .with("error", problem.kind().label())
         .with("detail", problem.detail())
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/caller/ChatCompletion.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/caller/ChatCompletion.java
@@ -7,24 +7,33 @@
 import org.teaseldeal.core.Payload;
 import org.teaseldeal.router.json.Json;
 
-/** A chat completion request: the service asked for, and what an engine is to be given. */
+/**
+ * A parsed chat completion request.
+ *
+ * @param model the name of the requested service
+ * @param payload the request to send to an engine
+ */
 record ChatCompletion(String model, Payload.ModelCall payload) {
-  /** Tokens of a chat template around one message: role markers, separators. */
+  /** The tokens that a chat template adds to a message, such as role markers and separators. */
   private static final long TOKENS_PER_MESSAGE = 16;
 
-  /** Tokens of a chat template around all messages, such as a default system prompt. */
+  /** The tokens that a chat template adds to a request, such as a default system prompt. */
   private static final long TOKENS_PER_REQUEST = 64;
 
   /**
-   * Fields that would have an engine make more answers than the output cap counts, or build a
-   * longer prompt than the messages bound.
+   * Fields that are refused, because they would make an engine generate more tokens than the output
+   * limit accounts for, or build a prompt longer than the bound computed from the messages.
    */
-  private static final List<String> REFUSED =
+  private static final List<String> UNSUPPORTED_FIELDS =
       List.of("best_of", "use_beam_search", "chat_template", "chat_template_kwargs", "documents");
 
   private static final long MAX_OUTPUT_TOKENS = 100_000_000;
 
-  /** Reads a request's body; throws {@link IllegalArgumentException} with what is wrong. */
+  /**
+   * Parses the body of a request.
+   *
+   * @throws IllegalArgumentException if the body is malformed; the message is sent to the caller
+   */
   static ChatCompletion read(byte[] body) {
     ObjectNode request;
     try {
@@ -34,14 +43,17 @@
     }
     checkFields(request);
     String model = request.get("model").asText();
-    OptionalLong cap = maxTokens(request);
+    OptionalLong outputLimit = maxTokens(request);
     boolean stream = request.path("stream").asBoolean(false);
     long bound = inputTokenBound(request);
     return new ChatCompletion(
-        model, new Payload.ModelCall(engineBody(request), bound, cap, stream));
+        model, new Payload.ModelCall(engineBody(request), bound, outputLimit, stream));
   }
 
-  /** Puts the engine's model name and the output cap into a body made by {@link #read}. */
+  /**
+   * Returns the body for an engine: the request without model and output limit, which are inserted
+   * when an attempt starts, and with streaming of frames and usage switched on.
+   */
   private static byte[] engineBody(ObjectNode request) {
     request.remove(List.of("model", "max_tokens", "max_completion_tokens"));
     request.put("stream", true);
@@ -62,7 +74,7 @@
     if (request.hasNonNull("n") && request.get("n").asLong(0) != 1) {
       throw new IllegalArgumentException("n was not 1, expected one answer");
     }
-    for (String field : REFUSED) {
+    for (String field : UNSUPPORTED_FIELDS) {
       if (request.hasNonNull(field)) {
         throw new IllegalArgumentException("%s is not supported".formatted(field));
       }
@@ -78,7 +90,7 @@
       return;
     }
     for (JsonNode part : content) {
-      // The bytes of a link or picture say nothing about the tokens that it becomes.
+      // The size of a link or an image in bytes doesn't bound the number of its tokens.
       if (!part.path("type").asText("").equals("text")) {
         throw new IllegalArgumentException("a message has a part that is not of type text");
       }
@@ -92,15 +104,15 @@
   }
 
   private static OptionalLong maxTokens(ObjectNode request) {
-    OptionalLong old = tokens(request, "max_tokens");
-    OptionalLong current = tokens(request, "max_completion_tokens");
-    if (old.isPresent() && current.isPresent() && old.getAsLong() != current.getAsLong()) {
+    OptionalLong legacy = tokenLimit(request, "max_tokens");
+    OptionalLong current = tokenLimit(request, "max_completion_tokens");
+    if (legacy.isPresent() && current.isPresent() && legacy.getAsLong() != current.getAsLong()) {
       throw new IllegalArgumentException("max_tokens and max_completion_tokens differ");
     }
-    return current.isPresent() ? current : old;
+    return current.isPresent() ? current : legacy;
   }
 
-  private static OptionalLong tokens(ObjectNode request, String field) {
+  private static OptionalLong tokenLimit(ObjectNode request, String field) {
     if (!request.hasNonNull(field)) {
       return OptionalLong.empty();
     }
@@ -116,8 +128,9 @@
   }
 
   /**
-   * Bounds the engine's count from above: a token covers at least one byte of the text, which comes
-   * from the messages and from structured fields such as tools.
+   * Returns an upper bound of the input tokens that an engine counts. A token covers at least one
+   * byte of the prompt, whose text comes from the messages and from structured fields such as
+   * tools.
    */
   private static long inputTokenBound(ObjectNode request) {
     long bytes = TOKENS_PER_REQUEST + TOKENS_PER_MESSAGE * request.get("messages").size();
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/caller/ProblemAnswer.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/caller/ProblemAnswer.java
@@ -12,14 +12,14 @@
 import org.teaseldeal.net.HttpRejection;
 import org.teaseldeal.router.json.Json;
 
-/** Turns a {@link Problem} into the answer that its caller sees. */
+/** Converts a {@link Problem} to the HTTP answer that is sent to the caller. */
 public final class ProblemAnswer {
   private static final String CONTENT_TYPE = "application/problem+json";
   private static final long MILLIS_PER_SECOND = 1_000;
 
   private ProblemAnswer() {}
 
-  /** The whole answer. */
+  /** Returns the answer with its headers and body. */
   public static HttpAnswer of(Problem problem, Optional<RequestId> request) {
     Map<String, String> headers = new LinkedHashMap<>();
     headers.put("Content-Type", CONTENT_TYPE);
@@ -34,7 +34,7 @@
     return new HttpAnswer(problem.kind().status(), headers, Json.bytes(json(problem, request)));
   }
 
-  /** The answer's body. */
+  /** Returns the body of the answer. */
   static ObjectNode json(Problem problem, Optional<RequestId> request) {
     ErrorKind kind = problem.kind();
     ObjectNode body =
@@ -55,7 +55,7 @@
     exchange.respond(answer.status(), answer.headers(), answer.body());
   }
 
-  /** Answers a request whose method isn't served at its path. */
+  /** Answers a request whose method is not supported at its path. */
   public static void sendNotAllowed(HttpExchange exchange, String allowed) {
     HttpAnswer answer =
         of(
@@ -68,7 +68,7 @@
     exchange.respond(answer.status(), headers, answer.body());
   }
 
-  /** The problem that stands for a request which the server turned away. */
+  /** Returns the problem that describes why the server rejected a request. */
   public static Problem ofRejection(HttpRejection rejection) {
     return switch (rejection) {
       case MALFORMED -> Problem.of(ErrorKind.MALFORMED_REQUEST, "this is not HTTP/1.1");
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/caller/RequestReader.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/caller/RequestReader.java
@@ -12,20 +12,20 @@
 import org.teaseldeal.core.Payload;
 import org.teaseldeal.net.HttpExchange;
 
-/** Understands callers' requests, or says exactly why not. */
+/** Parses the requests of callers, or returns the problem that makes a request invalid. */
 final class RequestReader {
   static final String CHAT_COMPLETIONS = "/v1/chat/completions";
 
-  private static final Pattern PLAIN_SERVICE =
+  private static final Pattern PLAIN_SERVICE_PATH =
       Pattern.compile("/services/([a-z0-9][a-z0-9._-]{0,62})/([a-z0-9][a-z0-9._-]{0,62})([/?].*)?");
-  private static final Pattern KEY = Pattern.compile("[\\x21-\\x7e]{1,255}");
+  private static final Pattern IDEMPOTENCY_KEY = Pattern.compile("[\\x21-\\x7e]{1,255}");
   private static final Pattern MILLIS = Pattern.compile("[0-9]{1,9}");
   private static final Duration SHORTEST_TIMEOUT = Duration.ofMillis(1);
   private static final String BEARER = "bearer ";
 
   private RequestReader() {}
 
-  static Result<ReadRequest> read(HttpExchange exchange) {
+  static Result<ParsedRequest> read(HttpExchange exchange) {
     try {
       return route(exchange);
     } catch (IllegalArgumentException e) {
@@ -33,49 +33,52 @@
     }
   }
 
-  private static Result<ReadRequest> route(HttpExchange exchange) {
+  private static Result<ParsedRequest> route(HttpExchange exchange) {
     String path = exchange.path();
     if (withoutQuery(path).equals(CHAT_COMPLETIONS)) {
       return Result.ok(chatCompletion(exchange));
     }
-    Matcher plain = PLAIN_SERVICE.matcher(path);
+    Matcher plain = PLAIN_SERVICE_PATH.matcher(path);
     if (!plain.matches()) {
       return Result.err(Problem.of(ErrorKind.UNKNOWN_SERVICE, "nothing is served at this path"));
     }
     return Result.ok(plainCall(exchange, plain));
   }
 
-  private static ReadRequest chatCompletion(HttpExchange exchange) {
+  private static ParsedRequest chatCompletion(HttpExchange exchange) {
     ChatCompletion chat = ChatCompletion.read(exchange.body());
     return request(exchange, chat.model(), chat.payload());
   }
 
-  private static ReadRequest plainCall(HttpExchange exchange, Matcher path) {
-    String rest = Optional.ofNullable(path.group(3)).orElse("/");
+  private static ParsedRequest plainCall(HttpExchange exchange, Matcher path) {
+    String subPath = Optional.ofNullable(path.group(3)).orElse("/");
     Payload payload =
         new Payload.PlainCall(
             exchange.method(),
-            rest.startsWith("/") ? rest : "/" + rest,
+            subPath.startsWith("/") ? subPath : "/" + subPath,
             exchange.header("Content-Type").orElse(""),
             exchange.body());
     return request(exchange, path.group(1) + "/" + path.group(2), payload);
   }
 
-  private static ReadRequest request(HttpExchange exchange, String service, Payload payload) {
-    return new ReadRequest(
+  private static ParsedRequest request(HttpExchange exchange, String service, Payload payload) {
+    return new ParsedRequest(
         exchange.header("Authorization").flatMap(RequestReader::bearerToken),
         service,
-        exchange.header("Idempotency-Key").map(RequestReader::key),
-        exchange.header("Request-Timeout-Ms").map(header -> timeLeft(header, exchange)),
+        exchange.header("Idempotency-Key").map(RequestReader::idempotencyKey),
+        exchange.header("Request-Timeout-Ms").map(header -> remainingTimeout(header, exchange)),
         payload);
   }
 
-  /** The methods that are served at a request's path, if its own is not among them. */
-  static Optional<String> allowedInstead(HttpExchange exchange) {
+  /**
+   * Returns the methods that are supported at the request's path, if its own method is not among
+   * them; otherwise empty.
+   */
+  static Optional<String> allowedMethodsOnMismatch(HttpExchange exchange) {
     if (withoutQuery(exchange.path()).equals(CHAT_COMPLETIONS)) {
       return Optional.of("POST").filter(allowed -> !allowed.equals(exchange.method()));
     }
-    // Of a plain service any method is passed on, but this one asks for a tunnel.
+    // Every other method is forwarded to a plain service; CONNECT asks for a tunnel instead.
     return exchange.method().equals("CONNECT")
         ? Optional.of("GET, HEAD, POST, PUT, PATCH, DELETE, OPTIONS")
         : Optional.empty();
@@ -89,8 +92,8 @@
     return secret.isEmpty() ? Optional.empty() : Optional.of(new BearerToken(secret));
   }
 
-  private static String key(String header) {
-    if (!KEY.matcher(header).matches()) {
+  private static String idempotencyKey(String header) {
+    if (!IDEMPOTENCY_KEY.matcher(header).matches()) {
       throw new IllegalArgumentException(
           "Idempotency-Key was %d characters long, expected 1 to 255 visible ASCII characters"
               .formatted(header.length()));
@@ -98,10 +101,13 @@
     return header;
   }
 
-  /** The caller counts from when it sent the head; a large body may have taken a while since. */
-  private static Duration timeLeft(String header, HttpExchange exchange) {
-    Duration left = timeout(header).minus(exchange.sinceHead());
-    return left.compareTo(SHORTEST_TIMEOUT) < 0 ? SHORTEST_TIMEOUT : left;
+  /**
+   * Returns the part of the caller's time-out that is left. The time-out runs from the moment when
+   * the caller sent the head of its request; receiving a large body may have used up part of it.
+   */
+  private static Duration remainingTimeout(String header, HttpExchange exchange) {
+    Duration remaining = timeout(header).minus(exchange.sinceHead());
+    return remaining.compareTo(SHORTEST_TIMEOUT) < 0 ? SHORTEST_TIMEOUT : remaining;
   }
 
   private static Duration timeout(String header) {
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/caller/StreamedAnswer.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/caller/StreamedAnswer.java
@@ -12,20 +12,20 @@
 import org.teaseldeal.net.ResponseStream;
 import org.teaseldeal.router.json.Json;
 
-/** An answer as server-sent events. */
+/** An answer that is streamed to the caller as server-sent events. */
 final class StreamedAnswer extends CallerAnswer {
-  private final int buffer;
+  private final int maxPendingBytes;
   private @Nullable ResponseStream stream;
 
-  StreamedAnswer(HttpExchange exchange, int buffer) {
+  StreamedAnswer(HttpExchange exchange, int maxPendingBytes) {
     super(exchange);
-    this.buffer = buffer;
+    this.maxPendingBytes = maxPendingBytes;
   }
 
   @Override
-  boolean frame(RequestId request, byte[] data) {
-    ResponseStream out = started(request);
-    if (out.pendingBytes() + data.length > buffer) {
+  boolean writeFrame(RequestId request, byte[] data) {
+    ResponseStream out = startedStream(request);
+    if (out.pendingBytes() + data.length > maxPendingBytes) {
       out.abort();
       return false;
     }
@@ -35,7 +35,7 @@
 
   @Override
   void finish(RequestId request, Usage usage) {
-    ResponseStream out = started(request);
+    ResponseStream out = startedStream(request);
     out.write(
         event("", new String(Json.bytes(usageChunk(request, usage)), StandardCharsets.UTF_8)));
     out.write(event("", "[DONE]"));
@@ -43,7 +43,7 @@
   }
 
   @Override
-  void breakOff(RequestId request, Problem problem) {
+  void fail(RequestId request, Problem problem) {
     if (stream == null) {
       refuse(request, problem);
       return;
@@ -55,7 +55,7 @@
     stream.abort();
   }
 
-  private ResponseStream started(RequestId request) {
+  private ResponseStream startedStream(RequestId request) {
     if (stream == null) {
       stream =
           exchange()
@@ -76,7 +76,7 @@
     ObjectNode chunk =
         Json.object().put("id", request.value()).put("object", "chat.completion.chunk");
     chunk.putArray("choices");
-    chunk.set("usage", GatheredAnswer.usage(usage));
+    chunk.set("usage", AggregatedAnswer.usageObject(usage));
     return chunk;
   }
 
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/caller/package-info.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/caller/package-info.java
@@ -1,4 +1,4 @@
-/** Callers' requests in, their answers out. */
+/** The HTTP interface for callers: parsing their requests and writing their answers. */
 @NullMarked
 package org.teaseldeal.router.caller;
 
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/instance/CoreInstance.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/instance/CoreInstance.java
@@ -10,12 +10,12 @@
 import org.teaseldeal.core.event.InstanceEvent;
 import org.teaseldeal.ledger.StreamId;
 
-/** An {@link InstanceCore} as the router sees it. */
+/** Adapts an {@link InstanceCore} to the interface that the router uses. */
 public final class CoreInstance implements Instance {
   private final InstanceConfig config;
   private final InstanceCore core;
 
-  /** Wraps {@code core}, which was made from {@code config}. */
+  /** Wraps {@code core}, which was created from {@code config}. */
   public CoreInstance(InstanceConfig config, InstanceCore core) {
     this.config = config;
     this.core = core;
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/instance/Instance.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/instance/Instance.java
@@ -5,26 +5,28 @@
 import org.teaseldeal.core.command.InstanceCommand;
 import org.teaseldeal.core.event.InstanceEvent;
 
-/** What the router needs of an instance's core; used by one thread only. */
+/** The operations of an instance's core that the router uses. Not thread-safe. */
 public interface Instance {
-  /** Takes in one event. */
+  /** Handles one event. */
   void handle(InstanceEvent event);
 
-  /** Runs every system once. */
+  /** Runs every system of the core once. */
   void tick();
 
-  /** Takes the commands given since the last call, in the order to carry them out. */
+  /** Removes and returns the commands issued since the last call, in their order of execution. */
   List<InstanceCommand> drainCommands();
 
-  /** Whether new requests are taken. */
+  /** Whether the instance accepts new requests. */
   boolean ready();
 
-  /** Whether new requests are taken, and how far the instance has read. */
+  /**
+   * Returns whether the instance accepts new requests, and how far it has read the log's streams.
+   */
   Readiness readiness();
 
-  /** A copy of every table, as a record. */
+  /** Returns a copy of every table of the core, as a record that can be written as JSON. */
   Object dump();
 
-  /** The counters by name. */
+  /** Returns the counters by name. */
   SortedMap<String, Long> counters();
 }
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/instance/InstanceLoop.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/instance/InstanceLoop.java
@@ -16,29 +16,35 @@
 import org.teaseldeal.core.event.InstanceEvent;
 
 /**
- * The one thread on which an instance runs.
+ * The event loop of an instance, which runs on a single thread.
  *
- * <p>Any thread hands events in. They are handled in that order, in batches; after each batch, and
- * at least every tick interval, the instance ticks and its commands are carried out here.
+ * <p>Any thread may submit events. They are handled in order of submission, in batches. After each
+ * batch, and at least once per tick interval, the loop ticks the instance and executes the commands
+ * that the instance issued.
  */
 public final class InstanceLoop implements Consumer<InstanceEvent>, AutoCloseable {
-  /** Bounds how long commands wait while events keep coming. */
-  private static final int MAX_BATCH = 256;
+  /**
+   * The number of tasks that a batch may hold besides its first one. The limit bounds how long
+   * commands wait for their execution while new events keep arriving.
+   */
+  private static final int MAX_EXTRA_TASKS_PER_BATCH = 256;
 
-  private static final Duration STOP_BOUND = Duration.ofSeconds(2);
+  private static final Duration STOP_TIMEOUT = Duration.ofSeconds(2);
 
   private final BlockingQueue<Runnable> tasks = new LinkedBlockingQueue<>();
   private final Instance instance;
   private final Consumer<InstanceCommand> commands;
-  private final long intervalNanos;
-  private final Timer ticks;
+  private final long tickIntervalNanos;
+  private final Timer tickTimer;
   private final Counter failures;
   private final Thread thread;
   private volatile boolean ready;
   private volatile boolean closed;
   private volatile long lastTickNanos = System.nanoTime();
 
-  /** Creates the loop; {@link #start} runs it. */
+  /**
+   * Creates a loop that {@link #start} starts; {@code commands} executes the instance's commands.
+   */
   public InstanceLoop(
       Instance instance,
       Consumer<InstanceCommand> commands,
@@ -46,14 +52,14 @@
       MetricRegistry metrics) {
     this.instance = instance;
     this.commands = commands;
-    this.intervalNanos = tickInterval.toNanos();
-    this.ticks = metrics.timer("tick");
+    this.tickIntervalNanos = tickInterval.toNanos();
+    this.tickTimer = metrics.timer("tick");
     this.failures = metrics.counter("core_failures");
     metrics.gauge("events_waiting", () -> tasks::size);
     this.thread = Thread.ofPlatform().name("core").daemon(true).unstarted(this::run);
   }
 
-  /** Starts the thread. */
+  /** Starts the thread of the loop. */
   public void start() {
     thread.start();
   }
@@ -63,13 +69,13 @@
     tasks.add(() -> instance.handle(event));
   }
 
-  /** Asks something of the instance on its thread. */
-  public <T> CompletableFuture<T> ask(Function<Instance, T> question) {
+  /** Applies {@code query} to the instance on the loop's thread and returns its result. */
+  public <T> CompletableFuture<T> query(Function<Instance, T> query) {
     CompletableFuture<T> answer = new CompletableFuture<>();
     tasks.add(
         () -> {
           try {
-            answer.complete(question.apply(instance));
+            answer.complete(query.apply(instance));
           } catch (RuntimeException e) {
             answer.completeExceptionally(e);
           }
@@ -77,23 +83,23 @@
     return answer;
   }
 
-  /** Whether the instance took new requests at its last tick. */
+  /** Whether the instance accepted new requests at its last tick. */
   public boolean ready() {
     return ready;
   }
 
-  /** How long ago the last tick ended. */
+  /** Returns the time since the end of the last tick. */
   public Duration sinceLastTick() {
     return Duration.ofNanos(System.nanoTime() - lastTickNanos);
   }
 
-  /** Ends the thread after what it is at. */
+  /** Stops the thread after its current batch and waits for it, up to a time-out. */
   @Override
   public void close() {
     closed = true;
     tasks.add(() -> {});
     try {
-      thread.join(STOP_BOUND);
+      thread.join(STOP_TIMEOUT);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -102,20 +108,20 @@
   private void run() {
     while (!closed) {
       handleBatch();
-      guarded(this::tick);
+      runGuarded(this::tick);
     }
   }
 
   private void handleBatch() {
     Runnable task = awaitTask();
     for (int i = 0; task != null; i++) {
-      guarded(task);
-      task = i < MAX_BATCH ? tasks.poll() : null;
+      runGuarded(task);
+      task = i < MAX_EXTRA_TASKS_PER_BATCH ? tasks.poll() : null;
     }
   }
 
   private @Nullable Runnable awaitTask() {
-    long wait = Math.max(0, lastTickNanos + intervalNanos - System.nanoTime());
+    long wait = Math.max(0, lastTickNanos + tickIntervalNanos - System.nanoTime());
     try {
       return tasks.poll(wait, TimeUnit.NANOSECONDS);
     } catch (InterruptedException e) {
@@ -126,27 +132,30 @@
   }
 
   private void tick() {
-    try (Timer.Context timing = ticks.time()) {
+    try (Timer.Context timing = tickTimer.time()) {
       instance.tick();
     } finally {
       lastTickNanos = System.nanoTime();
     }
     for (InstanceCommand command : instance.drainCommands()) {
-      guarded(() -> commands.accept(command));
+      runGuarded(() -> commands.accept(command));
     }
     ready = instance.ready();
   }
 
   /**
-   * Runs one step so that its failure ends neither the thread nor the steps after it: without it a
-   * single request could stop an instance that holds streams of many others.
+   * Runs {@code step} and logs its exception, if it throws one, instead of passing it on.
+   *
+   * <p>An exception would otherwise end the thread. A single faulty request could then stop the
+   * instance, and break the streams of all other requests that it serves.
    */
-  private void guarded(Runnable step) {
+  private void runGuarded(Runnable step) {
     try {
       step.run();
     } catch (RuntimeException e) {
       failures.inc();
-      LogLine.of("a step of the core failed").error(e);
+      LogLine.of("a step of the instance's event loop failed; continuing with the next one")
+          .error(e);
     }
   }
 }
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/instance/package-info.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/instance/package-info.java
@@ -1,4 +1,4 @@
-/** The one thread that runs an instance's core, and the door to it. */
+/** The single-threaded event loop that runs the core of an instance. */
 @NullMarked
 package org.teaseldeal.router.instance;
 
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/json/Json.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/json/Json.java
@@ -17,13 +17,16 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** Reads JSON with bounds on its depth and numbers, and writes it. */
+/** Reads JSON within limits on nesting depth and on the length of names and numbers; writes it. */
 public final class Json {
   private static final int MAX_DEPTH = 64;
   private static final int MAX_NAME_LENGTH = 1_000;
   private static final int MAX_NUMBER_LENGTH = 100;
 
-  /** Repeated keys are refused: two readers of one text could each believe another of them. */
+  /**
+   * Refuses duplicate keys. Two parsers of the same text could otherwise each use a different one
+   * of the values.
+   */
   private static final ObjectMapper MAPPER =
       JsonMapper.builder(
               JsonFactory.builder()
@@ -37,7 +40,7 @@
                   .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
                   .build())
           .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
-          // What is passed on has to be the same number, digit for digit.
+          // Numbers that are forwarded must stay the same, digit for digit.
           .enable(DeserializationFeature.USE_BIG_DECIMAL_FOR_FLOATS)
           .disable(JsonNodeFeature.STRIP_TRAILING_BIGDECIMAL_ZEROES)
           .addModule(
@@ -48,18 +51,23 @@
 
   private Json() {}
 
-  /** A new object. */
+  /** Creates an empty object. */
   public static ObjectNode object() {
     return MAPPER.createObjectNode();
   }
 
-  /** Reads an object; throws {@link IllegalArgumentException} with what is wrong and where. */
+  /**
+   * Reads an object.
+   *
+   * @throws IllegalArgumentException if {@code text} is not one JSON object within the limits; the
+   *     message says what is wrong, and where
+   */
   public static ObjectNode readObject(byte[] text) {
     JsonNode node;
     try {
       node = MAPPER.readTree(text);
     } catch (JsonProcessingException e) {
-      throw new IllegalArgumentException(explain(e), e);
+      throw new IllegalArgumentException(describe(e), e);
     } catch (IOException e) {
       throw new IllegalArgumentException("not readable: " + e.getMessage(), e);
     }
@@ -69,7 +77,7 @@
     throw new IllegalArgumentException("not a JSON object");
   }
 
-  /** Writes a node without spaces. */
+  /** Writes a node without white space between tokens. */
   public static byte[] bytes(JsonNode node) {
     try {
       return MAPPER.writeValueAsBytes(node);
@@ -78,13 +86,13 @@
     }
   }
 
-  /** Writes a record as a tree. */
+  /** Converts a record to a tree of JSON nodes. */
   public static JsonNode tree(Object value) {
     return MAPPER.valueToTree(value);
   }
 
-  /** The message repeats none of the text, which may be a prompt. */
-  private static String explain(JsonProcessingException e) {
+  /** Describes an error without quoting the text, which may contain a prompt. */
+  private static String describe(JsonProcessingException e) {
     return e.getLocation() == null
         ? "not JSON"
         : "not JSON within the bounds, at line %d, column %d"
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/json/package-info.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/json/package-info.java
@@ -1,4 +1,4 @@
-/** Reading and writing JSON with bounds. */
+/** Reading JSON within limits, and writing it. */
 @NullMarked
 package org.teaseldeal.router.json;
 
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/package-info.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/package-info.java
@@ -1,4 +1,4 @@
-/** The router daemon: its command line, and the wiring of its parts. */
+/** The router daemon: its command line, its process and the wiring of its components. */
 @NullMarked
 package org.teaseldeal.router;
 
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/peer/PeerLink.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/peer/PeerLink.java
@@ -29,17 +29,18 @@
 import org.teaseldeal.net.NetRuntime;
 
 /**
- * The outgoing connection to one other instance, replaced whenever it fails or goes silent.
+ * Sends envelopes to one other instance over a TCP connection, which is replaced whenever it fails
+ * or becomes silent.
  *
- * <p>What was handed to a connection that then failed is lost, as is the oldest of what waits for a
- * connection for too long: every message is repeated by the instance itself or is outdated by the
- * next one.
+ * <p>Envelopes that were written to a connection that then failed are lost. While there is no
+ * connection, envelopes are queued, and the oldest are dropped when the queue is full. Both losses
+ * are harmless, because the instance repeats every message or supersedes it by the next one.
  */
 final class PeerLink {
-  private static final int LENGTH_BYTES = 4;
-  private static final int MAX_WAITING = 1024;
-  private static final int MAX_WAITING_BYTES = 8 << 20;
-  private static final int CONNECT_TIMEOUT_MILLIS = 1000;
+  private static final int LENGTH_PREFIX_BYTES = 4;
+  private static final int MAX_QUEUED_ENVELOPES = 1024;
+  private static final int MAX_QUEUED_BYTES = 8 << 20;
+  private static final int CONNECT_TIMEOUT_MS = 1000;
 
   private final EventLoop loop = NetRuntime.group().next();
   private final InetSocketAddress address;
@@ -47,12 +48,12 @@
   private final RandomGenerator random;
   private final Counter dropped;
   private final Counter reconnects;
-  private final Runnable whenUnused;
+  private final Runnable onIdleClose;
 
-  /** Everything below is touched on the loop only. */
-  private final Deque<byte[]> waiting = new ArrayDeque<>();
+  /** The envelopes to send. This field and those below are accessed by {@code loop} only. */
+  private final Deque<byte[]> queue = new ArrayDeque<>();
 
-  private long waitingBytes;
+  private long queuedBytes;
   private @Nullable Channel channel;
   private boolean connecting;
   private boolean closed;
@@ -65,13 +66,13 @@
       RandomGenerator random,
       Counter dropped,
       Counter reconnects,
-      Runnable whenUnused) {
+      Runnable onIdleClose) {
     this.address = address;
     this.timings = timings;
     this.random = random;
     this.dropped = dropped;
     this.reconnects = reconnects;
-    this.whenUnused = whenUnused;
+    this.onIdleClose = onIdleClose;
     this.backoff = timings.firstBackoff();
   }
 
@@ -85,8 +86,8 @@
 
   private void closeNow() {
     closed = true;
-    waiting.clear();
-    waitingBytes = 0;
+    queue.clear();
+    queuedBytes = 0;
     if (channel != null) {
       channel.close();
     }
@@ -98,10 +99,10 @@
       return;
     }
     lastUseNanos = System.nanoTime();
-    waiting.addLast(envelope);
-    waitingBytes += envelope.length;
-    while (waiting.size() > MAX_WAITING || waitingBytes > MAX_WAITING_BYTES) {
-      waitingBytes -= waiting.removeFirst().length;
+    queue.addLast(envelope);
+    queuedBytes += envelope.length;
+    while (queue.size() > MAX_QUEUED_ENVELOPES || queuedBytes > MAX_QUEUED_BYTES) {
+      queuedBytes -= queue.removeFirst().length;
       dropped.inc();
     }
     flushOrConnect();
@@ -116,9 +117,9 @@
   }
 
   private void flush(Channel out) {
-    while (out.isWritable() && !waiting.isEmpty()) {
-      byte[] next = waiting.removeFirst();
-      waitingBytes -= next.length;
+    while (out.isWritable() && !queue.isEmpty()) {
+      byte[] next = queue.removeFirst();
+      queuedBytes -= next.length;
       out.write(Unpooled.wrappedBuffer(next));
     }
     out.flush();
@@ -130,27 +131,32 @@
         .group(loop)
         .channel(NioSocketChannel.class)
         .option(ChannelOption.TCP_NODELAY, true)
-        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
+        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
         .handler(
             new ChannelInitializer<SocketChannel>() {
               @Override
               protected void initChannel(SocketChannel socket) {
-                prepare(socket);
+                configurePipeline(socket);
               }
             })
         .connect(address)
         .addListener((ChannelFutureListener) this::connected);
   }
 
-  private void prepare(SocketChannel socket) {
+  private void configurePipeline(SocketChannel socket) {
     socket
         .pipeline()
-        .addLast(new IdleStateHandler(timings.silence().toMillis(), 0, 0, TimeUnit.MILLISECONDS))
+        .addLast(
+            new IdleStateHandler(timings.silenceTimeout().toMillis(), 0, 0, TimeUnit.MILLISECONDS))
         .addLast(
             new LengthFieldBasedFrameDecoder(
-                Envelopes.MAX_BYTES + LENGTH_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES))
-        .addLast(new LengthFieldPrepender(LENGTH_BYTES))
-        .addLast(new Watcher());
+                EnvelopeCodec.MAX_ENVELOPE_BYTES + LENGTH_PREFIX_BYTES,
+                0,
+                LENGTH_PREFIX_BYTES,
+                0,
+                LENGTH_PREFIX_BYTES))
+        .addLast(new LengthFieldPrepender(LENGTH_PREFIX_BYTES))
+        .addLast(new ConnectionHandler());
   }
 
   private void connected(ChannelFuture done) {
@@ -160,20 +166,24 @@
       return;
     }
     if (!done.isSuccess()) {
-      reconnectLater();
+      scheduleReconnect();
       return;
     }
     Channel connected = done.channel();
     channel = connected;
-    // A timer of its own: messages alone, however often, bring no sign of life.
-    Future<?> probing =
+    // Probes are sent at a fixed rate, also while messages are sent: only probes are answered, so
+    // only they show that the connection works.
+    Future<?> probeTimer =
         loop.scheduleAtFixedRate(
-            () -> probe(connected), 0, timings.probe().toNanos(), TimeUnit.NANOSECONDS);
+            () -> probeOrCloseIdle(connected),
+            0,
+            timings.probeInterval().toNanos(),
+            TimeUnit.NANOSECONDS);
     connected
         .closeFuture()
         .addListener(
             gone -> {
-              probing.cancel(false);
+              probeTimer.cancel(false);
               disconnected();
             });
     flush(connected);
@@ -181,13 +191,16 @@
 
   private void disconnected() {
     channel = null;
-    if (!closed && !waiting.isEmpty()) {
-      reconnectLater();
+    if (!closed && !queue.isEmpty()) {
+      scheduleReconnect();
     }
   }
 
-  /** Half of the pause is by chance, so that a fleet doesn't come back all at once. */
-  private void reconnectLater() {
+  /**
+   * Schedules a reconnection after the back-off, whose second half is random so that the instances
+   * of a fleet don't all reconnect at the same moment.
+   */
+  private void scheduleReconnect() {
     reconnects.inc();
     connecting = true;
     long half = backoff.toNanos() / 2;
@@ -198,26 +211,26 @@
 
   private void reconnect() {
     connecting = false;
-    if (!closed && !waiting.isEmpty()) {
+    if (!closed && !queue.isEmpty()) {
       connect();
     }
   }
 
-  /** Sends an empty frame, which the other side answers by one; or closes what nobody uses. */
-  private void probe(Channel out) {
-    if (unused()) {
+  /** Sends an empty frame, which the peer answers with one, or closes an idle connection. */
+  private void probeOrCloseIdle(Channel out) {
+    if (isIdle()) {
       closeNow();
-      whenUnused.run();
+      onIdleClose.run();
     } else if (out.isWritable()) {
       out.writeAndFlush(Unpooled.EMPTY_BUFFER);
     }
   }
 
-  private boolean unused() {
-    return System.nanoTime() - lastUseNanos > timings.unused().toNanos();
+  private boolean isIdle() {
+    return System.nanoTime() - lastUseNanos > timings.idleTimeout().toNanos();
   }
 
-  private final class Watcher extends SimpleChannelInboundHandler<ByteBuf> {
+  private final class ConnectionHandler extends SimpleChannelInboundHandler<ByteBuf> {
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
       backoff = timings.firstBackoff();
@@ -226,8 +239,8 @@
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
       if (event instanceof IdleStateEvent) {
-        // Messages go out and no sign of life comes back: something between the two ends has lost
-        // track of this connection, while a new one may work.
+        // The peer answers no probe any more. A device on the network path may have dropped the
+        // state of this connection, in which case a new connection still works.
         ctx.close();
       }
     }
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/peer/PeerSender.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/peer/PeerSender.java
@@ -9,7 +9,7 @@
 import org.teaseldeal.core.command.InstanceCommand;
 import org.teaseldeal.net.IpAddresses;
 
-/** Sends messages to other instances, over one connection for each address. */
+/** Sends messages to other instances, over one connection per address. */
 public final class PeerSender implements AutoCloseable {
   private final Map<String, PeerLink> links = new ConcurrentHashMap<>();
   private final IncarnationId self;
@@ -29,16 +29,21 @@
     metrics.gauge("peer_links", () -> links::size);
   }
 
-  /** Sends a message, which may get lost. */
+  /**
+   * Sends a message, which may get lost.
+   *
+   * @throws IllegalArgumentException if the message exceeds the size limit; it is counted as
+   *     dropped
+   */
   public void send(InstanceCommand.SendPeer command) {
-    byte[] envelope = Envelopes.write(self, command.message());
-    if (envelope.length > Envelopes.MAX_BYTES) {
+    byte[] envelope = EnvelopeCodec.encode(self, command.message());
+    if (envelope.length > EnvelopeCodec.MAX_ENVELOPE_BYTES) {
       dropped.inc();
       throw new IllegalArgumentException(
           "a message had %d bytes, expected at most %d"
-              .formatted(envelope.length, Envelopes.MAX_BYTES));
+              .formatted(envelope.length, EnvelopeCodec.MAX_ENVELOPE_BYTES));
     }
-    links.computeIfAbsent(command.address(), this::link).send(envelope);
+    links.computeIfAbsent(command.address(), this::createLink).send(envelope);
   }
 
   @Override
@@ -47,7 +52,7 @@
     links.clear();
   }
 
-  private PeerLink link(String address) {
+  private PeerLink createLink(String address) {
     return new PeerLink(
         IpAddresses.parse(address),
         timings,
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/peer/PeerServer.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/peer/PeerServer.java
@@ -32,14 +32,15 @@
 import org.teaseldeal.wire.gen.peer.Envelope;
 
 /**
- * Takes other instances' messages.
+ * Receives messages from other instances.
  *
  * <p>Connections carry frames with a length prefix of four bytes. An empty frame is a probe and is
- * answered by one, so that a sender can tell a connection that has gone silent. What can't be
- * understood is counted and ignored, since the sender may be newer.
+ * answered with an empty frame, so that the sender can detect a connection that no longer works.
+ * Messages that can't be decoded or are of an unknown kind are counted and ignored, since the
+ * sender may be of a newer version.
  */
 public final class PeerServer implements AutoCloseable {
-  private static final int LENGTH_BYTES = 4;
+  private static final int LENGTH_PREFIX_BYTES = 4;
   private static final int MAX_CONNECTIONS = 2048;
 
   private final ChannelGroup connections = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
@@ -66,7 +67,7 @@
   /**
    * Starts listening.
    *
-   * @throws IOException if the address can't be had
+   * @throws IOException if the server can't listen on the address
    */
   public static PeerServer start(
       String host,
@@ -78,7 +79,7 @@
     return new PeerServer(host, port, timings, events, metrics);
   }
 
-  /** Where the server listens. */
+  /** Returns the address on which the server listens. */
   public InetSocketAddress address() {
     return (InetSocketAddress) listening.localAddress();
   }
@@ -121,11 +122,16 @@
     connections.add(channel);
     channel
         .pipeline()
-        .addLast(new IdleStateHandler(timings.silence().toMillis(), 0, 0, TimeUnit.MILLISECONDS))
+        .addLast(
+            new IdleStateHandler(timings.silenceTimeout().toMillis(), 0, 0, TimeUnit.MILLISECONDS))
         .addLast(
             new LengthFieldBasedFrameDecoder(
-                Envelopes.MAX_BYTES + LENGTH_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES))
-        .addLast(new LengthFieldPrepender(LENGTH_BYTES))
+                EnvelopeCodec.MAX_ENVELOPE_BYTES + LENGTH_PREFIX_BYTES,
+                0,
+                LENGTH_PREFIX_BYTES,
+                0,
+                LENGTH_PREFIX_BYTES))
+        .addLast(new LengthFieldPrepender(LENGTH_PREFIX_BYTES))
         .addLast(new Receiver());
   }
 
@@ -144,12 +150,12 @@
     private void receive(byte[] bytes) {
       Envelope envelope;
       try {
-        envelope = Envelopes.read(bytes);
+        envelope = EnvelopeCodec.decode(bytes);
       } catch (TException e) {
         undecodable.inc();
         return;
       }
-      if (!Envelopes.isKnown(envelope)) {
+      if (!EnvelopeCodec.isKnown(envelope)) {
         unknown.inc();
         return;
       }
@@ -168,7 +174,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
       if (cause instanceof TooLongFrameException) {
-        // The decoder skips the frame, so what follows is read as usual.
+        // The decoder skips the oversized frame, so the connection can continue with the next one.
         undecodable.inc();
         return;
       }
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/peer/PeerTimings.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/peer/PeerTimings.java
@@ -3,18 +3,27 @@
 import java.time.Duration;
 
 /**
- * How connections between instances are watched.
+ * The time-outs and intervals of connections between instances.
  *
- * @param probe how often a sender asks for a sign of life
- * @param silence how long a connection may be silent before it is closed
- * @param firstBackoff the pause after a first failure to connect; doubled up to {@code maxBackoff}
- * @param unused how long a connection is kept without a message to send
+ * @param probeInterval the time between two probes that a sender sends on a connection
+ * @param silenceTimeout how long nothing may be received on a connection before it is closed
+ * @param firstBackoff the back-off after the first failure to connect, which is doubled on each
+ *     further failure
+ * @param maxBackoff the longest back-off
+ * @param idleTimeout how long a connection is kept open without a message to send
  */
 public record PeerTimings(
-    Duration probe, Duration silence, Duration firstBackoff, Duration maxBackoff, Duration unused) {
+    Duration probeInterval,
+    Duration silenceTimeout,
+    Duration firstBackoff,
+    Duration maxBackoff,
+    Duration idleTimeout) {
   /**
-   * Silence is noticed well within the three seconds after which an instance takes its peer for
-   * gone, so that a connection which lost its way costs no false alarm.
+   * Returns the timings for production.
+   *
+   * <p>A silent connection is detected well within the three seconds after which an instance
+   * considers its peer gone, so that a broken connection alone doesn't make a peer appear to be
+   * gone.
    */
   public static PeerTimings standard() {
     return new PeerTimings(
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/peer/package-info.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/peer/package-info.java
@@ -1,4 +1,4 @@
-/** Messages between instances: Thrift envelopes over TCP. */
+/** Messaging between instances: Thrift envelopes in length-prefixed frames over TCP. */
 @NullMarked
 package org.teaseldeal.router.peer;
 
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/platform/InstanceListReader.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/platform/InstanceList.java
@@ -12,22 +12,26 @@
 import org.teaseldeal.router.json.Json;
 
 /**
- * The platform's list as it was read.
+ * The platform's instance list.
  *
- * @param unreadable entries left out: one wrong entry must not hide all the others
+ * @param routers the listed routers
+ * @param engines the listed model engines
+ * @param services the listed plain services
+ * @param unreadableEntries the number of entries that were skipped because they can't be read; one
+ *     invalid entry must not make the others unavailable
  */
-record InstanceListReader(
+record InstanceList(
     List<ListedInstance> routers,
     List<ListedServer> engines,
     List<ListedServer> services,
-    int unreadable) {
-  static InstanceListReader read(byte[] body) {
+    int unreadableEntries) {
+  static InstanceList read(byte[] body) {
     JsonNode instances = Json.readObject(body).path("instances");
     if (!instances.isArray()) {
       throw new IllegalArgumentException("the list has no instances");
     }
-    InstanceListReader list =
-        new InstanceListReader(new ArrayList<>(), new ArrayList<>(), new ArrayList<>(), 0);
+    InstanceList list =
+        new InstanceList(new ArrayList<>(), new ArrayList<>(), new ArrayList<>(), 0);
     int unreadable = 0;
     for (JsonNode entry : instances) {
       try {
@@ -36,7 +40,7 @@
         unreadable++;
       }
     }
-    return new InstanceListReader(list.routers, list.engines, list.services, unreadable);
+    return new InstanceList(list.routers, list.engines, list.services, unreadable);
   }
 
   List<ListedServer> servers() {
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/platform/InstanceListPoller.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/platform/InstanceListPoller.java
@@ -15,55 +15,59 @@
 import org.teaseldeal.net.HttpCallRequest;
 import org.teaseldeal.net.HttpClient;
 import org.teaseldeal.net.NetRuntime;
-import org.teaseldeal.router.backend.PlainAddresses;
+import org.teaseldeal.router.backend.PlainServiceAddresses;
 
-/** Reads the platform's list again and again. */
+/** Polls the platform's instance list and publishes it as events. */
 public final class InstanceListPoller implements AutoCloseable {
-  private static final Duration INTERVAL = Duration.ofMillis(500);
-  private static final Duration TIMEOUT = Duration.ofSeconds(2);
+  private static final Duration POLL_INTERVAL = Duration.ofMillis(500);
+  private static final Duration POLL_TIMEOUT = Duration.ofSeconds(2);
 
   private final HttpClient client;
   private final String address;
   private final Consumer<InstanceEvent> events;
-  private final Consumer<List<ListedServer>> engines;
-  private final PlainAddresses plainAddresses;
+  private final Consumer<List<ListedServer>> engineConsumer;
+  private final PlainServiceAddresses plainAddresses;
   private final RandomGenerator random;
-  private final Counter unreadable;
+  private final Counter unreadableEntries;
   private volatile boolean closed;
 
   /**
-   * Creates a poller that {@link #start} sets going.
+   * Creates a poller that {@link #start} starts.
    *
-   * @param engines is given the listed engines after each reading
+   * @param address the {@code host:port} of the platform
+   * @param events receives each list, or the failure to read it
+   * @param engineConsumer receives the listed engines after each successful poll
+   * @param plainAddresses the set that the addresses of listed plain services are added to
    */
   public InstanceListPoller(
       HttpClient client,
       String address,
       Consumer<InstanceEvent> events,
-      Consumer<List<ListedServer>> engines,
-      PlainAddresses plainAddresses,
+      Consumer<List<ListedServer>> engineConsumer,
+      PlainServiceAddresses plainAddresses,
       RandomGenerator random,
       MetricRegistry metrics) {
     this.client = client;
     this.address = address;
     this.events = events;
-    this.engines = engines;
+    this.engineConsumer = engineConsumer;
     this.plainAddresses = plainAddresses;
     this.random = random;
-    this.unreadable = metrics.counter("list_entries_unreadable");
+    this.unreadableEntries = metrics.counter("list_entries_unreadable");
   }
 
-  /** Reads now and from then on. */
+  /** Polls the list now, and schedules the next poll after each answer. */
   public void start() {
     if (closed) {
       return;
     }
     client
-        .fetch(new HttpCallRequest(address, "GET", "/instances", Map.of(), new byte[0], TIMEOUT))
+        .fetch(
+            new HttpCallRequest(address, "GET", "/instances", Map.of(), new byte[0], POLL_TIMEOUT))
         .whenComplete(
             (answer, failure) -> {
-              take(answer, failure);
-              pollLater();
+              handleAnswer(answer, failure);
+              scheduleNextPoll();
             });
   }
 
@@ -72,13 +76,13 @@
     closed = true;
   }
 
-  private void pollLater() {
-    long nanos = INTERVAL.toNanos();
+  private void scheduleNextPoll() {
+    long nanos = POLL_INTERVAL.toNanos();
     NetRuntime.group()
         .schedule(this::start, nanos * 3 / 4 + random.nextLong(nanos / 2), TimeUnit.NANOSECONDS);
   }
 
-  private void take(@Nullable HttpAnswer answer, @Nullable Throwable failure) {
+  private void handleAnswer(@Nullable HttpAnswer answer, @Nullable Throwable failure) {
     if (answer == null || answer.status() != 200) {
       events.accept(
           new InstanceEvent.ListFailed(
@@ -87,17 +91,17 @@
                   : "the platform answered " + answer.status()));
       return;
     }
-    InstanceListReader list;
+    InstanceList list;
     try {
-      list = InstanceListReader.read(answer.body());
+      list = InstanceList.read(answer.body());
     } catch (IllegalArgumentException e) {
       events.accept(new InstanceEvent.ListFailed(String.valueOf(e.getMessage())));
       return;
     }
-    unreadable.inc(list.unreadable());
+    unreadableEntries.inc(list.unreadableEntries());
     list.services().forEach(service -> plainAddresses.add(service.address()));
     list.engines().forEach(engine -> plainAddresses.remove(engine.address()));
-    engines.accept(list.engines());
+    engineConsumer.accept(list.engines());
     events.accept(new InstanceEvent.ListRead(list.routers(), list.servers()));
   }
 }
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/platform/LogIo.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/platform/LogClient.java
@@ -20,26 +20,26 @@
 import org.teaseldeal.net.HttpClient;
 import org.teaseldeal.router.json.Json;
 
-/** Appends to and reads from the platform's log, once for each command. */
-public final class LogIo {
+/** Appends to and reads from the platform's log, with one HTTP call per command. */
+public final class LogClient {
   private static final Duration APPEND_TIMEOUT = Duration.ofSeconds(2);
   private static final Duration READ_WAIT = Duration.ofSeconds(1);
   private static final Duration READ_TIMEOUT = READ_WAIT.plusSeconds(2);
-  private static final int MAX_RECORDS = 500;
+  private static final int MAX_RECORDS_PER_READ = 500;
 
   private final HttpClient client;
   private final String address;
   private final Consumer<InstanceEvent> events;
 
-  /** Creates the access; {@code events} takes what happens from any thread. */
-  public LogIo(HttpClient client, String address, Consumer<InstanceEvent> events) {
+  /** Creates a client; {@code events} receives the results and is called from any thread. */
+  public LogClient(HttpClient client, String address, Consumer<InstanceEvent> events) {
     this.client = client;
     this.address = address;
     this.events = events;
   }
 
-  /** Carries out a command. */
-  public void carryOut(LogCommand command) {
+  /** Executes a command. It is not retried if it fails. */
+  public void execute(LogCommand command) {
     switch (command) {
       case LogCommand.Append append -> append(append);
       case LogCommand.Read read -> read(read);
@@ -49,16 +49,16 @@
   private void append(LogCommand.Append append) {
     client
         .fetch(request("POST", path(append), append.payload(), APPEND_TIMEOUT))
-        .whenComplete((answer, failure) -> tell(appendEvent(append, answer, failure)));
+        .whenComplete((answer, failure) -> publish(appendEvent(append, answer, failure)));
   }
 
   private void read(LogCommand.Read read) {
     String path =
         "%s?from=%d&max=%d&wait_ms=%d"
-            .formatted(path(read), read.fromOffset(), MAX_RECORDS, READ_WAIT.toMillis());
+            .formatted(path(read), read.fromOffset(), MAX_RECORDS_PER_READ, READ_WAIT.toMillis());
     client
         .fetch(request("GET", path, new byte[0], READ_TIMEOUT))
-        .whenComplete((answer, failure) -> tell(readEvent(read, answer, failure)));
+        .whenComplete((answer, failure) -> publish(readEvent(read, answer, failure)));
   }
 
   private HttpCallRequest request(String method, String path, byte[] body, Duration timeout) {
@@ -66,7 +66,7 @@
         address, method, path, Map.of("Content-Type", "application/octet-stream"), body, timeout);
   }
 
-  private void tell(LogEvent event) {
+  private void publish(LogEvent event) {
     events.accept(new InstanceEvent.LogNews(event));
   }
 
@@ -77,7 +77,8 @@
   static LogEvent appendEvent(
       LogCommand.Append append, @Nullable HttpAnswer answer, @Nullable Throwable failure) {
     if (answer == null || answer.status() != 200) {
-      return new LogEvent.AppendFailed(append.stream(), append.token(), detail(answer, failure));
+      return new LogEvent.AppendFailed(
+          append.stream(), append.token(), failureDetail(answer, failure));
     }
     try {
       long offset = number(Json.readObject(answer.body()), "offset");
@@ -91,7 +92,8 @@
   static LogEvent readEvent(
       LogCommand.Read read, @Nullable HttpAnswer answer, @Nullable Throwable failure) {
     if (answer == null || (answer.status() != 200 && answer.status() != 410)) {
-      return new LogEvent.ReadFailed(read.stream(), read.fromOffset(), detail(answer, failure));
+      return new LogEvent.ReadFailed(
+          read.stream(), read.fromOffset(), failureDetail(answer, failure));
     }
     try {
       ObjectNode body = Json.readObject(answer.body());
@@ -134,7 +136,7 @@
     return object.get(field).asLong();
   }
 
-  private static String detail(@Nullable HttpAnswer answer, @Nullable Throwable failure) {
+  private static String failureDetail(@Nullable HttpAnswer answer, @Nullable Throwable failure) {
     return answer == null ? String.valueOf(failure) : "the log answered " + answer.status();
   }
 }
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/platform/Registration.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/platform/Registration.java
@@ -14,13 +14,14 @@
 import org.teaseldeal.router.json.Json;
 
 /**
- * Keeps this instance on the platform's list until it is gone.
+ * Keeps this instance registered on the platform's instance list by renewing its entry.
  *
- * <p>The instance works without: a platform that can't be reached is asked again, again and again.
+ * <p>The instance works without a registration. If the platform can't be reached, the renewal is
+ * retried at every interval.
  */
 public final class Registration implements AutoCloseable {
-  private static final Duration INTERVAL = Duration.ofSeconds(1);
-  private static final Duration TIMEOUT = Duration.ofSeconds(2);
+  private static final Duration RENEWAL_INTERVAL = Duration.ofSeconds(1);
+  private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(2);
 
   private final HttpClient client;
   private final String platform;
@@ -32,7 +33,9 @@
   /**
    * Creates a registration that {@link #start} sends.
    *
-   * @param entry what the list is to say of this instance, without its state
+   * @param platform the {@code host:port} of the platform
+   * @param id the name of this instance
+   * @param entry the entry of this instance, without its state
    */
   public Registration(HttpClient client, String platform, String id, ObjectNode entry) {
     this.client = client;
@@ -41,7 +44,7 @@
     this.entry = entry.deepCopy().put("state", "live");
   }
 
-  /** Registers now, and renews from then on. */
+  /** Registers now, and renews the registration at a fixed interval. */
   public synchronized void start() {
     if (closed) {
       return;
@@ -49,20 +52,21 @@
     send("PUT", Json.bytes(entry))
         .whenComplete(
             (answer, failure) -> {
-              noteAnswer(answer, failure);
-              NetRuntime.group().schedule(this::start, INTERVAL.toNanos(), TimeUnit.NANOSECONDS);
+              recordOutcome(answer, failure);
+              NetRuntime.group()
+                  .schedule(this::start, RENEWAL_INTERVAL.toNanos(), TimeUnit.NANOSECONDS);
             });
   }
 
-  /** Has the list say that this instance is leaving, from the next renewal on, which is now. */
-  public synchronized void leave() {
+  /** Announces on the list that this instance is leaving, with an immediate renewal. */
+  public synchronized void announceLeaving() {
     if (!closed) {
       entry.put("state", "leaving");
       var unused = send("PUT", Json.bytes(entry));
     }
   }
 
-  /** Takes this instance off the list; the answer may fail. */
+  /** Removes this instance from the list; the returned future fails if the call does. */
   public synchronized CompletableFuture<HttpAnswer> remove() {
     closed = true;
     return send("DELETE", new byte[0]);
@@ -81,13 +85,14 @@
             "/instances/" + id,
             Map.of("Content-Type", "application/json"),
             body,
-            TIMEOUT));
+            REQUEST_TIMEOUT));
   }
 
-  private synchronized void noteAnswer(@Nullable HttpAnswer answer, @Nullable Throwable failure) {
+  private synchronized void recordOutcome(
+      @Nullable HttpAnswer answer, @Nullable Throwable failure) {
     boolean failed = answer == null || answer.status() != 200;
     if (failed && !failing) {
-      LogLine.of("registration at the platform failed")
+      LogLine.of("registration at the platform failed; it will be retried")
           .with("cause", answer == null ? String.valueOf(failure) : answer.status())
           .warn();
     }
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/platform/package-info.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/platform/package-info.java
@@ -1,4 +1,4 @@
-/** The platform's log and instance list over HTTP. */
+/** HTTP clients of the platform's log and instance list. */
 @NullMarked
 package org.teaseldeal.router.platform;
 
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/settings/ListenSettings.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/settings/ListenSettings.java
@@ -3,9 +3,11 @@
 import java.util.Optional;
 
 /**
- * Where the router listens for one kind of peer.
+ * The address on which the router listens for callers, for other instances or for operators.
  *
- * @param port zero lets the system choose
- * @param advertised {@code host:port} that others are told, if it isn't the one listened on
+ * @param host the IP address to listen on
+ * @param port the port to listen on; zero lets the operating system choose one
+ * @param advertised the {@code host:port} that is announced to clients, if it differs from the one
+ *     that the router listens on
  */
 public record ListenSettings(String host, int port, Optional<String> advertised) {}
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/settings/RouterSettingsFile.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/settings/RouterSettingsFile.java
@@ -11,15 +11,15 @@
 import org.teaseldeal.settings.toml.TomlDocument;
 import org.teaseldeal.settings.toml.TomlReader;
 
-/** Reads the TOML file that a router starts from. */
+/** Reads the TOML settings file of a router. */
 public final class RouterSettingsFile {
   private static final int MAX_PORT = 65_535;
-  private static final long KIB = 1 << 10;
-  private static final long MIB = 1 << 20;
+  private static final long BYTES_PER_KIB = 1 << 10;
+  private static final long BYTES_PER_MIB = 1 << 20;
 
   private RouterSettingsFile() {}
 
-  /** Reads the settings, or gives everything that is wrong with the text. */
+  /** Returns the settings in {@code toml}, or all problems found in it. */
   public static Parsed<RouterSettings> parse(String toml) {
     return TomlDocument.read(toml, RouterSettingsFile::read);
   }
@@ -46,8 +46,8 @@
 
   private static ListenSettings listen(TomlReader table) {
     String host = table.text("host");
-    if (!isIpNumber(host)) {
-      table.addProblem("host", "was \"%s\", expected an IP number".formatted(host));
+    if (!isIpAddress(host)) {
+      table.addProblem("host", "was \"%s\", expected an IP address".formatted(host));
     }
     return new ListenSettings(host, (int) table.integer("port", 0, MAX_PORT), Optional.empty());
   }
@@ -59,7 +59,7 @@
     if (advertised.isEmpty() && isWildcard(listen.host())) {
       table.addProblem(
           "advertised",
-          "is missing, expected host:port by IP number, as host \"%s\" is no address to call"
+          "is missing, expected host:port with an IP address, because host \"%s\" is a wildcard address"
               .formatted(listen.host()));
     }
     return new ListenSettings(listen.host(), listen.port(), advertised);
@@ -69,10 +69,10 @@
     if (admin.has("credential_sha256")) {
       return Optional.of(admin.sha256("credential_sha256"));
     }
-    if (isIpNumber(listen.host()) && !isLoopback(listen.host())) {
+    if (isIpAddress(listen.host()) && !isLoopback(listen.host())) {
       admin.addProblem(
           "credential_sha256",
-          "is missing, expected the SHA-256 of a token, as host \"%s\" is not loopback"
+          "is missing, expected the SHA-256 of a token, because host \"%s\" is not a loopback address"
               .formatted(listen.host()));
     }
     return Optional.empty();
@@ -80,8 +80,8 @@
 
   private static RouterLimits limits(TomlReader limits) {
     return new RouterLimits(
-        (int) limits.byteSize("body", MIB, KIB, 64 * MIB),
-        (int) limits.byteSize("header", 16 * KIB, KIB, 256 * KIB),
+        (int) limits.byteSize("body", BYTES_PER_MIB, BYTES_PER_KIB, 64 * BYTES_PER_MIB),
+        (int) limits.byteSize("header", 16 * BYTES_PER_KIB, BYTES_PER_KIB, 256 * BYTES_PER_KIB),
         limits.smallInteger("connections", 4096, 1, 100_000),
         limits.duration(
             "request_time", Duration.ofSeconds(10), Duration.ofMillis(100), Duration.ofMinutes(5)),
@@ -90,8 +90,8 @@
         limits.duration("leave", Duration.ofSeconds(2), Duration.ZERO, Duration.ofMinutes(5)),
         limits.duration(
             "drain", Duration.ofSeconds(30), Duration.ofMillis(100), Duration.ofHours(1)),
-        (int) limits.byteSize("stream_buffer", MIB, KIB, 64 * MIB),
-        (int) limits.byteSize("answer", 8 * MIB, KIB, 256 * MIB));
+        (int) limits.byteSize("stream_buffer", BYTES_PER_MIB, BYTES_PER_KIB, 64 * BYTES_PER_MIB),
+        (int) limits.byteSize("answer", 8 * BYTES_PER_MIB, BYTES_PER_KIB, 256 * BYTES_PER_MIB));
   }
 
   private static String address(TomlReader table, String key, String address) {
@@ -99,13 +99,14 @@
       IpAddresses.parse(address);
     } catch (IllegalArgumentException e) {
       if (table.has(key)) {
-        table.addProblem(key, "was \"%s\", expected host:port by IP number".formatted(address));
+        table.addProblem(
+            key, "was \"%s\", expected host:port with an IP address".formatted(address));
       }
     }
     return address;
   }
 
-  private static boolean isIpNumber(String host) {
+  private static boolean isIpAddress(String host) {
     try {
       IpAddresses.socketAddress(host, 0);
       return true;
@@ -119,6 +120,6 @@
   }
 
   private static boolean isWildcard(String host) {
-    return isIpNumber(host) && IpAddresses.socketAddress(host, 0).getAddress().isAnyLocalAddress();
+    return isIpAddress(host) && IpAddresses.socketAddress(host, 0).getAddress().isAnyLocalAddress();
   }
 }
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/settings/package-info.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/settings/package-info.java
@@ -1,4 +1,4 @@
-/** The file that a router starts from. */
+/** The settings file of a router. */
 @NullMarked
 package org.teaseldeal.router.settings;
 
--- a/teaseldeal-router/src/test/java/org/teaseldeal/router/CallerAnswersTests.java
+++ b/teaseldeal-router/src/test/java/org/teaseldeal/router/CallerAnswersTests.java
@@ -30,7 +30,12 @@
 import org.teaseldeal.router.fake.RawConnection;
 import org.teaseldeal.router.fake.RouterFixture;
 
-/** What callers see, to the byte, of what an instance decides. */
+/**
+ * Tests the answers that callers receive, byte by byte, for the commands that an instance issues.
+ *
+ * <p>A fake instance issues the commands, so that the tests cover the router's HTTP interface
+ * alone.
+ */
 @Timeout(30)
 class CallerAnswersTests {
   private static final RequestId REQUEST = new RequestId("r1.x-1");
@@ -57,14 +62,14 @@
   @Nested
   class Requests {
     @Test
-    void reachTheInstanceAsTheyWereSent() throws Exception {
+    void passHeadersAndPayloadToTheInstance() throws Exception {
       try (RawConnection caller = connect()) {
         caller.send(
             post(
                 "/v1/chat/completions",
                 "Authorization: bearer secret\r\nIdempotency-Key: k\r\nRequest-Timeout-Ms: 1500\r\n",
                 STREAMED_BODY));
-        var request = instance.await(InstanceEvent.CallerRequest.class);
+        var request = instance.awaitEvent(InstanceEvent.CallerRequest.class);
         assertEquals(Optional.of(new BearerToken("secret")), request.token());
         assertEquals("a/b", request.service());
         assertEquals(Optional.of("k"), request.idempotencyKey());
@@ -77,7 +82,7 @@
     void ofPlainServicesKeepPathAndQuery() throws Exception {
       try (RawConnection caller = connect()) {
         caller.send(post("/services/team/desk/a/b?c=d", "Content-Type: text/plain\r\n", "x"));
-        var request = instance.await(InstanceEvent.CallerRequest.class);
+        var request = instance.awaitEvent(InstanceEvent.CallerRequest.class);
         assertEquals("team/desk", request.service());
         var call = assertInstanceOf(Payload.PlainCall.class, request.payload());
         assertEquals(
@@ -92,24 +97,24 @@
     }
 
     @Test
-    void endWithTheirCaller() throws Exception {
+    void areReportedGoneWhenTheCallerDisconnects() throws Exception {
       CallId call;
       try (RawConnection caller = connect()) {
         call = sendChat(caller, BODY);
       }
-      assertEquals(call, instance.await(InstanceEvent.CallerGone.class).call());
+      assertEquals(call, instance.awaitEvent(InstanceEvent.CallerGone.class).call());
     }
   }
 
   @Nested
   class Answers {
     @Test
-    void areStreamed() throws Exception {
+    void areStreamedAsServerSentEvents() throws Exception {
       try (RawConnection caller = connect()) {
         CallId call = sendChat(caller, STREAMED_BODY);
-        giveFrame(call, "{\"n\":0}");
-        giveFrame(call, "{\"n\":\n1}");
-        instance.give(new InstanceCommand.FinishStream(call, REQUEST, new Usage(3, 4)));
+        sendFrame(call, "{\"n\":0}");
+        sendFrame(call, "{\"n\":\n1}");
+        instance.issue(new InstanceCommand.FinishStream(call, REQUEST, new Usage(3, 4)));
         String answer = caller.readUntil("0\r\n\r\n");
         assertTrue(answer.startsWith("HTTP/1.1 200 OK\r\n"), answer);
         assertTrue(answer.contains("Content-Type: text/event-stream\r\n"), answer);
@@ -132,22 +137,22 @@
     }
 
     @Test
-    void areGathered() throws Exception {
+    void areAggregatedIntoOneJsonObject() throws Exception {
       try (RawConnection caller = connect()) {
         CallId call = sendChat(caller, BODY);
-        giveFrame(
+        sendFrame(
             call,
             "{\"id\":\"e\",\"created\":5,\"model\":\"m\",\"choices\":[{\"index\":0,\"delta\":"
                 + "{\"role\":\"assistant\",\"content\":\"Hel\"}}]}");
-        giveFrame(
+        sendFrame(
             call,
             "{\"choices\":[{\"index\":0,\"delta\":{\"content\":\"lo\",\"tool_calls\":[{\"index\":0,"
                 + "\"id\":\"t\",\"function\":{\"name\":\"f\",\"arguments\":\"{\"}}]}}]}");
-        giveFrame(
+        sendFrame(
             call,
             "{\"choices\":[{\"index\":0,\"delta\":{\"tool_calls\":[{\"index\":0,"
                 + "\"function\":{\"arguments\":\"}\"}}]},\"finish_reason\":\"stop\"}]}");
-        instance.give(new InstanceCommand.FinishStream(call, REQUEST, new Usage(3, 4)));
+        instance.issue(new InstanceCommand.FinishStream(call, REQUEST, new Usage(3, 4)));
         assertEquals(
             """
             {"id":"r1.x-1","object":"chat.completion","created":5,"model":"m","choices":\
@@ -159,11 +164,11 @@
     }
 
     @Test
-    void ofPlainServicesArePassedOn() throws Exception {
+    void ofPlainServicesAreForwardedUnchanged() throws Exception {
       try (RawConnection caller = connect()) {
         caller.send(post("/services/team/desk", "", "x"));
-        CallId call = instance.await(InstanceEvent.CallerRequest.class).call();
-        instance.give(
+        CallId call = instance.awaitEvent(InstanceEvent.CallerRequest.class).call();
+        instance.issue(
             new InstanceCommand.AnswerPlain(
                 call, REQUEST, 418, "text/css", "tea".getBytes(StandardCharsets.UTF_8)));
         String answer = caller.readUntil("tea");
@@ -173,10 +178,10 @@
     }
 
     @Test
-    void thatAreRefusedSayWhyAndWhenToComeBack() throws Exception {
+    void thatAreRefusedStateTheReasonAndTheRetryDelay() throws Exception {
       try (RawConnection caller = connect()) {
         CallId call = sendChat(caller, BODY);
-        instance.give(
+        instance.issue(
             new InstanceCommand.Refuse(
                 call,
                 REQUEST,
@@ -195,14 +200,15 @@
     }
 
     @Test
-    void thatBreakOffEndVisibly() throws Exception {
-      // The caller has had a frame when its engine is lost for good. It gets an error event and the
-      // connection ends without the last chunk, so neither a reader of events nor a plain HTTP
-      // client can take what it has for the whole answer.
+    void thatBreakMidStreamEndWithAnErrorEvent() throws Exception {
+      // Guards against a truncated answer that looks complete. The engine is lost after the caller
+      // has received a frame. The caller gets an error event, and the connection ends without the
+      // last chunk, so that neither a parser of events nor a plain HTTP client takes the part that
+      // it has received for the whole answer.
       try (RawConnection caller = connect()) {
         CallId call = sendChat(caller, STREAMED_BODY);
-        giveFrame(call, "{}");
-        instance.give(
+        sendFrame(call, "{}");
+        instance.issue(
             new InstanceCommand.BreakStream(
                 call, REQUEST, Problem.of(ErrorKind.STREAM_BROKEN, "lost")));
         String answer = caller.readToEnd();
@@ -222,27 +228,28 @@
     }
 
     @Test
-    void thatCannotBePutTogetherEndAsErrors() throws Exception {
+    void thatCannotBeAggregatedEndAsErrors() throws Exception {
       try (RawConnection caller = connect()) {
         CallId call = sendChat(caller, BODY);
-        giveFrame(call, "no JSON");
+        sendFrame(call, "no JSON");
         assertTrue(caller.readUntil("}").contains(":error:internal"));
-        assertEquals(call, instance.await(InstanceEvent.CallerGone.class).call());
+        assertEquals(call, instance.awaitEvent(InstanceEvent.CallerGone.class).call());
       }
     }
 
     @Test
-    void areCutForCallersThatDoNotTakeThem() throws Exception {
-      // The caller reads nothing while its answer grows. What it leaves is bounded; beyond that the
-      // connection is closed and the instance hears that the caller is gone.
+    void areAbortedForCallersThatDoNotReadThem() throws Exception {
+      // Guards against unbounded memory for a caller that reads nothing while its answer grows.
+      // Once the unread part exceeds the limit, the connection is closed and the instance is
+      // notified that the caller is gone.
       try (RawConnection caller = connect()) {
         CallId call = sendChat(caller, STREAMED_BODY);
         String frame = "{\"x\":\"" + "x".repeat(32 << 10) + "\"}";
-        while (!instance.has(InstanceEvent.CallerGone.class)) {
-          giveFrame(call, frame);
+        while (!instance.hasEvent(InstanceEvent.CallerGone.class)) {
+          sendFrame(call, frame);
           Thread.sleep(1);
         }
-        assertEquals(call, instance.await(InstanceEvent.CallerGone.class).call());
+        assertEquals(call, instance.awaitEvent(InstanceEvent.CallerGone.class).call());
         assertFalse(caller.readToEnd().endsWith("0\r\n\r\n"));
       }
     }
@@ -312,7 +319,7 @@
     }
 
     @Test
-    void ofOtherMethods() throws Exception {
+    void ofUnsupportedMethods() throws Exception {
       assertProblem(
           "GET /v1/chat/completions HTTP/1.1\r\nHost: x\r\n\r\n",
           """
@@ -322,7 +329,7 @@
     }
 
     @Test
-    void ofOtherMethodsNameThoseAllowed() throws Exception {
+    void ofUnsupportedMethodsNameTheAllowedOnes() throws Exception {
       try (RawConnection caller = connect()) {
         String answer =
             caller.send("PUT /v1/chat/completions HTTP/1.1\r\nHost: x\r\n\r\n").readUntil("}");
@@ -331,7 +338,7 @@
     }
 
     @Test
-    void ofOtherPaths() throws Exception {
+    void ofUnknownPaths() throws Exception {
       assertProblem(
           "GET /v1/models HTTP/1.1\r\nHost: x\r\n\r\n",
           """
@@ -352,7 +359,7 @@
     private void assertProblem(String request, String expected) throws Exception {
       try (RawConnection caller = connect()) {
         assertEquals(expected, body(caller.send(request).readUntil("}")));
-        assertFalse(instance.has(InstanceEvent.CallerRequest.class));
+        assertFalse(instance.hasEvent(InstanceEvent.CallerRequest.class));
       }
     }
   }
@@ -360,34 +367,35 @@
   @Nested
   class Draining {
     @Test
-    void waitsForTheInstanceAndForTheLastAnswerToLeave() throws Exception {
-      // A drain starts while a caller reads its answer slowly. The instance stops as soon as it has
-      // given its answers away; the process must not end before they have left.
+    void waitsForTheInstanceAndForTheLastAnswerToBeWritten() throws Exception {
+      // Guards against a truncated answer at the end of a drain, when a caller reads its answer
+      // slowly. The instance stops as soon as it has handed over its answers; the router must not
+      // close before they are written to their connections.
       try (RawConnection caller = connect()) {
         CallId call = sendChat(caller, STREAMED_BODY);
         Thread drain = Thread.ofVirtual().start(this::drain);
-        instance.await(InstanceEvent.DrainRequested.class);
+        instance.awaitEvent(InstanceEvent.DrainRequested.class);
         String frame = "{\"x\":\"" + "x".repeat(60 << 10) + "\"}";
-        giveFrame(call, frame);
-        instance.give(new InstanceCommand.FinishStream(call, REQUEST, new Usage(1, 1)));
-        instance.give(new InstanceCommand.Stop());
+        sendFrame(call, frame);
+        instance.issue(new InstanceCommand.FinishStream(call, REQUEST, new Usage(1, 1)));
+        instance.issue(new InstanceCommand.Stop());
         String answer = caller.readUntil("0\r\n\r\n");
         assertTrue(answer.contains(frame));
         drain.join();
-        assertTrue(whole);
+        assertTrue(drainedCompletely);
       }
     }
 
     /**
-     * Guards against a caller that gets no byte of an answer: its connection was accepted as the
-     * process stopped listening, and was closed before its request was read.
+     * Guards against a caller that receives no answer at all: its connection was accepted just
+     * before the router stopped listening, and was closed before its request was read.
      */
     @Test
-    void answersTheFirstRequestOfAConnectionThatItAccepted() throws Exception {
+    void answersTheFirstRequestOfAnAcceptedConnection() throws Exception {
       try (RawConnection caller = connect()) {
         Thread drain = Thread.ofVirtual().start(this::drain);
-        instance.await(InstanceEvent.DrainRequested.class);
-        instance.give(new InstanceCommand.Stop());
+        instance.awaitEvent(InstanceEvent.DrainRequested.class);
+        instance.issue(new InstanceCommand.Stop());
         Await.until(this::refusesConnections);
         sendChat(caller, STREAMED_BODY);
         drain.interrupt();
@@ -402,11 +410,11 @@
       }
     }
 
-    private boolean whole;
+    private boolean drainedCompletely;
 
     private void drain() {
       try {
-        whole = router.drainAndClose();
+        drainedCompletely = router.drainAndClose();
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
@@ -414,7 +422,7 @@
   }
 
   @Test
-  void isReadyOnlyWhileTheInstanceIs() throws Exception {
+  void reportsReadyOnlyWhileTheInstanceIsReady() throws Exception {
     Await.until(() -> adminStatus("/ready").equals("HTTP/1.1 200 OK"));
     instance.setReady(false);
     Await.until(() -> adminStatus("/ready").equals("HTTP/1.1 503 Service Unavailable"));
@@ -435,11 +443,11 @@
 
   private CallId sendChat(RawConnection caller, String body) throws Exception {
     caller.send(post("/v1/chat/completions", "", body));
-    return instance.await(InstanceEvent.CallerRequest.class).call();
+    return instance.awaitEvent(InstanceEvent.CallerRequest.class).call();
   }
 
-  private void giveFrame(CallId call, String data) {
-    instance.give(
+  private void sendFrame(CallId call, String data) {
+    instance.issue(
         new InstanceCommand.SendFrame(call, REQUEST, data.getBytes(StandardCharsets.UTF_8)));
   }
 
--- a/teaseldeal-router/src/test/java/org/teaseldeal/router/RouterCommandTests.java
+++ b/teaseldeal-router/src/test/java/org/teaseldeal/router/RouterCommandTests.java
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void needsASettingsFile() {
+  void requiresASettingsFile() {
     assertEquals(ExitStatus.WRONG_COMMAND_LINE, run());
     assertEquals("teaseldeal-router: --settings is missing, expected a file\n", text(err));
   }
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void tellsOfAMissingFile() {
+  void reportsAMissingFile() {
     assertEquals(ExitStatus.WRONG_FILE, run("--settings", "/nowhere/r1.toml"));
     assertEquals(
         "teaseldeal-router: /nowhere/r1.toml: cannot be read: "
@@ -76,7 +76,7 @@
   }
 
   @Test
-  void takesTheBaselinesOfTheDecisions() throws IOException {
+  void acceptsTheBaselineDecisions() throws IOException {
     String toml = VALID + "[decisions]\nplacement = \"round-robin\"\nqueue = \"unbounded\"\n";
     var parsed = assertInstanceOf(Parsed.Valid.class, RouterSettingsFile.parse(toml));
     RouterSettings settings = (RouterSettings) parsed.settings();
@@ -85,7 +85,7 @@
   }
 
   @Test
-  void decidesInItsOwnWayUnlessToldOtherwise() {
+  void usesTheDefaultDecisionsIfNoneAreConfigured() {
     var parsed = assertInstanceOf(Parsed.Valid.class, RouterSettingsFile.parse(VALID));
     RouterSettings settings = (RouterSettings) parsed.settings();
     assertEquals(PlacementChoice.TWO_CHOICES, settings.placement());
@@ -93,7 +93,7 @@
   }
 
   @Test
-  void tellsAllThatIsWrongWithAFile() throws IOException {
+  void reportsAllProblemsOfAFile() throws IOException {
     String toml =
         """
         instance = "R 1"
@@ -118,7 +118,9 @@
   }
 
   @Test
-  void neverRepeatsWhatStandsInPlaceOfTheCredential() throws IOException {
+  void neverRepeatsTheTextGivenAsCredential() throws IOException {
+    // Guards against a token in error messages: the operator may have entered the token itself in
+    // place of its SHA-256.
     String toml = VALID + "credential_sha256 = \"my-secret-token\"\n";
     assertEquals(ExitStatus.WRONG_FILE, run("--settings", write(toml), "--check"));
     assertEquals(
@@ -128,13 +130,13 @@
   }
 
   @Test
-  void tellsOfAnAddressInUse() throws IOException {
-    try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-      String toml = VALID.replaceFirst("port = 0", "port = " + taken.getLocalPort());
+  void reportsAnAddressInUse() throws IOException {
+    try (ServerSocket occupied = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+      String toml = VALID.replaceFirst("port = 0", "port = " + occupied.getLocalPort());
       assertEquals(ExitStatus.UNREACHABLE, run("--settings", write(toml)));
       assertEquals(
           "teaseldeal-router: cannot listen on 127.0.0.1:PORT: Address already in use\n",
-          text(err).replace(Integer.toString(taken.getLocalPort()), "PORT"));
+          text(err).replace(Integer.toString(occupied.getLocalPort()), "PORT"));
     }
   }
 
--- a/teaseldeal-router/src/test/java/org/teaseldeal/router/RouterTests.java
+++ b/teaseldeal-router/src/test/java/org/teaseldeal/router/RouterTests.java
@@ -24,18 +24,18 @@
 import org.teaseldeal.net.HttpExchange;
 import org.teaseldeal.net.ResponseStream;
 import org.teaseldeal.router.fake.Await;
+import org.teaseldeal.router.fake.FakeBackendServer;
 import org.teaseldeal.router.fake.FakePlatform;
-import org.teaseldeal.router.fake.FakeServer;
 import org.teaseldeal.router.fake.RawConnection;
 import org.teaseldeal.router.fake.RouterFixture;
 import org.teaseldeal.router.instance.CoreInstance;
 import org.teaseldeal.router.settings.RouterSettings;
 import org.teaseldeal.settings.SubtreeId;
 
-/** A router with its real core, from a caller to a backend server and back. */
+/** Tests a router with its real core, from a caller to a backend server and back. */
 @Timeout(60)
 class RouterTests {
-  private static final String FLEET =
+  private static final String FLEET_SETTINGS =
       """
       [pools.language]
       kind = "model"
@@ -47,8 +47,8 @@
       max_concurrent_per_server = 8
       """;
 
-  /** The customer's token is "example-clerk". */
-  private static final String TEAM =
+  /** The settings of a team with one customer, whose token is "example-clerk". */
+  private static final String TEAM_SETTINGS =
       """
       [services.tags]
       kind = "model"
@@ -74,8 +74,8 @@
       "{\"model\":\"tags\",\"messages\":[{\"role\":\"user\",\"content\":\"hi\"}]}";
 
   private final FakePlatform platform = new FakePlatform();
-  private final FakeServer engine = new FakeServer();
-  private final FakeServer desk = new FakeServer();
+  private final FakeBackendServer engine = new FakeBackendServer();
+  private final FakeBackendServer plainService = new FakeBackendServer();
 
   RouterTests() throws IOException {}
 
@@ -83,11 +83,11 @@
   void close() {
     platform.close();
     engine.close();
-    desk.close();
+    plainService.close();
   }
 
   @Test
-  void isNotReadyWhileThePlatformCannotBeReached() throws Exception {
+  void isNotReadyWhileThePlatformIsUnreachable() throws Exception {
     platform.close();
     try (Router router = start()) {
       try (RawConnection caller = new RawConnection(router.callerAddress())) {
@@ -117,7 +117,7 @@
     }
 
     @Test
-    void registersWhereItCanBeReached() throws Exception {
+    void registersItsAddresses() throws Exception {
       Await.until(() -> !platform.registrations().isEmpty());
       assertEquals(
           """
@@ -134,7 +134,7 @@
           {"type":"urn:teaseldeal:error:unauthenticated",\
           "title":"The bearer token is missing or unknown","status":401,\
           "detail":"the bearer token is unknown","run":"not-run","request_id":"r1.x-1"}""",
-          ask(chat("example-stranger", BODY)));
+          exchange(chat("example-stranger", BODY)));
     }
 
     @Test
@@ -144,21 +144,20 @@
           {"type":"urn:teaseldeal:error:unknown-service","title":"No such service","status":404,\
           "detail":"team licensing has no service licensing/nothing","run":"not-run",\
           "request_id":"r1.x-1"}""",
-          ask(chat("example-clerk", BODY.replace("tags", "nothing"))));
+          exchange(chat("example-clerk", BODY.replace("tags", "nothing"))));
     }
 
-    // The engine takes the request and answers nothing. The caller's own deadline ends the wait,
-    // with
-    // an answer that doesn't claim to know whether the request ran.
+    // Guards against an answer that claims to know whether the request ran. The engine accepts the
+    // request and never answers, so the caller's own deadline ends the wait.
     @Test
-    void tellsACallerWhoseDeadlinePassed() throws Exception {
+    void reportsAPassedDeadlineToTheCaller() throws Exception {
       String request = chat("example-clerk", BODY);
       assertEquals(
           """
           {"type":"urn:teaseldeal:error:deadline-passed",\
           "title":"The deadline passed while the request was running","status":504,\
           "detail":"no whole answer came in time","run":"unknown","request_id":"r1.x-1"}""",
-          ask(request.replace("Host: x\r\n", "Host: x\r\nRequest-Timeout-Ms: 500\r\n")));
+          exchange(request.replace("Host: x\r\n", "Host: x\r\nRequest-Timeout-Ms: 500\r\n")));
       assertTrue(engine.hasRequest());
     }
 
@@ -166,7 +165,7 @@
     void servesAModelCall() throws Exception {
       try (RawConnection caller = new RawConnection(router.callerAddress())) {
         caller.send(chat("example-clerk", BODY));
-        HttpExchange attempt = engine.await();
+        HttpExchange attempt = engine.awaitRequest();
         assertEquals(
             "{\"model\":\"clerk-8b\",\"max_tokens\":50,"
                 + "\"messages\":[{\"role\":\"user\",\"content\":\"hi\"}],"
@@ -174,9 +173,9 @@
             new String(attempt.body(), StandardCharsets.UTF_8));
         String id = attempt.header("Attempt-Id").orElseThrow();
         ResponseStream stream = attempt.startStream(200, Map.of());
-        stream.write(FakeServer.frame(id, 0, "one "));
-        stream.write(FakeServer.frame(id, 1, "two"));
-        stream.write(FakeServer.usage(id, 2, 4, 2));
+        stream.write(FakeBackendServer.frame(id, 0, "one "));
+        stream.write(FakeBackendServer.frame(id, 1, "two"));
+        stream.write(FakeBackendServer.usage(id, 2, 4, 2));
         stream.finish();
         String answer = caller.readUntil("\"total_tokens\":6}}");
         assertTrue(answer.contains("\"content\":\"one two\""), answer);
@@ -189,7 +188,7 @@
         caller.send(
             "POST /services/licensing/receipts/new HTTP/1.1\r\nHost: x\r\n"
                 + "Authorization: Bearer example-clerk\r\nContent-Length: 3\r\n\r\nfee");
-        HttpExchange call = desk.await();
+        HttpExchange call = plainService.awaitRequest();
         assertEquals("/new", call.path());
         call.respond(201, Map.of("Content-Type", "text/plain"), call.body());
         assertTrue(caller.readUntil("fee").startsWith("HTTP/1.1 201 Created\r\n"));
@@ -197,41 +196,41 @@
     }
 
     @Test
-    void finishesWhatIsInFlightWhenItDrains() throws Exception {
-      // A shutdown comes in the middle of a stream. The caller still gets its whole answer, others
-      // are refused as not run, the platform's list says that the instance is leaving and then no
-      // longer has it.
+    void finishesRequestsInFlightDuringADrain() throws Exception {
+      // Guards against a shutdown that breaks a stream. The caller of the stream still gets its
+      // whole answer. New requests are refused as not run. The platform's list shows the instance
+      // as leaving, and the instance is removed from it at the end.
       try (RawConnection caller = new RawConnection(router.callerAddress())) {
         caller.send(chat("example-clerk", BODY.replace("]}", "],\"stream\":true}")));
-        HttpExchange attempt = engine.await();
+        HttpExchange attempt = engine.awaitRequest();
         String id = attempt.header("Attempt-Id").orElseThrow();
         ResponseStream stream = attempt.startStream(200, Map.of());
-        stream.write(FakeServer.frame(id, 0, "one "));
+        stream.write(FakeBackendServer.frame(id, 0, "one "));
         caller.readUntil("\"position\":0}\n\n\r\n");
         Thread drain = Thread.ofVirtual().start(this::drain);
         Await.until(() -> platform.registrations().getLast().contains("leaving"));
-        assertTrue(ask(chat("example-clerk", BODY)).contains(":error:draining"));
-        stream.write(FakeServer.frame(id, 1, "two"));
-        stream.write(FakeServer.usage(id, 2, 4, 2));
+        assertTrue(exchange(chat("example-clerk", BODY)).contains(":error:draining"));
+        stream.write(FakeBackendServer.frame(id, 1, "two"));
+        stream.write(FakeBackendServer.usage(id, 2, 4, 2));
         stream.finish();
         assertTrue(caller.readUntil("0\r\n\r\n").contains("data: [DONE]"));
         drain.join();
-        assertTrue(whole);
+        assertTrue(drainedCompletely);
         assertTrue(platform.registrations().getLast().startsWith("DELETE /instances/r1"));
       }
     }
 
-    private boolean whole;
+    private boolean drainedCompletely;
 
     private void drain() {
       try {
-        whole = router.drainAndClose();
+        drainedCompletely = router.drainAndClose();
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
     }
 
-    private String ask(String request) throws IOException {
+    private String exchange(String request) throws IOException {
       try (RawConnection caller = new RawConnection(router.callerAddress())) {
         return body(caller.send(request).readUntil("}"));
       }
@@ -240,15 +239,15 @@
 
   private Router startReady() throws Exception {
     platform.publish(
-        new Entry.PublishSettings(SubtreeId.FLEET, 0, "ops", FLEET),
+        new Entry.PublishSettings(SubtreeId.FLEET, 0, "ops", FLEET_SETTINGS),
         new Entry.PublishSettings(
             SubtreeId.of(new TeamId("licensing")),
             0,
             "ops",
-            TEAM.formatted(Sha256.hex("example-clerk"))),
+            TEAM_SETTINGS.formatted(Sha256.hex("example-clerk"))),
         new Entry.CreateBudget(AccountId.of(new TeamId("licensing")), 100_000, "ops", "op-1"));
-    platform.list("e1", "engine", "language", engine.address());
-    platform.list("d1", "service", "desk", desk.address());
+    platform.addBackendServer("e1", "engine", "language", engine.address());
+    platform.addBackendServer("d1", "service", "desk", plainService.address());
     Router router = start();
     Await.until(router::ready);
     return router;
--- a/teaseldeal-router/src/test/java/org/teaseldeal/router/admin/package-info.java
+++ b/teaseldeal-router/src/test/java/org/teaseldeal/router/admin/package-info.java
@@ -1,4 +1,4 @@
-/** Tests of what operators see. */
+/** Tests of the HTTP interface for operators. */
 @NullMarked
 package org.teaseldeal.router.admin;
 
--- a/teaseldeal-router/src/test/java/org/teaseldeal/router/backend/BackendCallsTests.java
+++ b/teaseldeal-router/src/test/java/org/teaseldeal/router/backend/BackendCallsTests.java
@@ -30,7 +30,7 @@
 import org.teaseldeal.net.HttpClientConfig;
 import org.teaseldeal.net.HttpExchange;
 import org.teaseldeal.net.ResponseStream;
-import org.teaseldeal.router.fake.FakeServer;
+import org.teaseldeal.router.fake.FakeBackendServer;
 
 @Timeout(30)
 class BackendCallsTests {
@@ -38,10 +38,10 @@
   private static final RequestId REQUEST = new RequestId("req/1");
 
   private final LinkedBlockingQueue<InstanceEvent> events = new LinkedBlockingQueue<>();
-  private final FakeServer server = new FakeServer();
+  private final FakeBackendServer server = new FakeBackendServer();
   private final HttpClient client = new HttpClient(HttpClientConfig.defaults());
   private final BackendCalls calls =
-      new BackendCalls(client, events::add, new PlainAddresses(), 100, new MetricRegistry());
+      new BackendCalls(client, events::add, new PlainServiceAddresses(), 100, new MetricRegistry());
 
   BackendCallsTests() throws IOException {}
 
@@ -54,9 +54,9 @@
   @Nested
   class AtAnEngine {
     @Test
-    void sendsIdsPriorityModelAndCap() throws Exception {
-      calls.start(model(OptionalLong.empty()));
-      HttpExchange exchange = server.await();
+    void sendsIdsPriorityModelAndOutputLimit() throws Exception {
+      calls.start(modelCall(OptionalLong.empty()));
+      HttpExchange exchange = server.awaitRequest();
       assertEquals("POST /v1/chat/completions", exchange.method() + " " + exchange.path());
       assertEquals(Optional.of("req/1"), exchange.header("Request-Id"));
       assertEquals(Optional.of("r-1.x-7"), exchange.header("Attempt-Id"));
@@ -65,39 +65,40 @@
     }
 
     @Test
-    void givesFramesAndTheEnd() throws Exception {
-      calls.start(model(OptionalLong.empty()));
-      ResponseStream stream = server.await().startStream(200, Map.of());
-      stream.write(FakeServer.frame("r-1.x-7", 0, "a"));
-      stream.write(FakeServer.usage("r-1.x-7", 1, 3, 4));
+    void reportsFramesAndTheEnd() throws Exception {
+      calls.start(modelCall(OptionalLong.empty()));
+      ResponseStream stream = server.awaitRequest().startStream(200, Map.of());
+      stream.write(FakeBackendServer.frame("r-1.x-7", 0, "a"));
+      stream.write(FakeBackendServer.usage("r-1.x-7", 1, 3, 4));
       stream.finish();
-      var frame = next(InstanceEvent.FrameReceived.class);
+      var frame = nextEvent(InstanceEvent.FrameReceived.class);
       assertEquals(ATTEMPT, frame.attempt());
       assertEquals(0, frame.position());
       assertEquals(
           new InstanceEvent.StreamFinished(ATTEMPT, 1, new Usage(3, 4)),
-          next(InstanceEvent.StreamFinished.class));
+          nextEvent(InstanceEvent.StreamFinished.class));
     }
 
     @Test
-    void handsInFramesOfOtherAttemptsUnderTheirOwnId() throws Exception {
-      // An engine mixes up two answers. The instance must see whose frame it is, so that it drops
-      // it; the end of the other attempt is not the end of this one.
-      calls.start(model(OptionalLong.empty()));
-      ResponseStream stream = server.await().startStream(200, Map.of());
-      stream.write(FakeServer.frame("r2.y-9", 4, "crossed"));
-      stream.write(FakeServer.usage("r2.y-9", 5, 3, 4));
+    void reportsFramesOfOtherAttemptsUnderTheirOwnId() throws Exception {
+      // Guards against frames of another request in an answer, when an engine mixes up two answers.
+      // Events carry the attempt id of the chunk, so that the instance can drop them, and the end
+      // of the other attempt doesn't complete this one.
+      calls.start(modelCall(OptionalLong.empty()));
+      ResponseStream stream = server.awaitRequest().startStream(200, Map.of());
+      stream.write(FakeBackendServer.frame("r2.y-9", 4, "crossed"));
+      stream.write(FakeBackendServer.usage("r2.y-9", 5, 3, 4));
       stream.finish();
       AttemptId other = new AttemptId(new IncarnationId("r2.y"), 9);
-      assertEquals(other, next(InstanceEvent.FrameReceived.class).attempt());
-      assertEquals(other, next(InstanceEvent.StreamFinished.class).attempt());
+      assertEquals(other, nextEvent(InstanceEvent.FrameReceived.class).attempt());
+      assertEquals(other, nextEvent(InstanceEvent.StreamFinished.class).attempt());
       assertFailed(AttemptFailure.LOST_MID_ANSWER);
     }
 
     @Test
     void resumesFromAPosition() throws Exception {
-      calls.start(model(OptionalLong.of(3)));
-      HttpExchange exchange = server.await();
+      calls.start(modelCall(OptionalLong.of(3)));
+      HttpExchange exchange = server.awaitRequest();
       assertEquals(
           "GET /v1/requests/req%2F1/stream?from=3", exchange.method() + " " + exchange.path());
       exchange.respond(404, Map.of(), new byte[0]);
@@ -105,64 +106,65 @@
     }
 
     @Test
-    void doesNotTakeABusyEngineForARefusalToRunWhenResuming() throws Exception {
-      // The request has run. Were the 503 to a resume taken for "not run", the caller could be told
-      // so and would run it again.
-      calls.start(model(OptionalLong.of(3)));
-      server.await().respond(503, Map.of(), new byte[0]);
+    void reportsABusyEngineOnResumeAsLostAndNotAsRefused() throws Exception {
+      // Guards against a request that runs twice. The request has already run when the engine
+      // answers the resumption with 503. If the answer counted as "not run", the caller would be
+      // told so and would send the request again.
+      calls.start(modelCall(OptionalLong.of(3)));
+      server.awaitRequest().respond(503, Map.of(), new byte[0]);
       assertFailed(AttemptFailure.LOST_BEFORE_ANSWER);
     }
 
     @Test
-    void tellsHowAnAttemptFailed() throws Exception {
+    void reportsHowAnAttemptFailed() throws Exception {
       assertAnswerMeans(429, AttemptFailure.REFUSED_BY_SERVER);
       assertAnswerMeans(503, AttemptFailure.REFUSED_BY_SERVER);
       assertAnswerMeans(500, AttemptFailure.SERVER_ERROR);
       assertAnswerMeans(400, AttemptFailure.SERVER_ERROR);
-      calls.start(model(OptionalLong.empty()));
-      server.await().abort();
+      calls.start(modelCall(OptionalLong.empty()));
+      server.awaitRequest().abort();
       assertFailed(AttemptFailure.LOST_BEFORE_ANSWER);
-      calls.start(model(OptionalLong.empty()));
-      ResponseStream stream = server.await().startStream(200, Map.of());
-      stream.write(FakeServer.frame("r-1.x-7", 0, "a"));
+      calls.start(modelCall(OptionalLong.empty()));
+      ResponseStream stream = server.awaitRequest().startStream(200, Map.of());
+      stream.write(FakeBackendServer.frame("r-1.x-7", 0, "a"));
       stream.abort();
-      next(InstanceEvent.FrameReceived.class);
+      nextEvent(InstanceEvent.FrameReceived.class);
       assertFailed(AttemptFailure.LOST_MID_ANSWER);
       server.close();
-      calls.start(model(OptionalLong.empty()));
+      calls.start(modelCall(OptionalLong.empty()));
       assertFailed(AttemptFailure.NOT_SENT);
     }
 
     @Test
-    void takesAnAnswerWithoutUsageForABrokenOne() throws Exception {
-      calls.start(model(OptionalLong.empty()));
-      ResponseStream stream = server.await().startStream(200, Map.of());
-      stream.write(FakeServer.frame("r-1.x-7", 0, "a"));
+    void reportsAnAnswerWithoutUsageAsBroken() throws Exception {
+      calls.start(modelCall(OptionalLong.empty()));
+      ResponseStream stream = server.awaitRequest().startStream(200, Map.of());
+      stream.write(FakeBackendServer.frame("r-1.x-7", 0, "a"));
       stream.finish();
-      next(InstanceEvent.FrameReceived.class);
+      nextEvent(InstanceEvent.FrameReceived.class);
       assertFailed(AttemptFailure.LOST_MID_ANSWER);
     }
 
     @Test
-    void cutsAnAnswerThatItCannotRead() throws Exception {
-      calls.start(model(OptionalLong.empty()));
-      HttpExchange exchange = server.await();
-      CountDownLatch gone = new CountDownLatch(1);
-      exchange.onCallerGone(gone::countDown);
+    void closesTheConnectionOfAnUnreadableAnswer() throws Exception {
+      calls.start(modelCall(OptionalLong.empty()));
+      HttpExchange exchange = server.awaitRequest();
+      CountDownLatch disconnected = new CountDownLatch(1);
+      exchange.onCallerGone(disconnected::countDown);
       exchange.startStream(200, Map.of()).write(bytes("data: nonsense\n\n"));
       assertFailed(AttemptFailure.LOST_MID_ANSWER);
-      gone.await();
+      disconnected.await();
     }
 
     @Test
-    void cancelsAndTellsWhatWasUsed() throws Exception {
-      calls.start(model(OptionalLong.empty()));
-      HttpExchange running = server.await();
-      CountDownLatch gone = new CountDownLatch(1);
-      running.onCallerGone(gone::countDown);
+    void cancelsAndReportsTheUsage() throws Exception {
+      calls.start(modelCall(OptionalLong.empty()));
+      HttpExchange running = server.awaitRequest();
+      CountDownLatch disconnected = new CountDownLatch(1);
+      running.onCallerGone(disconnected::countDown);
       calls.cancel(new InstanceCommand.CancelAttempt(ATTEMPT, REQUEST, server.address()));
-      gone.await();
-      HttpExchange delete = server.await();
+      disconnected.await();
+      HttpExchange delete = server.awaitRequest();
       assertEquals("DELETE /v1/requests/req%2F1", delete.method() + " " + delete.path());
       delete.respond(
           200,
@@ -171,32 +173,34 @@
               "{\"state\":\"cancelled\",\"usage\":{\"prompt_tokens\":3,\"completion_tokens\":1}}"));
       assertEquals(
           new InstanceEvent.UsageKnown(ATTEMPT, Optional.of(new Usage(3, 1))),
-          next(InstanceEvent.UsageKnown.class));
+          nextEvent(InstanceEvent.UsageKnown.class));
       assertFalse(events.stream().anyMatch(InstanceEvent.AttemptFailed.class::isInstance));
     }
 
     @Test
-    void takesNoUsageFromARequestThatStillRuns() throws Exception {
-      calls.askUsage(new InstanceCommand.AskUsage(ATTEMPT, REQUEST, server.address()));
+    void reportsNoUsageForARequestThatIsStillRunning() throws Exception {
+      // Guards against a charge that is too low: the tokens used so far are fewer than those that
+      // the request will have used in the end.
+      calls.queryUsage(new InstanceCommand.AskUsage(ATTEMPT, REQUEST, server.address()));
       server
-          .await()
+          .awaitRequest()
           .respond(
               200,
               Map.of(),
               bytes(
                   "{\"state\":\"running\",\"usage\":{\"prompt_tokens\":3,"
                       + "\"completion_tokens\":1}}"));
-      next(InstanceEvent.UsageUnknown.class);
-      calls.askUsage(new InstanceCommand.AskUsage(ATTEMPT, REQUEST, server.address()));
-      server.await().respond(404, Map.of(), new byte[0]);
+      nextEvent(InstanceEvent.UsageUnknown.class);
+      calls.queryUsage(new InstanceCommand.AskUsage(ATTEMPT, REQUEST, server.address()));
+      server.awaitRequest().respond(404, Map.of(), new byte[0]);
       assertEquals(
           new InstanceEvent.UsageKnown(ATTEMPT, Optional.empty()),
-          next(InstanceEvent.UsageKnown.class));
+          nextEvent(InstanceEvent.UsageKnown.class));
     }
 
     private void assertAnswerMeans(int status, AttemptFailure expected) throws Exception {
-      calls.start(model(OptionalLong.empty()));
-      server.await().respond(status, Map.of(), bytes("why"));
+      calls.start(modelCall(OptionalLong.empty()));
+      server.awaitRequest().respond(status, Map.of(), bytes("why"));
       assertFailed(expected);
     }
   }
@@ -204,56 +208,60 @@
   @Nested
   class AtAPlainService {
     @Test
-    void givesTheWholeAnswer() throws Exception {
-      calls.start(plain());
-      HttpExchange exchange = server.await();
+    void reportsTheCompleteAnswer() throws Exception {
+      calls.start(plainCall());
+      HttpExchange exchange = server.awaitRequest();
       assertEquals("PUT /x?y=1 in", "PUT " + exchange.path() + " " + text(exchange.body()));
       assertEquals(Optional.of("text/plain"), exchange.header("Content-Type"));
       exchange.respond(418, Map.of("Content-Type", "text/css"), bytes("out"));
-      var answer = next(InstanceEvent.PlainAnswered.class);
+      var answer = nextEvent(InstanceEvent.PlainAnswered.class);
       assertEquals(418, answer.status());
       assertEquals("text/css", answer.contentType());
       assertArrayEquals(bytes("out"), answer.body());
     }
 
     @Test
-    void believesThatACallWasNotRunOnlyIfTheServiceSaysSo() throws Exception {
-      calls.start(plain());
-      server.await().respond(503, Map.of("Not-Run", "true"), new byte[0]);
+    void reportsARefusalOnlyIfTheServiceSaysThatTheCallWasNotRun() throws Exception {
+      // Guards against a call that runs twice: a service may have run a call before it answers it
+      // with 503, unless the header Not-Run says otherwise.
+      calls.start(plainCall());
+      server.awaitRequest().respond(503, Map.of("Not-Run", "true"), new byte[0]);
       assertFailed(AttemptFailure.REFUSED_BY_SERVER);
-      calls.start(plain());
-      server.await().respond(503, Map.of(), new byte[0]);
-      assertEquals(503, next(InstanceEvent.PlainAnswered.class).status());
+      calls.start(plainCall());
+      server.awaitRequest().respond(503, Map.of(), new byte[0]);
+      assertEquals(503, nextEvent(InstanceEvent.PlainAnswered.class).status());
     }
 
     @Test
-    void takesAnAnswerBeyondTheBoundForABrokenOne() throws Exception {
-      calls.start(plain());
-      server.await().respond(200, Map.of(), new byte[101]);
+    void reportsAnAnswerBeyondTheSizeLimitAsBroken() throws Exception {
+      calls.start(plainCall());
+      server.awaitRequest().respond(200, Map.of(), new byte[101]);
       assertFailed(AttemptFailure.LOST_MID_ANSWER);
     }
 
     @Test
-    void isNeverGivenAnEnginesDelete() throws Exception {
-      calls.start(plain());
-      HttpExchange running = server.await();
-      CountDownLatch gone = new CountDownLatch(1);
-      running.onCallerGone(gone::countDown);
+    void isNeverSentTheDeleteMeantForEngines() throws Exception {
+      // Guards against a cancellation that changes data: to a plain service, the DELETE that
+      // cancels a request at an engine could mean something else.
+      calls.start(plainCall());
+      HttpExchange running = server.awaitRequest();
+      CountDownLatch disconnected = new CountDownLatch(1);
+      running.onCallerGone(disconnected::countDown);
       calls.cancel(new InstanceCommand.CancelAttempt(ATTEMPT, REQUEST, server.address()));
-      calls.askUsage(new InstanceCommand.AskUsage(ATTEMPT, REQUEST, server.address()));
-      gone.await();
-      next(InstanceEvent.UsageUnknown.class);
+      calls.queryUsage(new InstanceCommand.AskUsage(ATTEMPT, REQUEST, server.address()));
+      disconnected.await();
+      nextEvent(InstanceEvent.UsageUnknown.class);
       assertFalse(server.hasRequest());
     }
   }
 
-  private InstanceCommand.StartAttempt model(OptionalLong resumeFrom) {
+  private InstanceCommand.StartAttempt modelCall(OptionalLong resumeFrom) {
     return start(
         new Payload.ModelCall(bytes("{\"stream\":true}"), 10, OptionalLong.empty(), true),
         resumeFrom);
   }
 
-  private InstanceCommand.StartAttempt plain() {
+  private InstanceCommand.StartAttempt plainCall() {
     return start(
         new Payload.PlainCall("PUT", "/x?y=1", "text/plain", bytes("in")), OptionalLong.empty());
   }
@@ -272,12 +280,12 @@
   }
 
   private void assertFailed(AttemptFailure expected) throws InterruptedException {
-    var failed = next(InstanceEvent.AttemptFailed.class);
+    var failed = nextEvent(InstanceEvent.AttemptFailed.class);
     assertEquals(expected, failed.failure(), failed::detail);
     assertEquals(ATTEMPT, failed.attempt());
   }
 
-  private <T extends InstanceEvent> T next(Class<T> type) throws InterruptedException {
+  private <T extends InstanceEvent> T nextEvent(Class<T> type) throws InterruptedException {
     InstanceEvent event = events.poll(20, TimeUnit.SECONDS);
     if (!type.isInstance(event)) {
       throw new AssertionError("was %s, expected %s".formatted(event, type.getSimpleName()));
--- a/teaseldeal-router/src/test/java/org/teaseldeal/router/backend/EngineOrderCallsTests.java
+++ b/teaseldeal-router/src/test/java/org/teaseldeal/router/backend/EngineOrderCallsTests.java
@@ -21,14 +21,14 @@
 import org.teaseldeal.net.HttpClient;
 import org.teaseldeal.net.HttpClientConfig;
 import org.teaseldeal.net.HttpExchange;
-import org.teaseldeal.router.fake.FakeServer;
+import org.teaseldeal.router.fake.FakeBackendServer;
 
 @Timeout(30)
 class EngineOrderCallsTests {
   private static final BackendServerId ENGINE = new BackendServerId("e1.1");
 
   private final LinkedBlockingQueue<InstanceEvent> events = new LinkedBlockingQueue<>();
-  private final FakeServer server = new FakeServer();
+  private final FakeBackendServer server = new FakeBackendServer();
   private final HttpClient client = new HttpClient(HttpClientConfig.defaults());
   private final EngineOrderCalls calls = new EngineOrderCalls(client, events::add);
 
@@ -40,21 +40,21 @@
     server.close();
   }
 
-  private HttpExchange ordered() throws InterruptedException {
+  private HttpExchange sendOrder() throws InterruptedException {
     EngineOrder order = new EngineOrder(EngineOrder.Kind.LOAD_MODEL, "clerk", "3");
     calls.send(new InstanceCommand.SendOrder(ENGINE, server.address(), 41, 7, order));
-    return server.await();
+    return server.awaitRequest();
   }
 
-  private HttpExchange asked() throws InterruptedException {
-    calls.askState(new InstanceCommand.AskOrderState(ENGINE, server.address()));
-    return server.await();
+  private HttpExchange queryState() throws InterruptedException {
+    calls.queryState(new InstanceCommand.AskOrderState(ENGINE, server.address()));
+    return server.awaitRequest();
   }
 
-  private InstanceEvent next() throws InterruptedException {
+  private InstanceEvent nextEvent() throws InterruptedException {
     InstanceEvent event = events.poll(20, TimeUnit.SECONDS);
     if (event == null) {
-      throw new AssertionError("no event came");
+      throw new AssertionError("no event arrived within 20 s");
     }
     return event;
   }
@@ -64,33 +64,33 @@
   }
 
   @Test
-  void sendsAnOrderWithItsFencingNumber() throws Exception {
-    HttpExchange exchange = ordered();
+  void sendsAnOrderWithItsFencingToken() throws Exception {
+    HttpExchange exchange = sendOrder();
     assertEquals("POST /orders", exchange.method() + " " + exchange.path());
     assertEquals(
         "{\"fencing\":41,\"kind\":\"load-model\",\"target\":\"clerk\",\"version\":\"3\"}",
         new String(exchange.body(), StandardCharsets.UTF_8));
     exchange.respond(200, Map.of(), bytes("{}"));
-    assertEquals(new InstanceEvent.OrderAnswered(ENGINE, 7), next());
+    assertEquals(new InstanceEvent.OrderAnswered(ENGINE, 7), nextEvent());
   }
 
   @Test
-  void tellsOfARefusalByTheHighestNumber() throws Exception {
-    ordered().respond(409, Map.of(), bytes("{\"highest\":52}"));
-    assertEquals(new InstanceEvent.OrderRefused(ENGINE, 7, 52), next());
+  void reportsARefusalWithTheHighestFencingToken() throws Exception {
+    sendOrder().respond(409, Map.of(), bytes("{\"highest\":52}"));
+    assertEquals(new InstanceEvent.OrderRefused(ENGINE, 7, 52), nextEvent());
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"409 {}", "409 x", "500 {}", "404 {}"})
-  void tellsOfAFailureByAnyOtherAnswer(String answer) throws Exception {
-    ordered()
+  void reportsAnyOtherAnswerAsAFailure(String answer) throws Exception {
+    sendOrder()
         .respond(Integer.parseInt(answer.substring(0, 3)), Map.of(), bytes(answer.substring(4)));
-    assertInstanceOf(InstanceEvent.OrderFailed.class, next());
+    assertInstanceOf(InstanceEvent.OrderFailed.class, nextEvent());
   }
 
   @Test
-  void readsWhatAnEngineHas() throws Exception {
-    HttpExchange exchange = asked();
+  void readsTheStateOfAnEngine() throws Exception {
+    HttpExchange exchange = queryState();
     assertEquals("GET /orders/state", exchange.method() + " " + exchange.path());
     exchange.respond(
         200,
@@ -99,7 +99,7 @@
     assertEquals(
         new InstanceEvent.OrderStateReported(
             ENGINE, new EngineState(Map.of("clerk", "3"), Map.of("wool", "1"), "mixed")),
-        next());
+        nextEvent());
   }
 
   @ParameterizedTest
@@ -110,8 +110,10 @@
         "{\"models\":{},\"adapters\":{}}",
         "{\"models\":{\"clerk\":3},\"adapters\":{},\"role\":\"mixed\"}"
       })
-  void takesNothingFromAReportThatLacksAField(String body) throws Exception {
-    asked().respond(200, Map.of(), bytes(body));
-    assertInstanceOf(InstanceEvent.OrderStateUnknown.class, next());
+  void ignoresAReportThatLacksAField(String body) throws Exception {
+    // Guards against models that are loaded again: an absent field must not be read as an empty
+    // one.
+    queryState().respond(200, Map.of(), bytes(body));
+    assertInstanceOf(InstanceEvent.OrderStateUnknown.class, nextEvent());
   }
 }
--- a/teaseldeal-router/src/test/java/org/teaseldeal/router/backend/SseParserTests.java
+++ b/teaseldeal-router/src/test/java/org/teaseldeal/router/backend/SseParserTests.java
@@ -18,7 +18,7 @@
       new SseParser(64, data -> events.add(new String(data, StandardCharsets.UTF_8)));
 
   @Test
-  void readsEventsHoweverTheyAreSplit() {
+  void readsEventsSplitAtAnyPosition() {
     byte[] text = TEXT.getBytes(StandardCharsets.UTF_8);
     for (int first = 0; first <= text.length; first++) {
       for (int second = first; second <= text.length; second++) {
@@ -34,13 +34,13 @@
   }
 
   @Test
-  void leavesOutAnEventWithoutItsEnd() {
+  void ignoresAnEventWithoutItsEnd() {
     parser.feed("data: cut".getBytes(StandardCharsets.UTF_8));
     assertEquals(List.of(), events);
   }
 
   @Test
-  void refusesAnEventBeyondTheBound() {
+  void refusesAnEventBeyondTheSizeLimit() {
     byte[] large = ("data: " + "x".repeat(64)).getBytes(StandardCharsets.UTF_8);
     assertThrows(IllegalArgumentException.class, () -> parser.feed(large));
   }
--- a/teaseldeal-router/src/test/java/org/teaseldeal/router/backend/package-info.java
+++ b/teaseldeal-router/src/test/java/org/teaseldeal/router/backend/package-info.java
@@ -1,4 +1,4 @@
-/** Tests of attempts at backend servers. */
+/** Tests of the calls to backend servers. */
 @NullMarked
 package org.teaseldeal.router.backend;
 
--- a/teaseldeal-router/src/test/java/org/teaseldeal/router/caller/ChatCompletionTests.java
+++ b/teaseldeal-router/src/test/java/org/teaseldeal/router/caller/ChatCompletionTests.java
@@ -14,7 +14,7 @@
   private static final String MESSAGES = "\"messages\":[{\"role\":\"user\",\"content\":\"hi\"}]";
 
   @Test
-  void passesOnWhatItDoesNotKnowAndLeavesModelAndCapOut() {
+  void forwardsUnknownFieldsAndRemovesModelAndOutputLimit() {
     ChatCompletion chat =
         read("{\"model\":\"a/b\",\"max_tokens\":9,\"temperature\":0.50," + MESSAGES + "}");
     assertEquals("a/b", chat.model());
@@ -27,7 +27,9 @@
   }
 
   @Test
-  void boundsTheInputByItsBytes() {
+  void boundsInputTokensByTheirBytes() {
+    // Guards against a bound that is too low for text of several bytes per character, or that
+    // depends on whether the caller escapes its characters.
     String text = "æ".repeat(500);
     ChatCompletion chat =
         read("{\"model\":\"b\",\"messages\":[{\"role\":\"user\",\"content\":\"" + text + "\"}]}");
@@ -68,7 +70,7 @@
           {"model":"b","messages":[{}],"max_tokens":1,"max_completion_tokens":2} | max_tokens and max_completion_tokens differ
           {"model":"b","messages":[{"content":[{"type":"image_url"}]}]} | a message has a part that is not of type text
           """)
-  void refuses(String body, String detail) {
+  void refusesInvalidBodies(String body, String detail) {
     IllegalArgumentException refused =
         assertThrows(IllegalArgumentException.class, () -> read(body));
     assertEquals(detail, refused.getMessage());
--- a/teaseldeal-router/src/test/java/org/teaseldeal/router/caller/RequestReaderTests.java
+++ b/teaseldeal-router/src/test/java/org/teaseldeal/router/caller/RequestReaderTests.java
@@ -12,9 +12,10 @@
 
 class RequestReaderTests {
   @Test
-  void countsTheTimeoutFromTheHead() {
-    // The caller waits 1500 ms from when it sent its head. What its body took to come is gone: with
-    // it added again, the answer would come when the caller has left.
+  void countsTheTimeoutFromTheRequestHead() {
+    // Guards against an answer that arrives after the caller has given up. The caller waits 1500 ms
+    // from the moment when it sent the head of its request, so the time in which its body arrived
+    // counts against the time-out.
     assertEquals(Duration.ofMillis(1500), timeout("1500", Duration.ZERO));
     assertEquals(Duration.ofMillis(1300), timeout("1500", Duration.ofMillis(200)));
     assertEquals(Duration.ofMillis(1), timeout("1500", Duration.ofMillis(1500)));
@@ -24,7 +25,7 @@
     FakeExchange exchange =
         new FakeExchange(
             "GET", "/services/team/desk", Map.of("Request-Timeout-Ms", header), "", sinceHead);
-    Result.Ok<ReadRequest> read = assertInstanceOf(Result.Ok.class, RequestReader.read(exchange));
+    Result.Ok<ParsedRequest> read = assertInstanceOf(Result.Ok.class, RequestReader.read(exchange));
     Optional<Duration> timeout = read.value().timeout();
     return timeout.orElseThrow();
   }
--- a/teaseldeal-router/src/test/java/org/teaseldeal/router/caller/package-info.java
+++ b/teaseldeal-router/src/test/java/org/teaseldeal/router/caller/package-info.java
@@ -1,4 +1,4 @@
-/** Tests of what callers see. */
+/** Tests of the parsing of callers' requests. */
 @NullMarked
 package org.teaseldeal.router.caller;
 
--- a/teaseldeal-router/src/test/java/org/teaseldeal/router/fake/Await.java
+++ b/teaseldeal-router/src/test/java/org/teaseldeal/router/fake/Await.java
@@ -3,18 +3,18 @@
 import java.time.Duration;
 import java.util.function.BooleanSupplier;
 
-/** Waits for what has to come about. */
+/** Waits for conditions that other threads make true. */
 public final class Await {
-  private static final Duration BOUND = Duration.ofSeconds(20);
+  private static final Duration TIMEOUT = Duration.ofSeconds(20);
 
   private Await() {}
 
-  /** Waits until {@code condition} holds; fails after a generous bound. */
+  /** Waits until {@code condition} holds; fails if it does not hold within 20 seconds. */
   public static void until(BooleanSupplier condition) throws InterruptedException {
-    long end = System.nanoTime() + BOUND.toNanos();
+    long end = System.nanoTime() + TIMEOUT.toNanos();
     while (!condition.getAsBoolean()) {
       if (System.nanoTime() > end) {
-        throw new AssertionError("did not come about within " + BOUND);
+        throw new AssertionError("condition did not hold within " + TIMEOUT);
       }
       Thread.sleep(2);
     }
