--- a/teaseldeal-router/src/test/java/org/teaseldeal/router/fake/FakeServer.java
+++ b/teaseldeal-router/src/test/java/org/teaseldeal/router/fake/FakeBackendServer.java
@@ -10,28 +10,30 @@
 import org.teaseldeal.net.HttpServerConfig;
 import org.teaseldeal.net.IpAddresses;
 
-/** A backend server whose answers a test gives; load reports are answered by themselves. */
-public final class FakeServer implements AutoCloseable {
+/** A backend server whose requests a test answers, except those for the load. */
+public final class FakeBackendServer implements AutoCloseable {
   private final LinkedBlockingQueue<HttpExchange> requests = new LinkedBlockingQueue<>();
   private final HttpServer server =
-      HttpServer.start(HttpServerConfig.defaults("127.0.0.1", 0), this::take);
+      HttpServer.start(HttpServerConfig.defaults("127.0.0.1", 0), this::handle);
 
-  public FakeServer() throws IOException {}
+  public FakeBackendServer() throws IOException {}
 
   public String address() {
     return IpAddresses.format(server.address());
   }
 
-  /** Takes the next request other than for load. */
-  public HttpExchange await() throws InterruptedException {
+  /**
+   * Waits for the next request other than for the load; fails if none arrives within 20 seconds.
+   */
+  public HttpExchange awaitRequest() throws InterruptedException {
     HttpExchange exchange = requests.poll(20, TimeUnit.SECONDS);
     if (exchange == null) {
-      throw new AssertionError("no request came");
+      throw new AssertionError("no request arrived within 20 s");
     }
     return exchange;
   }
 
-  /** Whether a request waits to be answered. */
+  /** Whether a request was received that {@link #awaitRequest} has not returned yet. */
   public boolean hasRequest() {
     return !requests.isEmpty();
   }
@@ -41,7 +43,7 @@
     server.close();
   }
 
-  /** A frame of an engine's answer as a server-sent event. */
+  /** Returns a frame of an engine's answer as a server-sent event. */
   public static byte[] frame(String attempt, int position, String content) {
     return event(
         """
@@ -50,7 +52,7 @@
             .formatted(content, attempt, position));
   }
 
-  /** The last chunk of an engine's answer, with usage, and the end mark. */
+  /** Returns the last chunk of an engine's answer, which carries the usage, and the end marker. */
   public static byte[] usage(String attempt, int frames, int input, int output) {
     return event(
         """
@@ -65,7 +67,7 @@
     return ("data: " + data + "\n\n").getBytes(StandardCharsets.UTF_8);
   }
 
-  private void take(HttpExchange exchange) {
+  private void handle(HttpExchange exchange) {
     if (exchange.path().equals("/load")) {
       exchange.respond(
           200,
--- a/teaseldeal-router/src/test/java/org/teaseldeal/router/fake/FakeExchange.java
+++ b/teaseldeal-router/src/test/java/org/teaseldeal/router/fake/FakeExchange.java
@@ -8,18 +8,18 @@
 import org.teaseldeal.net.HttpExchange;
 import org.teaseldeal.net.ResponseStream;
 
-/** A request to be read; it takes no answer. */
+/** A request without a connection; it can be read but not answered. */
 public record FakeExchange(
-    String method, String path, Map<String, String> named, String text, Duration sinceHead)
+    String method, String path, Map<String, String> headersByName, String text, Duration sinceHead)
     implements HttpExchange {
   @Override
   public List<Map.Entry<String, String>> headers() {
-    return List.copyOf(named.entrySet());
+    return List.copyOf(headersByName.entrySet());
   }
 
   @Override
   public Optional<String> header(String name) {
-    return Optional.ofNullable(named.get(name));
+    return Optional.ofNullable(headersByName.get(name));
   }
 
   @Override
--- a/teaseldeal-router/src/test/java/org/teaseldeal/router/fake/FakeInstance.java
+++ b/teaseldeal-router/src/test/java/org/teaseldeal/router/fake/FakeInstance.java
@@ -13,14 +13,14 @@
 import org.teaseldeal.router.instance.Instance;
 import org.teaseldeal.router.instance.Readiness;
 
-/** Keeps the events it is given, and gives the commands that a test puts in. */
+/** An instance that records the events it receives and issues the commands that a test adds. */
 public final class FakeInstance implements Instance {
   private final BlockingQueue<InstanceEvent> events = new LinkedBlockingQueue<>();
   private final ConcurrentLinkedQueue<InstanceCommand> commands = new ConcurrentLinkedQueue<>();
   private volatile boolean ready = true;
 
-  /** Gives a command at the next tick. */
-  public void give(InstanceCommand command) {
+  /** Issues {@code command} at the next tick. */
+  public void issue(InstanceCommand command) {
     commands.add(command);
   }
 
@@ -28,12 +28,15 @@
     ready = value;
   }
 
-  /** Takes the next event of {@code type}, and passes over others. */
-  public <T extends InstanceEvent> T await(Class<T> type) throws InterruptedException {
+  /**
+   * Waits for the next event of {@code type}, discarding events of other types; fails if none
+   * arrives within 20 seconds.
+   */
+  public <T extends InstanceEvent> T awaitEvent(Class<T> type) throws InterruptedException {
     while (true) {
       InstanceEvent event = events.poll(20, TimeUnit.SECONDS);
       if (event == null) {
-        throw new AssertionError("no " + type.getSimpleName());
+        throw new AssertionError("no event of type " + type.getSimpleName());
       }
       if (type.isInstance(event)) {
         return type.cast(event);
@@ -41,8 +44,10 @@
     }
   }
 
-  /** Whether an event of {@code type} waits. */
-  public boolean has(Class<? extends InstanceEvent> type) {
+  /**
+   * Whether an event of {@code type} was received that {@link #awaitEvent} has not returned yet.
+   */
+  public boolean hasEvent(Class<? extends InstanceEvent> type) {
     return events.stream().anyMatch(type::isInstance);
   }
 
@@ -56,9 +61,9 @@
 
   @Override
   public List<InstanceCommand> drainCommands() {
-    List<InstanceCommand> taken = List.copyOf(commands);
-    commands.removeAll(taken);
-    return taken;
+    List<InstanceCommand> drained = List.copyOf(commands);
+    commands.removeAll(drained);
+    return drained;
   }
 
   @Override
--- a/teaseldeal-router/src/test/java/org/teaseldeal/router/fake/FakePlatform.java
+++ b/teaseldeal-router/src/test/java/org/teaseldeal/router/fake/FakePlatform.java
@@ -21,15 +21,15 @@
 import org.teaseldeal.net.IpAddresses;
 import org.teaseldeal.net.NetRuntime;
 
-/** The platform's log and list in memory, over HTTP. */
+/** A platform that serves its log and its instance list from memory over HTTP. */
 public final class FakePlatform implements AutoCloseable {
   private static final StreamId STREAM = new StreamId(0);
   private static final IncarnationId OPERATOR = new IncarnationId("operator.1");
-  private static final long POLL_MILLIS = 20;
+  private static final long POLL_INTERVAL_MS = 20;
 
   private final List<String> records = new ArrayList<>();
-  private final Map<String, String> listed = new TreeMap<>();
-  private final List<String> writes = new ArrayList<>();
+  private final Map<String, String> entries = new TreeMap<>();
+  private final List<String> registrationRequests = new ArrayList<>();
   private final HttpServer server =
       HttpServer.start(HttpServerConfig.defaults("127.0.0.1", 0), this::handle);
   private long operatorSequence;
@@ -40,16 +40,16 @@
     return IpAddresses.format(server.address());
   }
 
-  /** Appends an operator's entries. */
+  /** Appends a batch of entries to the log in the name of an operator. */
   public synchronized void publish(Entry... entries) {
     append(
         BatchCodec.encode(
             new Batch(OPERATOR, ++operatorSequence, records.size() - 1L, List.of(entries))));
   }
 
-  /** Lists a backend server. */
-  public synchronized void list(String id, String role, String pool, String address) {
-    listed.put(
+  /** Adds a live backend server to the instance list. */
+  public synchronized void addBackendServer(String id, String role, String pool, String address) {
+    entries.put(
         id,
         """
         {"id":"%s","incarnation":"%s.1","role":"%s","pool":"%s","address":"%s",\
@@ -57,14 +57,14 @@
             .formatted(id, id, role, pool, address));
   }
 
-  /** Puts any text among the listed instances. */
-  public synchronized void listRaw(String id, String json) {
-    listed.put(id, json);
+  /** Adds {@code json} to the instance list as it is, even if it is not a valid entry. */
+  public synchronized void addRawEntry(String id, String json) {
+    entries.put(id, json);
   }
 
-  /** Methods and paths of the registrations so far, with their bodies. */
+  /** Returns the method, path and body of each registration request so far, in order. */
   public synchronized List<String> registrations() {
-    return List.copyOf(writes);
+    return List.copyOf(registrationRequests);
   }
 
   @Override
@@ -88,9 +88,9 @@
         read(exchange, Integer.parseInt(path.replaceAll(".*[?&]from=([0-9]+).*", "$1")), 50);
       }
     } else if (path.equals("/instances")) {
-      respond(exchange, list());
+      respond(exchange, addBackendServer());
     } else {
-      noteWrite(exchange);
+      recordRegistration(exchange);
       respond(exchange, "{}");
     }
   }
@@ -99,13 +99,13 @@
     return records.size();
   }
 
-  private synchronized String list() {
+  private synchronized String addBackendServer() {
     return "{\"as_of\":\"%s\",\"instances\":[%s]}"
-        .formatted(Instant.now(), String.join(",", listed.values()));
+        .formatted(Instant.now(), String.join(",", entries.values()));
   }
 
-  private synchronized void noteWrite(HttpExchange exchange) {
-    writes.add(
+  private synchronized void recordRegistration(HttpExchange exchange) {
+    registrationRequests.add(
         "%s %s %s"
             .formatted(
                 exchange.method(),
@@ -117,7 +117,8 @@
     if (from >= records.size() && polls > 0) {
       var unused =
           NetRuntime.group()
-              .schedule(() -> read(exchange, from, polls - 1), POLL_MILLIS, TimeUnit.MILLISECONDS);
+              .schedule(
+                  () -> read(exchange, from, polls - 1), POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
       return;
     }
     List<String> found = records.subList(Math.min(from, records.size()), records.size());
--- a/teaseldeal-router/src/test/java/org/teaseldeal/router/fake/RawConnection.java
+++ b/teaseldeal-router/src/test/java/org/teaseldeal/router/fake/RawConnection.java
@@ -5,15 +5,15 @@
 import java.nio.charset.StandardCharsets;
 import org.teaseldeal.net.IpAddresses;
 
-/** A plain socket that sends text as it is, and reads what comes back. */
+/** A client socket that sends text unchanged and reads the bytes of the answer as text. */
 public final class RawConnection implements AutoCloseable {
-  private static final int READ_TIMEOUT_MILLIS = 20_000;
+  private static final int READ_TIMEOUT_MS = 20_000;
 
   private final Socket socket = new Socket();
 
   public RawConnection(String address) throws IOException {
     socket.connect(IpAddresses.parse(address));
-    socket.setSoTimeout(READ_TIMEOUT_MILLIS);
+    socket.setSoTimeout(READ_TIMEOUT_MS);
   }
 
   public RawConnection send(String text) throws IOException {
@@ -26,18 +26,18 @@
     return this;
   }
 
-  /** Reads until the other side closes. */
+  /** Reads until the server closes the connection. */
   public String readToEnd() throws IOException {
     return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
   }
 
-  /** Reads until what was read ends with {@code suffix}. */
+  /** Reads until the text read so far ends with {@code suffix}. */
   public String readUntil(String suffix) throws IOException {
     StringBuilder read = new StringBuilder();
     while (!read.toString().endsWith(suffix)) {
       int next = socket.getInputStream().read();
       if (next < 0) {
-        throw new IOException("ended after '%s'".formatted(read));
+        throw new IOException("connection closed after '%s'".formatted(read));
       }
       read.append((char) next);
     }
--- a/teaseldeal-router/src/test/java/org/teaseldeal/router/fake/RouterFixture.java
+++ b/teaseldeal-router/src/test/java/org/teaseldeal/router/fake/RouterFixture.java
@@ -10,7 +10,7 @@
 import org.teaseldeal.router.settings.RouterLimits;
 import org.teaseldeal.router.settings.RouterSettings;
 
-/** Settings of routers under test: small limits, ports that the system chooses. */
+/** Settings of routers under test, with small limits and ports chosen by the operating system. */
 public final class RouterFixture {
   public static final RouterLimits LIMITS =
       new RouterLimits(
--- a/teaseldeal-router/src/test/java/org/teaseldeal/router/fake/package-info.java
+++ b/teaseldeal-router/src/test/java/org/teaseldeal/router/fake/package-info.java
@@ -1,4 +1,4 @@
-/** Fakes of what a router talks to, written by hand. */
+/** Fakes of the components and services that a router communicates with, and test fixtures. */
 @NullMarked
 package org.teaseldeal.router.fake;
 
--- a/teaseldeal-router/src/test/java/org/teaseldeal/router/peer/PeerTests.java
+++ b/teaseldeal-router/src/test/java/org/teaseldeal/router/peer/PeerMessagingTests.java
@@ -31,8 +31,8 @@
 import org.teaseldeal.wire.gen.peer.StateChunk;
 
 @Timeout(30)
-class PeerTests {
-  private static final PeerTimings QUICK =
+class PeerMessagingTests {
+  private static final PeerTimings SHORT_TIMINGS =
       new PeerTimings(
           Duration.ofMillis(20),
           Duration.ofMillis(200),
@@ -42,11 +42,12 @@
 
   private final MetricRegistry metrics = new MetricRegistry();
   private final LinkedBlockingQueue<InstanceEvent> events = new LinkedBlockingQueue<>();
-  private final PeerServer server = PeerServer.start("127.0.0.1", 0, QUICK, events::add, metrics);
+  private final PeerServer server =
+      PeerServer.start("127.0.0.1", 0, SHORT_TIMINGS, events::add, metrics);
   private final PeerSender sender =
-      new PeerSender(new IncarnationId("r2.y"), QUICK, new Random(1), metrics);
+      new PeerSender(new IncarnationId("r2.y"), SHORT_TIMINGS, new Random(1), metrics);
 
-  PeerTests() throws IOException {}
+  PeerMessagingTests() throws IOException {}
 
   @AfterEach
   void close() {
@@ -55,31 +56,34 @@
   }
 
   @Test
-  void messagesArriveInOrderUnderTheSendersName() throws Exception {
+  void messagesArriveInOrderWithTheSendersIncarnation() throws Exception {
     for (int i = 1; i <= 100; i++) {
       send(server.address(), message(i));
     }
     for (int i = 1; i <= 100; i++) {
-      assertEquals(new InstanceEvent.PeerReceived(new IncarnationId("r2.y"), message(i)), next());
+      assertEquals(
+          new InstanceEvent.PeerReceived(new IncarnationId("r2.y"), message(i)), nextEvent());
     }
   }
 
   @Test
-  void aConnectionInUseIsNotTakenForSilent() throws Exception {
-    // Messages go one way only. Were nothing to come back, the sender would close a working
-    // connection again and again, and lose what is on its way.
-    long end = System.nanoTime() + QUICK.silence().multipliedBy(4).toNanos();
+  void aConnectionInUseIsNotClosedAsSilent() throws Exception {
+    // Guards against reconnections that lose messages in flight. Messages travel in one direction
+    // only. If the receiver sent nothing back, the sender would consider a working connection
+    // silent and close it again and again.
+    long end = System.nanoTime() + SHORT_TIMINGS.silenceTimeout().multipliedBy(4).toNanos();
     while (System.nanoTime() < end) {
       send(server.address(), message(1));
-      next();
+      nextEvent();
     }
     assertEquals(0, metrics.counter("peer_reconnects").getCount());
   }
 
   @Test
-  void unknownAndUnreadableMessagesAreCountedAndTheConnectionLivesOn() throws Exception {
-    // A newer instance sends a kind, a version and octets that this one doesn't know. Closing would
-    // lose the messages that both know.
+  void unknownAndUndecodableMessagesAreCountedAndTheConnectionStaysOpen() throws Exception {
+    // Guards against connections that a newer instance can't use. It sends a version and a kind of
+    // message that this instance doesn't know, and bytes that it can't decode. Closing the
+    // connection would lose the messages that both instances know.
     try (Socket socket = new Socket()) {
       socket.connect(server.address());
       DataOutputStream out = new DataOutputStream(socket.getOutputStream());
@@ -88,39 +92,43 @@
       writeFrame(out, new byte[] {127, 127, 127});
       writeFrame(out, new byte[(1 << 20) + 100]);
       writeFrame(out, envelope(1, message(5)));
-      assertEquals(new InstanceEvent.PeerReceived(new IncarnationId("r2.y"), message(5)), next());
+      assertEquals(
+          new InstanceEvent.PeerReceived(new IncarnationId("r2.y"), message(5)), nextEvent());
     }
     assertEquals(2, metrics.counter("peer_messages_unknown").getCount());
     assertEquals(2, metrics.counter("peer_messages_undecodable").getCount());
   }
 
   @Test
-  void aSilentConnectionIsReplacedByAnother() throws Exception {
-    // The first connection takes everything and answers nothing, like one that a device in between
-    // has lost track of. The sender opens another, over which later messages arrive.
-    List<Socket> taken = new ArrayList<>();
+  void aSilentConnectionIsReplaced() throws Exception {
+    // Guards against a sender that keeps losing messages on a broken connection. The first one
+    // accepts everything and never answers, as after a device on the network path has dropped the
+    // state of the connection. The sender opens another connection.
+    List<Socket> accepted = new ArrayList<>();
     try (ServerSocket silent = new ServerSocket(0, 10, InetAddress.getByName("127.0.0.1"))) {
       InetSocketAddress address = (InetSocketAddress) silent.getLocalSocketAddress();
       send(address, message(1));
-      taken.add(silent.accept());
-      while (taken.size() < 2) {
+      accepted.add(silent.accept());
+      while (accepted.size() < 2) {
         send(address, message(2));
         silent.setSoTimeout(50);
         try {
-          taken.add(silent.accept());
+          accepted.add(silent.accept());
         } catch (java.net.SocketTimeoutException e) {
           continue;
         }
       }
-      assertEquals(2, taken.size());
+      assertEquals(2, accepted.size());
     }
-    for (Socket socket : taken) {
+    for (Socket socket : accepted) {
       socket.close();
     }
   }
 
   @Test
-  void messagesForAnAbsentPeerAreBoundedAndTheOldestDropped() throws Exception {
+  void messagesForAnAbsentPeerAreBoundedAndTheOldestAreDropped() throws Exception {
+    // Guards against a queue that grows without limit while a peer can't be reached. It holds 1024
+    // envelopes, so 100 of the 1124 are dropped.
     InetSocketAddress address;
     try (ServerSocket closed = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
       address = (InetSocketAddress) closed.getLocalSocketAddress();
@@ -130,8 +138,9 @@
     }
     Await.until(() -> metrics.counter("peer_messages_dropped").getCount() == 100);
     try (PeerServer late =
-        PeerServer.start("127.0.0.1", address.getPort(), QUICK, events::add, metrics)) {
-      assertEquals(new InstanceEvent.PeerReceived(new IncarnationId("r2.y"), message(101)), next());
+        PeerServer.start("127.0.0.1", address.getPort(), SHORT_TIMINGS, events::add, metrics)) {
+      assertEquals(
+          new InstanceEvent.PeerReceived(new IncarnationId("r2.y"), message(101)), nextEvent());
     }
   }
 
@@ -139,10 +148,10 @@
     sender.send(new InstanceCommand.SendPeer(IpAddresses.format(address), message));
   }
 
-  private InstanceEvent next() throws InterruptedException {
+  private InstanceEvent nextEvent() throws InterruptedException {
     InstanceEvent event = events.poll(20, TimeUnit.SECONDS);
     if (event == null) {
-      throw new AssertionError("no message came");
+      throw new AssertionError("no message arrived within 20 s");
     }
     return event;
   }
@@ -156,18 +165,19 @@
         .serialize(new Envelope(version, "r2.y", message));
   }
 
-  /** An envelope whose message is of a kind with a number that no kind has. */
+  /** Returns an envelope whose message has the field number of no known kind. */
   private static byte[] withUnknownKind() throws Exception {
     byte[] bytes = envelope(1, Message.stateChunk(new StateChunk()));
-    // Compact protocol: the kind's field header is the second byte from the message's start; field
-    // 10 is the delta 10 with type struct (12), to be replaced by delta 15.
+    // In the compact protocol, a field header holds the difference to the preceding field number in
+    // its upper four bits and the type in its lower four. The message's kind is field 10 of type
+    // struct (12), with difference 10. It is replaced by difference 15, a field that no kind has.
     for (int i = 0; i < bytes.length; i++) {
       if (bytes[i] == (byte) 0xac) {
         bytes[i] = (byte) 0xfc;
         return bytes;
       }
     }
-    throw new AssertionError("the kind was not found");
+    throw new AssertionError("the field header of the message's kind was not found");
   }
 
   private static void writeFrame(DataOutputStream out, byte[] bytes) throws IOException {
--- a/teaseldeal-router/src/test/java/org/teaseldeal/router/peer/package-info.java
+++ b/teaseldeal-router/src/test/java/org/teaseldeal/router/peer/package-info.java
@@ -1,4 +1,4 @@
-/** Tests of the messages between instances. */
+/** Tests of the messaging between instances. */
 @NullMarked
 package org.teaseldeal.router.peer;
 
--- a/teaseldeal-router/src/test/java/org/teaseldeal/router/platform/PlatformAnswerTests.java
+++ b/teaseldeal-router/src/test/java/org/teaseldeal/router/platform/PlatformAnswerTests.java
@@ -19,29 +19,29 @@
   private static final StreamId STREAM = new StreamId(0);
 
   @Nested
-  class OfTheLog {
+  class LogAnswers {
     private final LogCommand.Append append = new LogCommand.Append(STREAM, 3, new byte[0]);
     private final LogCommand.Read read = new LogCommand.Read(STREAM, 5);
 
     @Test
-    void tellAnOffset() {
+    void carryTheAppendedOffset() {
       assertEquals(
           new LogEvent.AppendAnswered(STREAM, 3, 8),
-          LogIo.appendEvent(append, answer(200, "{\"offset\":8}"), null));
+          LogClient.appendEvent(append, answer(200, "{\"offset\":8}"), null));
     }
 
     @Test
-    void tellAFailure() {
+    void withErrorsBecomeFailureEvents() {
       for (HttpAnswer answer : List.of(answer(429, ""), answer(503, ""), answer(200, "{}"))) {
-        assertInstanceOf(LogEvent.AppendFailed.class, LogIo.appendEvent(append, answer, null));
-        assertInstanceOf(LogEvent.ReadFailed.class, LogIo.readEvent(read, answer, null));
+        assertInstanceOf(LogEvent.AppendFailed.class, LogClient.appendEvent(append, answer, null));
+        assertInstanceOf(LogEvent.ReadFailed.class, LogClient.readEvent(read, answer, null));
       }
     }
 
     @Test
-    void tellRecords() {
+    void carryRecords() {
       LogEvent event =
-          LogIo.readEvent(
+          LogClient.readEvent(
               read,
               answer(
                   200,
@@ -57,18 +57,19 @@
     }
 
     @Test
-    void tellAnExpiredOffset() {
+    void reportAnExpiredOffset() {
       assertEquals(
           new LogEvent.OffsetExpired(STREAM, 5, 9, 12),
-          LogIo.readEvent(read, answer(410, "{\"earliest\":9,\"next\":12}"), null));
+          LogClient.readEvent(read, answer(410, "{\"earliest\":9,\"next\":12}"), null));
     }
   }
 
   @Nested
-  class OfTheList {
+  class InstanceListAnswers {
     @Test
-    void leaveOutOnlyEntriesThatCannotBeRead() {
-      InstanceListReader list =
+    void omitOnlyUnreadableEntries() {
+      // Guards against one invalid entry that makes all other instances unavailable.
+      InstanceList list =
           read(
               """
               {"instances":[
@@ -80,7 +81,7 @@
               7,
               {"id":"r2","incarnation":"r2.a","role":"router","address":"127.0.0.1:7",\
               "peer_address":"127.0.0.1:8","data_centre":"dc","state":"live"}]}""");
-      assertEquals(3, list.unreadable());
+      assertEquals(3, list.unreadableEntries());
       ListedServer engine = list.engines().getFirst();
       assertEquals("e1.a", engine.id().name());
       assertEquals(true, engine.leaving());
@@ -89,12 +90,12 @@
     }
 
     @Test
-    void areNoneWithoutInstances() {
+    void areRefusedWithoutInstances() {
       assertThrows(IllegalArgumentException.class, () -> read("{}"));
     }
 
-    private static InstanceListReader read(String json) {
-      return InstanceListReader.read(json.getBytes(StandardCharsets.UTF_8));
+    private static InstanceList read(String json) {
+      return InstanceList.read(json.getBytes(StandardCharsets.UTF_8));
     }
   }
 
--- a/teaseldeal-router/src/test/java/org/teaseldeal/router/platform/package-info.java
+++ b/teaseldeal-router/src/test/java/org/teaseldeal/router/platform/package-info.java
@@ -1,4 +1,4 @@
-/** Tests of how the platform's answers are read. */
+/** Tests of the parsing of the platform's answers. */
 @NullMarked
 package org.teaseldeal.router.platform;
 
