--- a/teaseldeal-api/src/main/java/org/teaseldeal/api/Problem.java
+++ b/teaseldeal-api/src/main/java/org/teaseldeal/api/Problem.java
@@ -42,7 +42,7 @@
    * and it would be run twice. The run status of a problem that another attempt might not meet is
    * therefore unknown.
    */
-  public Problem ofOneTryAmongOthers() {
+  public Problem forKeyedRequest() {
     return kind.isTransient() ? new Problem(kind, detail, retryAfter, RunStatus.UNKNOWN) : this;
   }
 }
--- a/teaseldeal-api/src/main/java/org/teaseldeal/api/Sha256.java
+++ b/teaseldeal-api/src/main/java/org/teaseldeal/api/Sha256.java
@@ -10,7 +10,7 @@
   private Sha256() {}
 
   /** Returns a new digest, to be updated in parts. */
-  public static MessageDigest begin() {
+  public static MessageDigest newDigest() {
     try {
       return MessageDigest.getInstance("SHA-256");
     } catch (NoSuchAlgorithmException e) {
@@ -20,7 +20,7 @@
 
   /** Returns the digest of a string. */
   public static byte[] of(String text) {
-    return begin().digest(text.getBytes(StandardCharsets.UTF_8));
+    return newDigest().digest(text.getBytes(StandardCharsets.UTF_8));
   }
 
   /** Returns the digest of a string as 64 hexadecimal digits in lower case. */
@@ -30,6 +30,6 @@
 
   /** Returns the digest of {@code bytes} as 64 hexadecimal digits in lower case. */
   public static String hex(byte[] bytes) {
-    return HexFormat.of().formatHex(begin().digest(bytes));
+    return HexFormat.of().formatHex(newDigest().digest(bytes));
   }
 }
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/cost/TimedAnswer.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/cost/TimedAnswer.java
@@ -25,7 +25,7 @@
   }
 
   @Override
-  public void onPart(byte[] part) {
+  public void onBodyPart(byte[] part) {
     if (first == 0) {
       first = micros();
     }
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/LedgerAudit.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/LedgerAudit.java
@@ -11,7 +11,7 @@
 import org.teaseldeal.ledger.AccountId;
 import org.teaseldeal.ledger.LogRecord;
 import org.teaseldeal.ledger.StreamId;
-import org.teaseldeal.ledger.fold.KeyRules;
+import org.teaseldeal.ledger.fold.KeyRetention;
 import org.teaseldeal.ledger.fold.LedgerFold;
 import org.teaseldeal.ledger.fold.SettingsValidator;
 import org.teaseldeal.ledger.outcome.Outcome;
@@ -25,7 +25,7 @@
   private static final StreamId STREAM = new StreamId(0);
 
   private final LedgerFold fold =
-      new LedgerFold(STREAM, KeyRules.DEFAULT, SettingsValidator.STANDARD);
+      new LedgerFold(STREAM, KeyRetention.DEFAULT, SettingsValidator.STANDARD);
   private final Map<RequestId, List<Outcome.Charged>> charges = new HashMap<>();
   private long repeatedCharges;
   private long records;
@@ -83,7 +83,7 @@
   /** The first budget that does not add up from its leases, if there is one. */
   public List<String> imbalances() {
     List<String> problems = new ArrayList<>();
-    fold.state().imbalance().ifPresent(problems::add);
+    fold.state().findImbalance().ifPresent(problems::add);
     return problems;
   }
 
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/FaultKind.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/FaultKind.java
@@ -16,20 +16,21 @@
     void strike(FaultRun run, FaultStep step) {
       Duration usual = Duration.ofMillis(2);
       Duration slow = Duration.ofMillis(50 + step.pick() % 650);
-      run.during(step, () -> run.log().oneWay = slow, () -> run.log().oneWay = usual);
+      run.during(step, () -> run.log().oneWayDelay = slow, () -> run.log().oneWayDelay = usual);
     }
   },
   LOST_ANSWERS {
     @Override
     void strike(FaultRun run, FaultStep step) {
-      run.during(step, () -> run.log().losesAnswers = true, () -> run.log().losesAnswers = false);
+      run.during(
+          step, () -> run.log().losesResponses = true, () -> run.log().losesResponses = false);
     }
   },
   FREEZE {
     @Override
     void strike(FaultRun run, FaultStep step) {
       var instance = run.instance(step.pick());
-      run.during(step, instance::freeze, instance::wake);
+      run.during(step, instance::suspend, instance::resume);
     }
   },
   PARTITION {
@@ -60,7 +61,7 @@
     @Override
     void strike(FaultRun run, FaultStep step) {
       var server = run.server(step.pick());
-      run.during(step, server::crash, () -> server.gone = false);
+      run.during(step, server::crash, () -> server.down = false);
     }
   },
   SILENT_SERVER {
@@ -80,7 +81,7 @@
     @Override
     void strike(FaultRun run, FaultStep step) {
       var server = run.server(step.pick());
-      run.during(step, () -> server.refuses = true, () -> server.refuses = false);
+      run.during(step, () -> server.refusesRequests = true, () -> server.refusesRequests = false);
     }
   },
   LEAVING_SERVER {
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/FaultRun.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/FaultRun.java
@@ -21,7 +21,7 @@
 import org.teaseldeal.core.fake.FakeInstance;
 import org.teaseldeal.core.fake.FakeLog;
 import org.teaseldeal.core.fake.FakeServer;
-import org.teaseldeal.core.part.InstanceParts;
+import org.teaseldeal.core.part.InstancePolicies;
 import org.teaseldeal.ledger.AccountId;
 import org.teaseldeal.ledger.entry.Entry;
 import org.teaseldeal.ledger.outcome.Outcome;
@@ -57,10 +57,10 @@
   private int calls;
   private int operations;
 
-  private FaultRun(FaultPlan plan, UnaryOperator<InstanceParts> change) {
+  private FaultRun(FaultPlan plan, UnaryOperator<InstancePolicies> change) {
     this.plan = plan;
     fleet = FakeFleet.withBudget(plan.seed(), plan.budget(), plan.deployment().lease());
-    fleet.change(change);
+    fleet.changePolicies(change);
     fleet.addServer("desk-b", "desks");
     instances = new ArrayList<>(fleet.startReady("r1", "r2", "r3"));
     start = fleet.simulation().instant();
@@ -69,7 +69,7 @@
   }
 
   /** The history of a plan and what it cost, with parts of the instances changed. */
-  static Result play(FaultPlan plan, UnaryOperator<InstanceParts> change) {
+  static Result play(FaultPlan plan, UnaryOperator<InstancePolicies> change) {
     FaultRun run = new FaultRun(plan, change);
     run.play();
     return new Result(plan, run.history, run.cost());
@@ -109,7 +109,7 @@
               step.hangUpAfter(),
               () -> {
                 if (!call.ended()) {
-                  instance.hangUp(call);
+                  instance.disconnect(call);
                   history.add(new HistoryEvent.HungUp(now(), number));
                 }
               });
@@ -168,7 +168,7 @@
         each.number,
         call.request().map(Object::toString).orElse(""),
         end(each),
-        call.ends(),
+        call.finalAnswerCount(),
         call.plainBody().map(List::of).orElseGet(call::frames),
         call.error().map(kind -> kind.label()).orElse(null),
         call.problem().map(problem -> problem.run().label()).orElse(null),
@@ -199,15 +199,15 @@
 
   private void heal() {
     fleet.log().down = false;
-    fleet.log().losesAnswers = false;
-    fleet.log().oneWay = Duration.ofMillis(2);
-    instances.forEach(FakeInstance::wake);
+    fleet.log().losesResponses = false;
+    fleet.log().oneWayDelay = Duration.ofMillis(2);
+    instances.forEach(FakeInstance::resume);
   }
 
   private void conclude() {
     for (String name : SERVERS) {
       FakeServer server = fleet.serverOf(name);
-      for (FakeServer.Start each : server.startLog()) {
+      for (FakeServer.RunStart each : server.runStarts()) {
         long at = Duration.between(start, each.at()).toMillis();
         history.add(new HistoryEvent.Ran(at, name, each.request().value()));
       }
@@ -289,7 +289,7 @@
   /** An operator takes a frozen instance for gone; it wakes up and goes on. */
   void retireFrozen(FaultStep step) {
     FakeInstance frozen = instance(step.pick());
-    during(step, frozen::freeze, frozen::wake);
+    during(step, frozen::suspend, frozen::resume);
     fleet.log().write("ops", new Entry.Retire(frozen.incarnation(), "ops"));
     changed(frozen, Change.RETIRED);
     replaceOnceStopped(frozen);
@@ -321,17 +321,17 @@
     FakeServer server = fleet.serverOf(pick % 2 == 0 ? "engine-b" : "desk-b");
     server.leaving = true;
     history.add(new HistoryEvent.Leaving(now(), server.id().name()));
-    fleet.simulation().after(LEAVING_FOR, () -> server.gone = true);
+    fleet.simulation().after(LEAVING_FOR, () -> server.down = true);
   }
 
   void staleList(FaultStep step) {
     FakeInstance instance = instance(step.pick());
-    during(step, () -> fleet.freezeListOf(instance), () -> fleet.thawListOf(instance));
+    during(step, () -> fleet.freezeListOf(instance), () -> fleet.unfreezeListOf(instance));
   }
 
   void crashingRequest(FaultStep step) {
-    fleet.serverOf("engine-a").endsOn = CRASHING_PROMPT;
-    fleet.serverOf("engine-b").endsOn = CRASHING_PROMPT;
+    fleet.serverOf("engine-a").crashPrompt = CRASHING_PROMPT;
+    fleet.serverOf("engine-b").crashPrompt = CRASHING_PROMPT;
     for (int i = 0; i < 3; i++) {
       FakeInstance instance = instance(step.pick() + i);
       FakeCall call = instance.callModel("mill", "drafts", Optional.of("crash"), TIMEOUT);
@@ -342,8 +342,8 @@
         .after(
             step.lasting(),
             () -> {
-              fleet.serverOf("engine-a").gone = false;
-              fleet.serverOf("engine-b").gone = false;
+              fleet.serverOf("engine-a").down = false;
+              fleet.serverOf("engine-b").down = false;
             });
   }
 
@@ -362,7 +362,7 @@
     for (String operator : List.of("ops-a-" + ++operations, "ops-b-" + operations)) {
       publishedAt.put(operator, now());
     }
-    fleet.raceFleetSettings("ops-a-" + operations, "ops-b-" + operations);
+    fleet.publishFleetSettingsConcurrently("ops-a-" + operations, "ops-b-" + operations);
   }
 
   private long now() {
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/load/AnswerWatch.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/load/AnswerWatch.java
@@ -65,7 +65,7 @@
   }
 
   @Override
-  public void onPart(byte[] part) {
+  public void onBodyPart(byte[] part) {
     if (!streamed) {
       body.writeBytes(part);
       return;
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/scenario/ScenarioParser.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/scenario/ScenarioParser.java
@@ -36,7 +36,7 @@
     return new Scenario(
         root.name("name"),
         root.text("title"),
-        root.integer("seed", 1, 0, Long.MAX_VALUE),
+        root.longInRange("seed", 1, 0, Long.MAX_VALUE),
         root.duration("duration", Duration.ofSeconds(30), Duration.ofSeconds(1), Scenario.LONGEST),
         flows,
         phases,
@@ -44,7 +44,7 @@
   }
 
   private static Flow readFlow(String name, TomlReader flow) {
-    Flow.Kind kind = flow.oneOf("kind", Flow.Kind.MODEL);
+    Flow.Kind kind = flow.enumConstant("kind", Flow.Kind.MODEL);
     String team = flow.name("team");
     String customer = flow.name("customer");
     return new Flow(
@@ -53,10 +53,10 @@
         ServiceId.of(team, flow.name("service")),
         CustomerId.parse(team + "/" + customer),
         flow.text("token", "example-" + customer),
-        flow.fraction("per_second", 1, 0.001, MAX_RATE),
-        flow.smallInteger("prefix_words", 0, 0, 100_000),
-        flow.smallInteger("prompt_words", 20, 0, 100_000),
-        flow.smallInteger("output_tokens", 20, 1, 100_000),
+        flow.doubleInRange("per_second", 1, 0.001, MAX_RATE),
+        flow.intInRange("prefix_words", 0, 0, 100_000),
+        flow.intInRange("prompt_words", 20, 0, 100_000),
+        flow.intInRange("output_tokens", 20, 1, 100_000),
         flow.duration("timeout", Duration.ofSeconds(10), MILLISECOND, MINUTE.multipliedBy(30)),
         flow.bool("keyed", false),
         flow.bool("stream", kind == Flow.Kind.MODEL));
@@ -69,13 +69,13 @@
       phase.addProblem("to", "was not after from, expected a later time");
       to = from.plusSeconds(1);
     }
-    List<String> named = phase.texts("flows");
+    List<String> named = phase.textList("flows");
     named.stream()
         .filter(name -> !flows.contains(name))
         .forEach(
             name ->
                 phase.addProblem("flows", "names '%s', expected one of the flows".formatted(name)));
-    return new Phase(from, to, phase.fraction("factor", 1, 0, 1_000), Set.copyOf(named));
+    return new Phase(from, to, phase.doubleInRange("factor", 1, 0, 1_000), Set.copyOf(named));
   }
 
   private static FaultStep readFault(TomlReader fault) {
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/slope/FoldedLog.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/slope/FoldedLog.java
@@ -11,10 +11,10 @@
 import org.teaseldeal.ledger.codec.Batch;
 import org.teaseldeal.ledger.codec.BatchCodec;
 import org.teaseldeal.ledger.entry.Entry;
-import org.teaseldeal.ledger.fold.KeyRules;
+import org.teaseldeal.ledger.fold.EntryOutcome;
+import org.teaseldeal.ledger.fold.KeyRetention;
 import org.teaseldeal.ledger.fold.LedgerFold;
 import org.teaseldeal.ledger.fold.SettingsValidator;
-import org.teaseldeal.ledger.fold.Settled;
 import org.teaseldeal.ledger.outcome.Outcome;
 
 /** A log in memory with one writer, and the fold over it. */
@@ -27,7 +27,7 @@
   private long offset = -1;
 
   static LedgerFold newFold() {
-    return new LedgerFold(StreamId.FLEET, KeyRules.DEFAULT, SettingsValidator.STANDARD);
+    return new LedgerFold(StreamId.FLEET, KeyRetention.DEFAULT, SettingsValidator.STANDARD);
   }
 
   LedgerFold fold() {
@@ -50,7 +50,7 @@
   /** Folds records; an entry that is refused would make every figure wrong. */
   void fold(List<LogRecord> records) {
     for (LogRecord record : records) {
-      for (Settled settled : fold.fold(record)) {
+      for (EntryOutcome settled : fold.fold(record)) {
         if (settled.outcome() instanceof Outcome.Rejected rejected) {
           throw new IllegalStateException("Entry was refused: " + rejected);
         }
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/slope/SoloInstance.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/slope/SoloInstance.java
@@ -211,11 +211,11 @@
 
   private void hear() {
     if (every(LIST_INTERVAL)) {
-      inbox.add(new InstanceEvent.ListRead(peers, servers));
+      inbox.add(new InstanceEvent.PlatformListRead(peers, servers));
       for (byte[] heartbeat : heartbeats) {
         Envelope envelope = read(heartbeat);
         inbox.add(
-            new InstanceEvent.PeerReceived(
+            new InstanceEvent.PeerMessageReceived(
                 new IncarnationId(envelope.getSender()), envelope.getMessage()));
       }
     }
@@ -241,18 +241,18 @@
     int from = (int) Math.min(read.fromOffset(), log.size());
     List<LogRecord> records = log.subList(from, log.size());
     inbox.add(
-        new InstanceEvent.LogNews(
+        new InstanceEvent.LogResponseReceived(
             new LogEvent.RecordsRead(StreamId.FLEET, read.fromOffset(), records, 0, log.size())));
   }
 
   private void carryOut(InstanceCommand command) {
     switch (command) {
       case InstanceCommand.StartAttempt start -> attempts.add(start.attempt());
-      case InstanceCommand.AtLog at -> atLog(at.command());
-      case InstanceCommand.SendPeer send -> send(send);
-      case InstanceCommand.Refuse refuse ->
+      case InstanceCommand.RunLogCommand at -> atLog(at.command());
+      case InstanceCommand.SendPeerMessage send -> send(send);
+      case InstanceCommand.RefuseCall refuse ->
           throw new IllegalStateException("Call was refused: " + refuse.problem());
-      case InstanceCommand.BreakStream broken ->
+      case InstanceCommand.AbortStream broken ->
           throw new IllegalStateException("Stream broke: " + broken.problem());
       default -> {
         // An answer to a caller, which nobody waits for here.
@@ -267,8 +267,8 @@
         appendedBytes += append.payload().length;
         log.add(new LogRecord(log.size(), now, append.payload()));
         inbox.add(
-            new InstanceEvent.LogNews(
-                new LogEvent.AppendAnswered(StreamId.FLEET, append.token(), log.size() - 1L)));
+            new InstanceEvent.LogResponseReceived(
+                new LogEvent.AppendAcknowledged(StreamId.FLEET, append.token(), log.size() - 1L)));
       }
       case LogCommand.Read read -> {
         pendingRead = read;
@@ -277,7 +277,7 @@
     }
   }
 
-  private void send(InstanceCommand.SendPeer command) {
+  private void send(InstanceCommand.SendPeerMessage command) {
     Message message = command.message();
     int bytes = write(incarnation(0), message).length + LENGTH_PREFIX_BYTES;
     peerBytes += bytes;
@@ -298,7 +298,7 @@
   private void answer(String address, Message message) {
     for (int number = 1; number <= peers.size(); number++) {
       if (address(number).equals(address)) {
-        inbox.add(new InstanceEvent.PeerReceived(incarnation(number), message));
+        inbox.add(new InstanceEvent.PeerMessageReceived(incarnation(number), message));
       }
     }
   }
--- a/teaseldeal-bench/src/test/java/org/teaseldeal/bench/fault/FaultRunTests.java
+++ b/teaseldeal-bench/src/test/java/org/teaseldeal/bench/fault/FaultRunTests.java
@@ -9,7 +9,7 @@
 import java.util.function.UnaryOperator;
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
-import org.teaseldeal.core.part.InstanceParts;
+import org.teaseldeal.core.part.InstancePolicies;
 import org.teaseldeal.ledger.outcome.Outcome;
 
 class FaultRunTests {
@@ -22,12 +22,12 @@
     return FaultRun.play(plan, UnaryOperator.identity()).history();
   }
 
-  private static List<String> violations(UnaryOperator<InstanceParts> change) {
+  private static List<String> violations(UnaryOperator<InstancePolicies> change) {
     return violations(ALL, SEEDS, change);
   }
 
   private static List<String> violations(
-      Set<FaultKind> kinds, long seeds, UnaryOperator<InstanceParts> change) {
+      Set<FaultKind> kinds, long seeds, UnaryOperator<InstancePolicies> change) {
     return LongStream.rangeClosed(1, seeds)
         .parallel()
         .mapToObj(seed -> FaultPlan.draw(seed, Deployment.AARHUS, kinds))
@@ -72,7 +72,7 @@
     assertReports(
         violations(
             parts ->
-                parts.withClaims(
+                parts.withClaimConfirmation(
                     (claim, ledger, then) -> {
                       ledger.submit(claim, outcome -> {});
                       then.accept(new Outcome.ClaimWon(claim.key()));
@@ -84,7 +84,7 @@
   @Test
   void reportsOverspendIfLessThanTheWorstCaseIsReserved() {
     assertReports(
-        violations(parts -> parts.withReservations((payload, service, cap) -> 1)),
+        violations(parts -> parts.withReservationRule((payload, service, cap) -> 1)),
         Promise.NO_OVERSPEND);
   }
 
@@ -92,7 +92,7 @@
   @Test
   void reportsASecondRunIfAnythingMayBeRunAgain() {
     assertReports(
-        violations(CRASHES, 4 * SEEDS, parts -> parts.withReruns(service -> true)),
+        violations(CRASHES, 4 * SEEDS, parts -> parts.withRerunRule(service -> true)),
         Promise.AT_MOST_ONCE);
     assertEquals(List.of(), violations(CRASHES, 4 * SEEDS, UnaryOperator.identity()));
   }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/InstanceCore.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/InstanceCore.java
@@ -5,7 +5,7 @@
 import java.util.random.RandomGenerator;
 import org.teaseldeal.core.command.InstanceCommand;
 import org.teaseldeal.core.event.InstanceEvent;
-import org.teaseldeal.core.part.InstanceParts;
+import org.teaseldeal.core.part.InstancePolicies;
 import org.teaseldeal.core.system.InstanceSystems;
 
 /**
@@ -21,12 +21,12 @@
 
   /** Creates an instance with the standard policies. */
   public InstanceCore(InstanceConfig config, InstantSource clock, RandomGenerator random) {
-    this(config, InstanceParts.standard(), clock, random);
+    this(config, InstancePolicies.standard(), clock, random);
   }
 
   /** Creates an instance with the given policies instead of the standard ones. */
   public InstanceCore(
-      InstanceConfig config, InstanceParts parts, InstantSource clock, RandomGenerator random) {
+      InstanceConfig config, InstancePolicies parts, InstantSource clock, RandomGenerator random) {
     this.systems = new InstanceSystems(config, parts, clock, random);
   }
 
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/InstanceLimits.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/InstanceLimits.java
@@ -68,7 +68,7 @@
   }
 
   /** Returns a copy with another time-out for the drain. */
-  public InstanceLimits withDrainBound(Duration timeout) {
+  public InstanceLimits withDrainTimeout(Duration timeout) {
     return new InstanceLimits(
         heartbeatInterval,
         peerSilenceTimeout,
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/command/InstanceCommand.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/command/InstanceCommand.java
@@ -17,7 +17,7 @@
 /** An output of an instance. Commands are carried out in order. */
 public sealed interface InstanceCommand {
   /** Sends the caller an error as its final answer, before any byte of an answer. */
-  record Refuse(CallId call, RequestId request, Problem problem) implements InstanceCommand {}
+  record RefuseCall(CallId call, RequestId request, Problem problem) implements InstanceCommand {}
 
   /** Sends the caller the next frame of its answer. */
   record SendFrame(CallId call, RequestId request, byte[] data) implements InstanceCommand {}
@@ -26,7 +26,7 @@
   record FinishStream(CallId call, RequestId request, Usage usage) implements InstanceCommand {}
 
   /** Ends the caller's incomplete answer in a way that the caller can detect. */
-  record BreakStream(CallId call, RequestId request, Problem problem) implements InstanceCommand {}
+  record AbortStream(CallId call, RequestId request, Problem problem) implements InstanceCommand {}
 
   /** Sends the caller a plain service's complete answer. */
   record AnswerPlain(CallId call, RequestId request, int status, String contentType, byte[] body)
@@ -60,11 +60,11 @@
   record DropAttempt(AttemptId attempt) implements InstanceCommand {}
 
   /** Queries an engine for the usage of a request. */
-  record AskUsage(AttemptId attempt, RequestId request, String address)
+  record QueryUsage(AttemptId attempt, RequestId request, String address)
       implements InstanceCommand {}
 
   /** Queries an engine for its models, adapters and role. */
-  record AskOrderState(BackendServerId server, String address) implements InstanceCommand {}
+  record QueryOrderState(BackendServerId server, String address) implements InstanceCommand {}
 
   /**
    * Sends an order to an engine.
@@ -77,10 +77,10 @@
       implements InstanceCommand {}
 
   /** An operation on the platform's log. */
-  record AtLog(LogCommand command) implements InstanceCommand {}
+  record RunLogCommand(LogCommand command) implements InstanceCommand {}
 
   /** Sends a message to the peer address of another instance. */
-  record SendPeer(String address, Message message) implements InstanceCommand {}
+  record SendPeerMessage(String address, Message message) implements InstanceCommand {}
 
   /**
    * Reports for the event log that a request has ended.
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/event/InstanceEvent.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/event/InstanceEvent.java
@@ -35,7 +35,7 @@
       implements InstanceEvent {}
 
   /** The caller closed its connection. */
-  record CallerGone(CallId call) implements InstanceEvent {}
+  record CallerDisconnected(CallId call) implements InstanceEvent {}
 
   /**
    * A frame of an engine's answer has arrived.
@@ -49,7 +49,7 @@
   record StreamFinished(AttemptId attempt, long frames, Usage usage) implements InstanceEvent {}
 
   /** A plain service's complete answer has arrived. */
-  record PlainAnswered(AttemptId attempt, int status, String contentType, byte[] body)
+  record PlainAnswerReceived(AttemptId attempt, int status, String contentType, byte[] body)
       implements InstanceEvent {}
 
   /** An attempt ended without its answer. */
@@ -57,19 +57,19 @@
       implements InstanceEvent {}
 
   /** An engine reported the usage of an attempt, or empty if it does not know the request. */
-  record UsageKnown(AttemptId attempt, Optional<Usage> usage) implements InstanceEvent {}
+  record UsageReported(AttemptId attempt, Optional<Usage> usage) implements InstanceEvent {}
 
   /** Querying an engine for the usage of an attempt failed. */
-  record UsageUnknown(AttemptId attempt, String detail) implements InstanceEvent {}
+  record UsageQueryFailed(AttemptId attempt, String detail) implements InstanceEvent {}
 
   /** An engine reported its models, adapters and role. */
   record OrderStateReported(BackendServerId server, EngineState state) implements InstanceEvent {}
 
   /** Querying an engine for its state failed. */
-  record OrderStateUnknown(BackendServerId server, String detail) implements InstanceEvent {}
+  record OrderStateQueryFailed(BackendServerId server, String detail) implements InstanceEvent {}
 
   /** An engine accepted the order with the number {@code number}. */
-  record OrderAnswered(BackendServerId server, long number) implements InstanceEvent {}
+  record OrderAccepted(BackendServerId server, long number) implements InstanceEvent {}
 
   /** An engine refused an order because it has already seen the fencing token {@code highest}. */
   record OrderRefused(BackendServerId server, long number, long highest) implements InstanceEvent {}
@@ -81,19 +81,19 @@
   record OrderFailed(BackendServerId server, long number, String detail) implements InstanceEvent {}
 
   /** A response of the platform's log. */
-  record LogNews(LogEvent event) implements InstanceEvent {}
+  record LogResponseReceived(LogEvent event) implements InstanceEvent {}
 
   /** The platform's list has been read. It may lag behind. */
-  record ListRead(List<ListedInstance> instances, List<ListedServer> servers)
+  record PlatformListRead(List<ListedInstance> instances, List<ListedServer> servers)
       implements InstanceEvent {
-    public ListRead {
+    public PlatformListRead {
       instances = List.copyOf(instances);
       servers = List.copyOf(servers);
     }
   }
 
   /** Reading the platform's list failed. */
-  record ListFailed(String detail) implements InstanceEvent {}
+  record PlatformListReadFailed(String detail) implements InstanceEvent {}
 
   /** A backend server's load report, which was {@code age} old when it arrived. */
   record LoadReported(
@@ -101,7 +101,7 @@
       implements InstanceEvent {}
 
   /** A message from another instance has arrived. */
-  record PeerReceived(IncarnationId sender, Message message) implements InstanceEvent {}
+  record PeerMessageReceived(IncarnationId sender, Message message) implements InstanceEvent {}
 
   /** The instance is to shut down without interrupting requests in flight. */
   record DrainRequested() implements InstanceEvent {}
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/part/InstanceParts.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/part/InstancePolicies.java
@@ -10,7 +10,7 @@
  * The replaceable policies of an instance. Each {@code with} method returns a copy with one policy
  * replaced.
  */
-public final class InstanceParts {
+public final class InstancePolicies {
   /**
    * Two failed servers are enough evidence. A third server would fail too, and the caller sends the
    * request again.
@@ -32,9 +32,9 @@
   private OrderAuthority orderAuthority = OrderAuthority.HOLDER_IN_CONTACT;
   private EngineRecheckRule engineRecheckRule = EngineRecheckRule.ALWAYS;
 
-  private InstanceParts() {}
+  private InstancePolicies() {}
 
-  private InstanceParts(InstanceParts other) {
+  private InstancePolicies(InstancePolicies other) {
     validator = other.validator;
     placementPolicy = other.placementPolicy;
     queueRule = other.queueRule;
@@ -51,8 +51,8 @@
   }
 
   /** Returns the policies of a production instance. */
-  public static InstanceParts standard() {
-    return new InstanceParts();
+  public static InstancePolicies standard() {
+    return new InstancePolicies();
   }
 
   /** Returns the parser and validator of settings that are read from the log. */
@@ -61,8 +61,8 @@
   }
 
   /** Returns a copy with another parser and validator of settings. */
-  public InstanceParts withValidator(SettingsValidator other) {
-    InstanceParts copy = new InstanceParts(this);
+  public InstancePolicies withValidator(SettingsValidator other) {
+    InstancePolicies copy = new InstancePolicies(this);
     copy.validator = other;
     return copy;
   }
@@ -73,22 +73,22 @@
   }
 
   /** Returns a copy with another placement policy. */
-  public InstanceParts withPlacement(PlacementPolicy other) {
-    InstanceParts copy = new InstanceParts(this);
+  public InstancePolicies withPlacementPolicy(PlacementPolicy other) {
+    InstancePolicies copy = new InstancePolicies(this);
     copy.placementPolicy = other;
     return copy;
   }
 
   /** Returns a copy with one of the queue rules that an instance's settings file can name. */
-  public InstanceParts withQueue(QueueChoice choice) {
-    return withQueue(choice.rule());
+  public InstancePolicies withQueueRule(QueueChoice choice) {
+    return withQueueRule(choice.rule());
   }
 
   /**
    * Returns a copy with one of the placement policies that an instance's settings file can name.
    */
-  public InstanceParts withPlacement(PlacementChoice choice) {
-    return withPlacement(choice.policy());
+  public InstancePolicies withPlacementPolicy(PlacementChoice choice) {
+    return withPlacementPolicy(choice.policy());
   }
 
   /** Returns the rule that orders and bounds the requests that wait for a backend server. */
@@ -97,8 +97,8 @@
   }
 
   /** Returns a copy with another queue rule. */
-  public InstanceParts withQueue(QueueRule other) {
-    InstanceParts copy = new InstanceParts(this);
+  public InstancePolicies withQueueRule(QueueRule other) {
+    InstancePolicies copy = new InstancePolicies(this);
     copy.queueRule = other;
     return copy;
   }
@@ -109,8 +109,8 @@
   }
 
   /** Returns a copy with another frame filter. */
-  public InstanceParts withFrameFilter(FrameFilter other) {
-    InstanceParts copy = new InstanceParts(this);
+  public InstancePolicies withFrameFilter(FrameFilter other) {
+    InstancePolicies copy = new InstancePolicies(this);
     copy.frameFilter = other;
     return copy;
   }
@@ -121,8 +121,8 @@
   }
 
   /** Returns a copy with another confirmation of claims. */
-  public InstanceParts withClaims(ClaimConfirmation other) {
-    InstanceParts copy = new InstanceParts(this);
+  public InstancePolicies withClaimConfirmation(ClaimConfirmation other) {
+    InstancePolicies copy = new InstancePolicies(this);
     copy.claimConfirmation = other;
     return copy;
   }
@@ -133,8 +133,8 @@
   }
 
   /** Returns a copy with another deduplication of transfers. */
-  public InstanceParts withTransferDeduplication(TransferDeduplication other) {
-    InstanceParts copy = new InstanceParts(this);
+  public InstancePolicies withTransferDeduplication(TransferDeduplication other) {
+    InstancePolicies copy = new InstancePolicies(this);
     copy.transferDeduplication = other;
     return copy;
   }
@@ -145,8 +145,8 @@
   }
 
   /** Returns a copy with another rule for leaving servers. */
-  public InstanceParts withLeavingServerRule(LeavingServerRule other) {
-    InstanceParts copy = new InstanceParts(this);
+  public InstancePolicies withLeavingServerRule(LeavingServerRule other) {
+    InstancePolicies copy = new InstancePolicies(this);
     copy.leavingServerRule = other;
     return copy;
   }
@@ -157,8 +157,8 @@
   }
 
   /** Returns a copy with another reservation rule. */
-  public InstanceParts withReservations(ReservationRule other) {
-    InstanceParts copy = new InstanceParts(this);
+  public InstancePolicies withReservationRule(ReservationRule other) {
+    InstancePolicies copy = new InstancePolicies(this);
     copy.reservationRule = other;
     return copy;
   }
@@ -169,8 +169,8 @@
   }
 
   /** Returns a copy with another rule for abandoned runs. */
-  public InstanceParts withAbandonedRunRule(AbandonedRunRule other) {
-    InstanceParts copy = new InstanceParts(this);
+  public InstancePolicies withAbandonedRunRule(AbandonedRunRule other) {
+    InstancePolicies copy = new InstancePolicies(this);
     copy.abandonedRunRule = other;
     return copy;
   }
@@ -181,8 +181,8 @@
   }
 
   /** Returns a copy with another rerun rule. */
-  public InstanceParts withReruns(RerunRule other) {
-    InstanceParts copy = new InstanceParts(this);
+  public InstancePolicies withRerunRule(RerunRule other) {
+    InstancePolicies copy = new InstancePolicies(this);
     copy.rerunRule = other;
     return copy;
   }
@@ -196,8 +196,8 @@
   }
 
   /** Returns a copy with another quarantine rule. */
-  public InstanceParts withQuarantineRule(Predicate<SuspectRow> other) {
-    InstanceParts copy = new InstanceParts(this);
+  public InstancePolicies withQuarantineRule(Predicate<SuspectRow> other) {
+    InstancePolicies copy = new InstancePolicies(this);
     copy.quarantineRule = other;
     return copy;
   }
@@ -208,8 +208,8 @@
   }
 
   /** Returns a copy with another rule for the authority to send orders. */
-  public InstanceParts withOrderAuthority(OrderAuthority other) {
-    InstanceParts copy = new InstanceParts(this);
+  public InstancePolicies withOrderAuthority(OrderAuthority other) {
+    InstancePolicies copy = new InstancePolicies(this);
     copy.orderAuthority = other;
     return copy;
   }
@@ -220,8 +220,8 @@
   }
 
   /** Returns a copy with another rule for querying engines again. */
-  public InstanceParts withEngineRecheckRule(EngineRecheckRule other) {
-    InstanceParts copy = new InstanceParts(this);
+  public InstancePolicies withEngineRecheckRule(EngineRecheckRule other) {
+    InstancePolicies copy = new InstancePolicies(this);
     copy.engineRecheckRule = other;
     return copy;
   }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/AttemptSystem.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/AttemptSystem.java
@@ -154,7 +154,7 @@
     settlement.settleAnswer(attempt, event.usage());
   }
 
-  void onPlainAnswer(InstanceEvent.PlainAnswered event) {
+  void onPlainAnswer(InstanceEvent.PlainAnswerReceived event) {
     AttemptRow attempt = context.tables.attempts.get(event.attempt());
     if (attempt == null || attempt.request.isModel()) {
       context.count(Counter.DROPPED_ATTEMPT_EVENTS);
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/BudgetSystem.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/BudgetSystem.java
@@ -196,7 +196,8 @@
     long minimumTokens = Math.max(need - idle, 1);
     long requestedTokens =
         Math.max(
-            minimumTokens, sizing().wanted(budget.tokensPerSecond, need, idle, Long.MAX_VALUE / 2));
+            minimumTokens,
+            sizing().tokensToRequest(budget.tokensPerSecond, need, idle, Long.MAX_VALUE / 2));
     budget.pendingTransfer =
         transfers.request(peer, budget.service, requestedTokens, minimumTokens);
     return true;
@@ -230,7 +231,9 @@
     long remaining = ledger.state(team).spendable(budget.service);
     long waiting = Math.max(need, Math.min(waitingNeed(budget), remaining));
     long requestedTokens =
-        Math.max(minimumTokens, sizing().wanted(budget.tokensPerSecond, waiting, idle, remaining));
+        Math.max(
+            minimumTokens,
+            sizing().tokensToRequest(budget.tokensPerSecond, waiting, idle, remaining));
     budget.leaseRequested = true;
     budget.leaseRequestedAt = context.now();
     context.count(Counter.LEASE_REQUESTS);
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/Context.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/Context.java
@@ -106,7 +106,7 @@
   }
 
   void send(String address, Message message) {
-    commands.add(new InstanceCommand.SendPeer(address, message));
+    commands.add(new InstanceCommand.SendPeerMessage(address, message));
   }
 
   void count(Counter counter) {
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/Digests.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/Digests.java
@@ -14,7 +14,7 @@
   private Digests() {}
 
   static String of(String... parts) {
-    MessageDigest digest = Sha256.begin();
+    MessageDigest digest = Sha256.newDigest();
     for (String part : parts) {
       byte[] utf8 = part.getBytes(StandardCharsets.UTF_8);
       digest.update(ByteBuffer.allocate(Integer.BYTES).putInt(utf8.length).flip());
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/Dumps.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/Dumps.java
@@ -85,7 +85,7 @@
         tables.leavingServers.contains(row.id),
         row.outstandingHere,
         row.outstandingAtPeers,
-        pool != null && !pool.health.isIn(row.id, context.now()),
+        pool != null && !pool.health.isEligible(row.id, context.now()),
         pool == null ? 1 : pool.health.slowness(row.id),
         row.reportedRunning,
         row.reportedWaiting);
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/InstanceSystems.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/InstanceSystems.java
@@ -11,7 +11,7 @@
 import org.teaseldeal.core.InstanceDump;
 import org.teaseldeal.core.command.InstanceCommand;
 import org.teaseldeal.core.event.InstanceEvent;
-import org.teaseldeal.core.part.InstanceParts;
+import org.teaseldeal.core.part.InstancePolicies;
 import org.teaseldeal.core.table.RequestRow;
 import org.teaseldeal.wire.gen.peer.Message;
 
@@ -36,7 +36,7 @@
   private final OrderSystem orders;
 
   public InstanceSystems(
-      InstanceConfig config, InstanceParts parts, InstantSource clock, RandomGenerator random) {
+      InstanceConfig config, InstancePolicies parts, InstantSource clock, RandomGenerator random) {
     context = new Context(config, clock, random);
     ledger = new LedgerSystem(context, parts.validator());
     SettingsView settings = new SettingsView(ledger);
@@ -110,7 +110,7 @@
     context.readClock();
     switch (event) {
       case InstanceEvent.CallerRequest e -> intake.onRequest(e);
-      case InstanceEvent.CallerGone e -> {
+      case InstanceEvent.CallerDisconnected e -> {
         RequestRow request = context.tables.requests.get(e.call());
         if (request != null) {
           attempts.onCallerGone(request);
@@ -118,26 +118,26 @@
       }
       case InstanceEvent.FrameReceived e -> attempts.onFrame(e);
       case InstanceEvent.StreamFinished e -> attempts.onFinished(e);
-      case InstanceEvent.PlainAnswered e -> attempts.onPlainAnswer(e);
+      case InstanceEvent.PlainAnswerReceived e -> attempts.onPlainAnswer(e);
       case InstanceEvent.AttemptFailed e -> attempts.onFailed(e);
-      case InstanceEvent.UsageKnown e -> settlement.onUsage(e);
-      case InstanceEvent.UsageUnknown e -> {
+      case InstanceEvent.UsageReported e -> settlement.onUsage(e);
+      case InstanceEvent.UsageQueryFailed e -> {
         // The query is repeated after its interval.
       }
       case InstanceEvent.OrderStateReported e -> orders.onState(e);
-      case InstanceEvent.OrderStateUnknown e -> {
+      case InstanceEvent.OrderStateQueryFailed e -> {
         // The query is repeated after its interval.
       }
-      case InstanceEvent.OrderAnswered e -> orders.onAnswered(e);
+      case InstanceEvent.OrderAccepted e -> orders.onAnswered(e);
       case InstanceEvent.OrderRefused e -> orders.onRefused(e);
       case InstanceEvent.OrderFailed e -> orders.onFailed(e);
-      case InstanceEvent.LogNews e -> ledger.onLogEvent(e.event());
-      case InstanceEvent.ListRead e -> membership.onList(e);
-      case InstanceEvent.ListFailed e -> {
+      case InstanceEvent.LogResponseReceived e -> ledger.onLogEvent(e.event());
+      case InstanceEvent.PlatformListRead e -> membership.onList(e);
+      case InstanceEvent.PlatformListReadFailed e -> {
         // The last list stays in force. Peers report servers that start to leave in the meantime.
       }
       case InstanceEvent.LoadReported e -> membership.onLoad(e);
-      case InstanceEvent.PeerReceived e -> onPeer(e.sender(), e.message());
+      case InstanceEvent.PeerMessageReceived e -> onPeer(e.sender(), e.message());
       case InstanceEvent.DrainRequested e -> drain.onDrainRequested();
     }
   }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/IntakeSystem.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/IntakeSystem.java
@@ -62,7 +62,7 @@
           completion.refuse(
               event.call(),
               generatedId,
-              event.idempotencyKey().isPresent() ? problem.ofOneTryAmongOthers() : problem);
+              event.idempotencyKey().isPresent() ? problem.forKeyedRequest() : problem);
       case Result.Ok<RequestRow>(RequestRow request) -> {
         context.tables.requests.put(request.call, request);
         context.tables.requestsByDeadline.add(request);
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/LedgerSystem.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/LedgerSystem.java
@@ -15,14 +15,14 @@
 import org.teaseldeal.ledger.LogCommand;
 import org.teaseldeal.ledger.LogEvent;
 import org.teaseldeal.ledger.StreamId;
-import org.teaseldeal.ledger.Streams;
+import org.teaseldeal.ledger.StreamPartitioning;
 import org.teaseldeal.ledger.client.LedgerClient;
 import org.teaseldeal.ledger.client.LedgerConfig;
 import org.teaseldeal.ledger.client.ReadConfig;
 import org.teaseldeal.ledger.client.Ticket;
 import org.teaseldeal.ledger.entry.Entry;
+import org.teaseldeal.ledger.fold.EntryOutcome;
 import org.teaseldeal.ledger.fold.SettingsValidator;
-import org.teaseldeal.ledger.fold.Settled;
 import org.teaseldeal.ledger.lease.LocalLeases;
 import org.teaseldeal.ledger.outcome.Outcome;
 import org.teaseldeal.ledger.state.LedgerState;
@@ -52,12 +52,12 @@
   }
 
   private final Context context;
-  private final Streams streamAssignment;
+  private final StreamPartitioning streamAssignment;
   private final List<Stream> streams = new ArrayList<>();
 
   LedgerSystem(Context context, SettingsValidator validator) {
     this.context = context;
-    this.streamAssignment = new Streams(context.config.streams());
+    this.streamAssignment = new StreamPartitioning(context.config.streams());
     ReadConfig reads =
         new ReadConfig(
             ReadConfig.DEFAULT.timeout(),
@@ -167,14 +167,14 @@
 
   void onLogEvent(LogEvent event) {
     Stream stream = streams.get(event.stream().index());
-    for (Settled settled : stream.client.handle(event)) {
+    for (EntryOutcome settled : stream.client.handle(event)) {
       Optional<Ticket> ticket = stream.client.ticket(settled);
       OutcomeListener waiter = ticket.isEmpty() ? null : stream.listeners.remove(ticket.get());
       if (waiter != null) {
         waiter.callback.accept(settled.outcome());
       }
     }
-    for (Ticket ticket : stream.client.takeLostTickets()) {
+    for (Ticket ticket : stream.client.drainLostTickets()) {
       OutcomeListener waiter = stream.listeners.remove(ticket);
       if (waiter != null) {
         waiter.callback.accept(lostOutcome(waiter.entry));
@@ -194,7 +194,7 @@
     long readFailures = 0;
     for (Stream stream : streams) {
       for (LogCommand command : stream.client.poll()) {
-        context.emit(new InstanceCommand.AtLog(command));
+        context.emit(new InstanceCommand.RunLogCommand(command));
       }
       var counters = stream.client.counters();
       appends += counters.appends();
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/MembershipSystem.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/MembershipSystem.java
@@ -50,7 +50,7 @@
     this.leavingServerRule = leavingServerRule;
   }
 
-  void onList(InstanceEvent.ListRead list) {
+  void onList(InstanceEvent.PlatformListRead list) {
     Tables tables = context.tables;
     tables.servers.values().forEach(server -> server.listed = false);
     List<BackendServerId> leaving = new ArrayList<>();
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/OrderSystem.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/OrderSystem.java
@@ -106,7 +106,7 @@
   private void readSettings() {
     Map<String, PoolSettings> ordered = new TreeMap<>();
     settings.fleet().map(FleetSettings::pools).orElse(Map.of()).values().stream()
-        .filter(PoolSettings::ordersEngines)
+        .filter(PoolSettings::configuresEngines)
         .forEach(pool -> ordered.put(pool.name(), pool));
     context.tables.orderPools.keySet().retainAll(ordered.keySet());
     ordered.values().forEach(this::readSettings);
@@ -161,7 +161,7 @@
     }
     engine.nextQueryAt = now.plus(interval);
     context.count(Counter.ORDER_STATES_ASKED);
-    context.emit(new InstanceCommand.AskOrderState(id, server.address));
+    context.emit(new InstanceCommand.QueryOrderState(id, server.address));
   }
 
   private boolean awaitsAnswers(OrderEngineRow engine) {
@@ -204,7 +204,7 @@
     }
   }
 
-  void onAnswered(InstanceEvent.OrderAnswered answer) {
+  void onAnswered(InstanceEvent.OrderAccepted answer) {
     removeUnanswered(answer.server(), answer.number());
   }
 
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/PlacementSystem.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/PlacementSystem.java
@@ -11,11 +11,11 @@
 import org.teaseldeal.core.table.RequestRow;
 import org.teaseldeal.core.table.ServerRow;
 import org.teaseldeal.core.table.Stage;
+import org.teaseldeal.decisions.AdmissionQueue.Entry;
 import org.teaseldeal.decisions.AdmissionQueue.Verdict;
-import org.teaseldeal.decisions.AdmissionQueue.Waiting;
-import org.teaseldeal.decisions.ComeBackTime;
 import org.teaseldeal.decisions.PlacementPolicy;
 import org.teaseldeal.decisions.QueueRule;
+import org.teaseldeal.decisions.RetryAfterJitter;
 import org.teaseldeal.decisions.RetryBudget;
 import org.teaseldeal.decisions.ServerView;
 import org.teaseldeal.decisions.SharedLimit;
@@ -86,14 +86,14 @@
     Verdict verdict =
         pool.queue.offer(
             queueEntry(pool, request),
-            pool.drainRate.perSecond(outstandingInPool(pool)),
+            pool.drainRate.startsPerSecond(outstandingInPool(pool)),
             context.now());
     if (verdict instanceof Verdict.TooLate(Duration comeBack)) {
       completion.fail(
           request,
           ErrorKind.DEADLINE_UNREACHABLE,
           "its turn among %d that wait would come too late".formatted(pool.queue.size()),
-          ComeBackTime.spread(comeBack, context.random));
+          RetryAfterJitter.addJitter(comeBack, context.random));
     }
   }
 
@@ -110,14 +110,14 @@
    * callers that have given up.
    */
   private void refuseExpired(PoolRow pool) {
-    for (Optional<Waiting<RequestRow>> expired = pool.queue.pollExpired(context.now());
+    for (Optional<Entry<RequestRow>> expired = pool.queue.pollExpired(context.now());
         expired.isPresent();
         expired = pool.queue.pollExpired(context.now())) {
       completion.fail(
           expired.get().item(),
           ErrorKind.EXPIRED_WAITING,
           "no backend server had room in time",
-          ComeBackTime.spread(context.limits().retryAfter(), context.random));
+          RetryAfterJitter.addJitter(context.limits().retryAfter(), context.random));
     }
   }
 
@@ -129,7 +129,7 @@
           .isEmpty()) {
         return;
       }
-      Optional<Waiting<RequestRow>> next = pool.queue.poll();
+      Optional<Entry<RequestRow>> next = pool.queue.poll();
       if (next.isEmpty()) {
         return;
       }
@@ -174,7 +174,7 @@
     List<ServerRow> reachable =
         open.stream()
             .filter(server -> !now.isBefore(server.unreachableUntil))
-            .filter(server -> pool.health.isIn(server.id, now))
+            .filter(server -> pool.health.isEligible(server.id, now))
             .toList();
     // If every server is unreachable, trying one of them is better than trying none.
     List<ServerRow> candidates = reachable.isEmpty() ? open : reachable;
@@ -240,8 +240,8 @@
     return settings.fleet().flatMap(fleet -> Optional.ofNullable(fleet.pools().get(name)));
   }
 
-  private static Waiting<RequestRow> queueEntry(PoolRow pool, RequestRow request) {
-    return new Waiting<>(
+  private static Entry<RequestRow> queueEntry(PoolRow pool, RequestRow request) {
+    return new Entry<>(
         request,
         request.customer.id(),
         request.customer.weight(),
@@ -264,7 +264,7 @@
    */
   private static Instant latestStart(PoolRow pool, RequestRow request) {
     Duration callerTimeout = Duration.between(request.arrivedAt, request.deadline);
-    Duration usualRunTime = pool.serviceRate(request.service.id()).usualLongest();
+    Duration usualRunTime = pool.serviceRate(request.service.id()).usualMaximum();
     Duration halfTimeout = callerTimeout.dividedBy(2);
     return request.deadline.minus(
         usualRunTime.compareTo(halfTimeout) < 0 ? usualRunTime : halfTimeout);
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/RequestCompletion.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/RequestCompletion.java
@@ -29,7 +29,7 @@
   void refuse(CallId call, RequestId request, Problem problem) {
     context.count(Counter.REFUSALS);
     context.counters.countProblem(problem.kind());
-    context.emit(new InstanceCommand.Refuse(call, request, problem));
+    context.emit(new InstanceCommand.RefuseCall(call, request, problem));
   }
 
   /** Ends a request with an error that matches what is known about whether it ran. */
@@ -105,11 +105,11 @@
     context.counters.countProblem(problem.kind());
     if (request.streams() && request.framesSent > 0) {
       context.count(Counter.BROKEN_STREAMS);
-      context.emit(new InstanceCommand.BreakStream(request.call, request.id, problem));
+      context.emit(new InstanceCommand.AbortStream(request.call, request.id, problem));
       return;
     }
     context.count(Counter.REFUSALS);
-    context.emit(new InstanceCommand.Refuse(request.call, request.id, problem));
+    context.emit(new InstanceCommand.RefuseCall(request.call, request.id, problem));
   }
 
   /**
@@ -121,7 +121,7 @@
   private static Problem withAccurateRunStatus(RequestRow request, Problem problem) {
     boolean mayHaveRun = request.mayHaveRun || request.attempt != null;
     if (!mayHaveRun || problem.kind().runStatus() != RunStatus.NOT_RUN) {
-      return request.keyed ? problem.ofOneTryAmongOthers() : problem;
+      return request.keyed ? problem.forKeyedRequest() : problem;
     }
     return Problem.of(ErrorKind.BACKEND_FAILED, "an attempt was lost, then: " + problem.detail());
   }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/SettlementSystem.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/SettlementSystem.java
@@ -94,7 +94,7 @@
     context.tables.abandonedAttempts.put(attempt.id.number(), attempt);
   }
 
-  void onUsage(InstanceEvent.UsageKnown event) {
+  void onUsage(InstanceEvent.UsageReported event) {
     AttemptRow attempt = context.tables.abandonedAttempts.get(event.attempt().number());
     if (attempt == null || !attempt.id.equals(event.attempt())) {
       context.count(Counter.DROPPED_ATTEMPT_EVENTS);
@@ -134,7 +134,7 @@
       } else if (isDue(attempt.usageQueriedAt, context.limits().usageQueryInterval(), now)) {
         attempt.usageQueriedAt = now;
         context.emit(
-            new InstanceCommand.AskUsage(attempt.id, attempt.request.id, attempt.server.address));
+            new InstanceCommand.QueryUsage(attempt.id, attempt.request.id, attempt.server.address));
       }
     }
     answerOverdue(now);
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/BudgetTests.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/BudgetTests.java
@@ -59,7 +59,7 @@
     ended(fleet, draft(pair.getFirst()));
     ended(fleet, draft(pair.getLast()));
     FakeInstance emptyInstance = instanceWithoutTokens(pair);
-    pair.stream().filter(other -> other != emptyInstance).forEach(FakeInstance::freeze);
+    pair.stream().filter(other -> other != emptyInstance).forEach(FakeInstance::suspend);
     fleet.simulation().run(Duration.ofSeconds(5));
     FakeCall call = ended(fleet, draft(emptyInstance));
     assertEquals(Optional.of(ErrorKind.NO_LEASE), call.error());
@@ -90,14 +90,14 @@
       }
       untilEnded(fleet, calls);
       fleet.simulation().run(Duration.ofSeconds(2));
-      long whole = calls.stream().filter(call -> call.whole(5)).count();
+      long whole = calls.stream().filter(call -> call.isComplete(5)).count();
       AccountView budget = fleet.budget();
       assertEquals(25 * whole, budget.charged());
       assertTrue(budget.charged() <= 1_000, budget::toString);
       assertTrue(whole >= 30, "whole answers: " + whole);
-      assertEquals(Optional.empty(), fleet.ledger().imbalance());
+      assertEquals(Optional.empty(), fleet.ledger().findImbalance());
       calls.stream()
-          .filter(call -> !call.whole(5))
+          .filter(call -> !call.isComplete(5))
           .forEach(call -> assertTrue(call.problem().isPresent(), call::toString));
     }
   }
@@ -115,11 +115,11 @@
     fleet.log().down = true;
     fleet.simulation().run(Duration.ofSeconds(5));
     FakeCall call = ended(fleet, draft(emptyInstance));
-    assertTrue(call.whole(5), call::toString);
+    assertTrue(call.isComplete(5), call::toString);
     fleet.log().down = false;
     fleet.simulation().run(Duration.ofSeconds(20));
     assertEquals(50, fleet.budget().charged());
-    assertEquals(Optional.empty(), fleet.ledger().imbalance());
+    assertEquals(Optional.empty(), fleet.ledger().findImbalance());
   }
 
   /**
@@ -145,7 +145,7 @@
   void lostLogResponsesChargeOnce() {
     FakeFleet fleet = FakeFleet.withBudget(5, 100_000);
     FakeInstance instance = fleet.startReady("r1").getFirst();
-    fleet.log().losesAnswers = true;
+    fleet.log().losesResponses = true;
     List<FakeCall> calls = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
       calls.add(draft(instance));
@@ -153,9 +153,9 @@
     }
     untilEnded(fleet, calls);
     fleet.simulation().run(Duration.ofSeconds(5));
-    calls.forEach(call -> assertTrue(call.whole(5), call::toString));
+    calls.forEach(call -> assertTrue(call.isComplete(5), call::toString));
     assertEquals(250, fleet.budget().charged());
-    assertEquals(Optional.empty(), fleet.ledger().imbalance());
+    assertEquals(Optional.empty(), fleet.ledger().findImbalance());
   }
 
   /** Guards against leases that are never returned when callers stop arriving. */
@@ -188,10 +188,10 @@
     fleet.losesPeerMessages = false;
     untilEnded(fleet, calls);
     fleet.simulation().run(Duration.ofSeconds(60));
-    long whole = calls.stream().filter(call -> call.whole(5)).count();
+    long whole = calls.stream().filter(call -> call.isComplete(5)).count();
     assertEquals(25 * whole, fleet.budget().charged());
     assertEquals(0, fleet.budget().leased());
-    assertEquals(Optional.empty(), fleet.ledger().imbalance());
+    assertEquals(Optional.empty(), fleet.ledger().findImbalance());
   }
 
   /**
@@ -207,7 +207,7 @@
     ended(fleet, instance.callPlain("mill", "rates", Optional.empty(), TIMEOUT, "-"));
     FakeCall hold = instance.callModel("mill", "holds", Optional.of("lot-1"), TIMEOUT);
     ended(fleet, hold);
-    assertTrue(hold.whole(5), hold::toString);
+    assertTrue(hold.isComplete(5), hold::toString);
   }
 
   /**
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/ClaimTests.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/ClaimTests.java
@@ -85,7 +85,7 @@
     FakeCall first = ended(instance.callModel("mill", "holds", key, TIMEOUT));
     fleet.simulation().run(Duration.ofSeconds(1));
     FakeCall again = ended(instance.callModel("mill", "holds", key, TIMEOUT));
-    assertTrue(first.whole(5), first::toString);
+    assertTrue(first.isComplete(5), first::toString);
     assertEquals(first.frames(), again.frames());
     assertEquals(first.usage(), again.usage());
     assertEquals(1, fleet.runCount());
@@ -124,10 +124,10 @@
   void aBidThatArrivesDuringASuspensionIsRunAfterIt() {
     FakeInstance instance = fleet.startReady("r1").getFirst();
     ended(bid(instance, "lot-1", "1 lev"));
-    instance.freeze();
+    instance.suspend();
     FakeCall call = bid(instance, "lot-2", "12 leva");
     fleet.simulation().run(Duration.ofSeconds(6));
-    instance.wake();
+    instance.resume();
     ended(call);
     assertEquals(Optional.of("done 12 leva"), call.plainBody(), call::toString);
   }
@@ -141,12 +141,12 @@
   void aClaimWonTooLateIsReleasedAndTheNextTryRuns() {
     FakeInstance instance = fleet.startReady("r1").getFirst();
     ended(bid(instance, "lot-1", "1 leva"));
-    fleet.log().oneWay = Duration.ofMillis(600);
+    fleet.log().oneWayDelay = Duration.ofMillis(600);
     FakeCall late =
         instance.callPlain("mill", "bids", Optional.of("lot-2"), Duration.ofMillis(300), "12 leva");
     ended(late);
     assertEquals(Optional.of(ErrorKind.EXPIRED_WAITING), late.error());
-    fleet.log().oneWay = Duration.ofMillis(2);
+    fleet.log().oneWayDelay = Duration.ofMillis(2);
     fleet.simulation().run(Duration.ofSeconds(8));
     assertEquals(1, fleet.runCount());
     FakeCall again = ended(bid(instance, "lot-2", "12 leva"));
@@ -161,10 +161,10 @@
   @Test
   void aBidThatNoServerReceivedMayBeSentAgain() {
     FakeInstance instance = fleet.startReady("r1").getFirst();
-    fleet.serverOf("desk-a").gone = true;
+    fleet.serverOf("desk-a").down = true;
     FakeCall first = ended(bid(instance, "lot-4", "12 leva"));
     assertEquals(Optional.of(ErrorKind.NO_BACKEND_SERVER), first.error());
-    fleet.serverOf("desk-a").gone = false;
+    fleet.serverOf("desk-a").down = false;
     fleet.simulation().run(Duration.ofSeconds(2));
     FakeCall again = ended(bid(instance, "lot-4", "12 leva"));
     assertEquals(Optional.of("done 12 leva"), again.plainBody());
@@ -184,7 +184,7 @@
     fleet.serverOf("desk-a").crash();
     ended(first);
     assertEquals(Optional.of(ErrorKind.BACKEND_FAILED), first.error());
-    fleet.serverOf("desk-a").gone = false;
+    fleet.serverOf("desk-a").down = false;
     fleet.simulation().run(Duration.ofSeconds(2));
     FakeCall again = ended(bid(pair.getLast(), "lot-4", "12 leva"));
     assertEquals(Optional.of(ErrorKind.OUTCOME_UNKNOWN), again.error());
@@ -223,7 +223,7 @@
     fleet.serverOf("desk-a").frameInterval = Duration.ofSeconds(1);
     FakeCall first = bid(instance, "lot-4", "12 leva");
     fleet.simulation().run(Duration.ofMillis(500));
-    instance.hangUp(first);
+    instance.disconnect(first);
     fleet.simulation().run(Duration.ofSeconds(2));
     assertFalse(first.ended());
     FakeCall again = ended(bid(instance, "lot-4", "12 leva"));
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/KeyedRequestTests.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/KeyedRequestTests.java
@@ -38,7 +38,7 @@
         .runUntil(() -> calls.stream().allMatch(FakeCall::ended), Duration.ofSeconds(60));
     fleet.simulation().run(Duration.ofSeconds(10));
 
-    calls.forEach(call -> assertTrue(call.whole(5), call::toString));
+    calls.forEach(call -> assertTrue(call.isComplete(5), call::toString));
     assertTrue(fleet.runCount() > KEY_COUNT, "runs were " + fleet.runCount());
     AccountView budget = fleet.budget();
     long tokensPerRun = fleet.tokensSpent() / fleet.runCount();
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/LifecycleTests.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/LifecycleTests.java
@@ -49,7 +49,7 @@
       assertEquals(Optional.of(ErrorKind.DRAINING), late.error());
       assertFalse(instance.core().ready());
       ended(open);
-      assertTrue(open.whole(5), open::toString);
+      assertTrue(open.isComplete(5), open::toString);
       assertTrue(fleet.simulation().runUntil(instance::stopped, Duration.ofSeconds(10)));
       assertEquals(25, fleet.budget().charged());
       assertEquals(0, fleet.budget().leased());
@@ -86,14 +86,14 @@
       fleet.simulation().run(Duration.ofSeconds(1));
       fleet.log().down = true;
       FakeCall call = ended(draft(pair.getFirst()));
-      assertTrue(call.whole(5), call::toString);
+      assertTrue(call.isComplete(5), call::toString);
       assertEquals(0, pair.getFirst().core().counters().value(Counter.CHARGES_UNCONFIRMED));
       pair.getFirst().kill();
       fleet.simulation().run(Duration.ofSeconds(10));
       fleet.log().down = false;
       fleet.simulation().run(Duration.ofSeconds(10));
       assertEquals(50, fleet.budget().charged());
-      assertEquals(Optional.empty(), fleet.ledger().imbalance());
+      assertEquals(Optional.empty(), fleet.ledger().findImbalance());
     }
 
     /**
@@ -106,11 +106,11 @@
       fleet.simulation().run(Duration.ofSeconds(1));
       fleet.log().down = true;
       ended(draft(pair.getFirst()));
-      pair.getFirst().freeze();
+      pair.getFirst().suspend();
       fleet.simulation().run(Duration.ofSeconds(10));
       fleet.log().down = false;
       fleet.simulation().run(Duration.ofSeconds(10));
-      pair.getFirst().wake();
+      pair.getFirst().resume();
       fleet.simulation().run(Duration.ofSeconds(10));
       assertEquals(1, pair.getLast().core().counters().value(Counter.BACKUPS_APPENDED));
       assertEquals(50, fleet.budget().charged());
@@ -127,7 +127,7 @@
       fleet.log().down = true;
       fleet.simulation().run(Duration.ofSeconds(5));
       FakeCall call = ended(draft(pair.getFirst()));
-      assertTrue(call.whole(5), call::toString);
+      assertTrue(call.isComplete(5), call::toString);
       assertEquals(1, pair.getFirst().core().counters().value(Counter.CHARGES_UNCONFIRMED));
     }
   }
@@ -145,7 +145,7 @@
       fleet.log().down = true;
       FakeInstance fresh = fleet.startReady("r2").getFirst();
       FakeCall call = ended(draft(fresh));
-      assertTrue(call.whole(5), call::toString);
+      assertTrue(call.isComplete(5), call::toString);
       fleet.log().down = false;
       fleet.simulation().run(Duration.ofSeconds(20));
       assertEquals(50, fleet.budget().charged());
@@ -178,21 +178,21 @@
     }
     FakeCall open = draft(pair.getFirst());
     fleet.simulation().run(Duration.ofMillis(600));
-    pair.getFirst().freeze();
+    pair.getFirst().suspend();
     fleet.log().write("ops", new Entry.Retire(pair.getFirst().incarnation(), "ops"));
     fleet.simulation().run(Duration.ofSeconds(5));
-    pair.getFirst().wake();
+    pair.getFirst().resume();
     fleet.simulation().run(Duration.ofMillis(20));
     FakeCall late = ended(draft(pair.getFirst()));
     assertEquals(Optional.of(ErrorKind.NOT_READY), late.error(), late::toString);
     ended(open);
-    assertTrue(open.whole(20), open::toString);
+    assertTrue(open.isComplete(20), open::toString);
     assertTrue(
         fleet.simulation().runUntil(pair.getFirst()::stopped, Duration.ofSeconds(60)),
         () -> pair.getFirst().core().dump().toString());
     fleet.simulation().run(Duration.ofSeconds(10));
     assertEquals(40, fleet.budget().charged());
-    assertEquals(Optional.empty(), fleet.ledger().imbalance());
+    assertEquals(Optional.empty(), fleet.ledger().findImbalance());
   }
 
   /**
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/OrderFaultTests.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/OrderFaultTests.java
@@ -18,7 +18,7 @@
 import org.teaseldeal.core.fake.FakeFleet;
 import org.teaseldeal.core.fake.FakeInstance;
 import org.teaseldeal.core.fake.FakeServer;
-import org.teaseldeal.core.part.InstanceParts;
+import org.teaseldeal.core.part.InstancePolicies;
 
 /** Checks orders to engines under several random faults at once. */
 class OrderFaultTests {
@@ -40,10 +40,10 @@
     private final List<FakeServer> engines;
     private int version = 1;
 
-    private Run(long seed, boolean checksFencing, UnaryOperator<InstanceParts> change) {
+    private Run(long seed, boolean checksFencing, UnaryOperator<InstancePolicies> change) {
       this.seed = seed;
       fleet = FakeFleet.withBudget(seed, 100_000);
-      fleet.change(change);
+      fleet.changePolicies(change);
       random = fleet.simulation().random();
       instances = fleet.startReady("r1", "r2", "r3");
       engines = List.of(fleet.serverOf("engine-a"), fleet.serverOf("engine-b"));
@@ -67,9 +67,9 @@
       FakeInstance one = instances.get(random.nextInt(instances.size()));
       FakeInstance other = instances.get(random.nextInt(instances.size()));
       switch (random.nextInt(8)) {
-        case 0 -> one.freeze();
+        case 0 -> one.suspend();
         case 1 -> one.suspendsBeforeOrder = true;
-        case 2, 3 -> one.wake();
+        case 2, 3 -> one.resume();
         case 4 -> fleet.log().down = !fleet.log().down;
         case 5 -> fleet.cut(one, other, random.nextBoolean());
         case 6 -> one.cutOffFromLog = random.nextBoolean();
@@ -87,7 +87,7 @@
       for (FakeInstance instance : instances) {
         instance.suspendsBeforeOrder = false;
         instance.cutOffFromLog = false;
-        instance.wake();
+        instance.resume();
         instances.forEach(other -> fleet.cut(instance, other, false));
       }
     }
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/OrderTests.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/OrderTests.java
@@ -20,7 +20,7 @@
 import org.teaseldeal.core.fake.FakeFleet;
 import org.teaseldeal.core.fake.FakeInstance;
 import org.teaseldeal.core.fake.FakeServer;
-import org.teaseldeal.core.part.InstanceParts;
+import org.teaseldeal.core.part.InstancePolicies;
 import org.teaseldeal.ledger.entry.Entry;
 import org.teaseldeal.ledger.outcome.Outcome;
 import org.teaseldeal.ledger.state.OrderTerm;
@@ -42,8 +42,8 @@
     start(models, parts -> parts);
   }
 
-  private void start(Map<String, String> models, UnaryOperator<InstanceParts> change) {
-    fleet.change(change);
+  private void start(Map<String, String> models, UnaryOperator<InstancePolicies> change) {
+    fleet.changePolicies(change);
     instances = fleet.startReady("r1", "r2", "r3");
     fleet.publishModels(models);
     assertTrue(enginesMatchWithin(models, SUCCESSION_TIMEOUT), () -> engine("engine-a").toString());
@@ -279,7 +279,7 @@
     void areRefusedByEnginesThatCheckFencingTokens() {
       start(Map.of("clerk", "1"));
       FakeInstance suspendedHolder = suspendPastSuccession();
-      suspendedHolder.wake();
+      suspendedHolder.resume();
       fleet.simulation().run(Duration.ofMillis(50));
       assertEquals(2, allOrders().stream().filter(order -> !order.taken()).count());
       assertTrue(enginesMatch(Map.of("clerk", "3")));
@@ -298,7 +298,7 @@
       engines().forEach(engine -> engine.checksFencing = false);
       start(Map.of("clerk", "1"));
       FakeInstance suspendedHolder = suspendPastSuccession();
-      suspendedHolder.wake();
+      suspendedHolder.resume();
       fleet.simulation().run(Duration.ofMillis(5));
       assertFalse(enginesMatch(Map.of("clerk", "3")));
       Instant woken = fleet.simulation().instant();
@@ -315,7 +315,7 @@
       engines().forEach(engine -> engine.checksFencing = false);
       start(Map.of("clerk", "1"), parts -> parts.withEngineRecheckRule(matched -> !matched));
       FakeInstance suspendedHolder = suspendPastSuccession();
-      suspendedHolder.wake();
+      suspendedHolder.resume();
       run(20);
       assertTrue(enginesMatch(Map.of("clerk", "2")));
     }
@@ -330,13 +330,13 @@
     void areNotSentAfterASuspensionBecauseOfQueuedLogResponses() {
       start(Map.of("clerk", "1"));
       FakeInstance suspendedHolder = holder();
-      suspendedHolder.freeze();
+      suspendedHolder.suspend();
       run(2);
       fleet.publishModels(Map.of("clerk", "2"));
       assertTrue(enginesMatchWithin(Map.of("clerk", "2"), SUCCESSION_TIMEOUT));
       fleet.log().down = true;
       Instant down = fleet.simulation().instant();
-      suspendedHolder.wake();
+      suspendedHolder.resume();
       run(20);
       assertTrue(
           allOrders().stream()
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/RandomFaults.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/RandomFaults.java
@@ -20,7 +20,7 @@
 import org.teaseldeal.core.fake.FakeFleet;
 import org.teaseldeal.core.fake.FakeInstance;
 import org.teaseldeal.core.fake.FakeServer;
-import org.teaseldeal.core.part.InstanceParts;
+import org.teaseldeal.core.part.InstancePolicies;
 import org.teaseldeal.ledger.AccountId;
 import org.teaseldeal.ledger.entry.Entry;
 import org.teaseldeal.ledger.state.AccountView;
@@ -58,11 +58,11 @@
   private final List<SentCall> sent = new ArrayList<>();
   private int keys;
 
-  RandomFaults(long seed, UnaryOperator<InstanceParts> change) {
+  RandomFaults(long seed, UnaryOperator<InstancePolicies> change) {
     this.seed = seed;
     granted = 600 + 700 * (seed % 8);
     fleet = FakeFleet.withBudget(seed, granted);
-    fleet.change(change);
+    fleet.changePolicies(change);
     fleet.addServer("desk-b", "desks");
     instances = new ArrayList<>(fleet.startReady("r1", "r2", "r3"));
     random = fleet.simulation().random();
@@ -104,7 +104,7 @@
         if (random.nextInt(8) == 0) {
           Duration delay = Duration.ofMillis(random.nextInt(100));
           draft.disconnected = true;
-          fleet.simulation().after(delay, () -> instance.hangUp(call));
+          fleet.simulation().after(delay, () -> instance.disconnect(call));
         }
       }
     }
@@ -118,17 +118,19 @@
         fleet.simulation().after(faultDuration, () -> fleet.log().down = false);
       }
       case 1 -> {
-        fleet.log().losesAnswers = true;
-        fleet.simulation().after(faultDuration, () -> fleet.log().losesAnswers = false);
+        fleet.log().losesResponses = true;
+        fleet.simulation().after(faultDuration, () -> fleet.log().losesResponses = false);
       }
       case 2 -> {
-        fleet.log().oneWay = Duration.ofMillis(random.nextInt(700));
-        fleet.simulation().after(faultDuration, () -> fleet.log().oneWay = Duration.ofMillis(2));
+        fleet.log().oneWayDelay = Duration.ofMillis(random.nextInt(700));
+        fleet
+            .simulation()
+            .after(faultDuration, () -> fleet.log().oneWayDelay = Duration.ofMillis(2));
       }
       case 3 -> {
         FakeInstance instance = anyInstance();
-        instance.freeze();
-        fleet.simulation().after(faultDuration, instance::wake);
+        instance.suspend();
+        fleet.simulation().after(faultDuration, instance::resume);
       }
       case 4 -> {
         FakeInstance one = anyInstance();
@@ -140,7 +142,7 @@
       case 6 -> {
         FakeServer server = anyServer();
         server.crash();
-        fleet.simulation().after(faultDuration, () -> server.gone = false);
+        fleet.simulation().after(faultDuration, () -> server.down = false);
       }
       case 7 -> {
         FakeServer server = anyServer();
@@ -155,10 +157,10 @@
       case 9 -> {
         // An operator retires an instance that is only suspended.
         FakeInstance instance = anyInstance();
-        instance.freeze();
+        instance.suspend();
         retired.add(instance);
         fleet.log().write("ops", new Entry.Retire(instance.incarnation(), "ops"));
-        fleet.simulation().after(faultDuration, instance::wake);
+        fleet.simulation().after(faultDuration, instance::resume);
         replaceOnceStopped(instance);
       }
       case 10 -> {
@@ -168,8 +170,8 @@
       }
       default -> {
         FakeServer server = anyServer();
-        server.refuses = true;
-        fleet.simulation().after(faultDuration, () -> server.refuses = false);
+        server.refusesRequests = true;
+        fleet.simulation().after(faultDuration, () -> server.refusesRequests = false);
       }
     }
   }
@@ -199,15 +201,16 @@
 
   private void endFaults() {
     fleet.log().down = false;
-    fleet.log().losesAnswers = false;
-    fleet.log().oneWay = Duration.ofMillis(2);
-    instances.forEach(FakeInstance::wake);
+    fleet.log().losesResponses = false;
+    fleet.log().oneWayDelay = Duration.ofMillis(2);
+    instances.forEach(FakeInstance::resume);
   }
 
   void check() {
     AccountView budget = fleet.budget();
     String prefix = "seed %d: ".formatted(seed);
-    assertEquals(Optional.empty(), fleet.ledger().imbalance(), prefix + "ledger out of balance");
+    assertEquals(
+        Optional.empty(), fleet.ledger().findImbalance(), prefix + "ledger out of balance");
     assertTrue(budget.remaining() >= 0, prefix + budget);
     long spent = fleet.tokensSpent();
     long accounted = budget.charged() + budget.writtenOff() + budget.leased();
@@ -224,10 +227,10 @@
 
   private void checkCall(String prefix, SentCall sentCall, Map<String, Integer> charges) {
     FakeCall call = sentCall.call;
-    assertTrue(call.ends() <= 1, prefix + call);
+    assertTrue(call.finalAnswerCount() <= 1, prefix + call);
     assertTrue(call.ended() || sentCall.disconnected, prefix + call);
     if (call.usage().isPresent()) {
-      assertTrue(call.whole(5), prefix + call);
+      assertTrue(call.isComplete(5), prefix + call);
     }
     if (!sentCall.model && call.plainBody().isPresent()) {
       assertEquals("done " + sentCall.key.orElseThrow(), call.plainBody().get(), prefix + call);
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/RemovedPartTests.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/RemovedPartTests.java
@@ -17,7 +17,7 @@
 import org.teaseldeal.core.fake.FakeInstance;
 import org.teaseldeal.core.fake.FakeServer;
 import org.teaseldeal.core.part.FrameFilter;
-import org.teaseldeal.core.part.InstanceParts;
+import org.teaseldeal.core.part.InstancePolicies;
 import org.teaseldeal.ledger.outcome.Outcome;
 
 /** Replaces one policy at a time with a weaker one and shows which fault it prevents. */
@@ -37,7 +37,7 @@
   }
 
   /** Returns the first violation that the checks report over the seeds. */
-  private static String firstViolation(UnaryOperator<InstanceParts> change) {
+  private static String firstViolation(UnaryOperator<InstancePolicies> change) {
     for (long seed = 1; seed <= MAX_SEEDS; seed++) {
       RandomFaults trial = new RandomFaults(seed, change);
       trial.run();
@@ -53,7 +53,8 @@
   /** Shows that a late frame of another answer reaches the caller if frames aren't filtered. */
   @Test
   void withoutTheFrameFilterAnAnswerIsMixed() {
-    fleet.change(parts -> parts.withFrameFilter((expected, position) -> FrameFilter.Verdict.NEXT));
+    fleet.changePolicies(
+        parts -> parts.withFrameFilter((expected, position) -> FrameFilter.Verdict.NEXT));
     FakeInstance instance = fleet.startReady("r1").getFirst();
     FakeCall call = draft(instance);
     fleet.simulation().runUntil(() -> call.frames().size() >= 2, Duration.ofSeconds(5));
@@ -61,15 +62,15 @@
     AttemptId mine = new AttemptId(instance.incarnation(), 1);
     instance.deliver(new InstanceEvent.FrameReceived(mine, 0, other));
     fleet.simulation().run(Duration.ofSeconds(2));
-    assertFalse(call.whole(5), call::toString);
+    assertFalse(call.isComplete(5), call::toString);
   }
 
   /** Shows that both instances run a bid if they don't read their claims back. */
   @Test
   void withoutReadingClaimsBackABidRunsTwice() {
-    fleet.change(
+    fleet.changePolicies(
         parts ->
-            parts.withClaims(
+            parts.withClaimConfirmation(
                 (claim, ledger, then) -> {
                   ledger.submit(claim, outcome -> {});
                   then.accept(new Outcome.ClaimWon(claim.key()));
@@ -87,7 +88,7 @@
     String violation =
         firstViolation(
             parts ->
-                parts.withClaims(
+                parts.withClaimConfirmation(
                     (claim, ledger, then) -> {
                       ledger.submit(claim, outcome -> {});
                       then.accept(new Outcome.ClaimWon(claim.key()));
@@ -98,7 +99,8 @@
   /** Shows that a leaving server is given work again if a stale list may bring it back. */
   @Test
   void withoutTheLeavingServerRuleAStaleListReactivatesThem() {
-    fleet.change(parts -> parts.withLeavingServerRule((known, listed) -> known.retainAll(listed)));
+    fleet.changePolicies(
+        parts -> parts.withLeavingServerRule((known, listed) -> known.retainAll(listed)));
     FakeInstance instance = fleet.startReady("r1").getFirst();
     fleet.serverOf("engine-a").leaving = true;
     fleet.simulation().run(Duration.ofSeconds(1));
@@ -116,7 +118,7 @@
   @Test
   void withoutWorstCaseReservationsTheChecksReportOverspending() {
     String violation =
-        firstViolation(parts -> parts.withReservations((payload, service, cap) -> 1));
+        firstViolation(parts -> parts.withReservationRule((payload, service, cap) -> 1));
     assertTrue(violation.contains("spent"), violation);
   }
 
@@ -135,9 +137,9 @@
    * Returns how many tokens the engines used that the ledger shows neither as charged nor as
    * written off.
    */
-  private static long unaccountedAfterADeadline(UnaryOperator<InstanceParts> change) {
+  private static long unaccountedAfterADeadline(UnaryOperator<InstancePolicies> change) {
     FakeFleet fleetWithSlowEngines = FakeFleet.withBudget(3, 100_000);
-    fleetWithSlowEngines.change(change);
+    fleetWithSlowEngines.changePolicies(change);
     FakeInstance instance = fleetWithSlowEngines.startReady("r1").getFirst();
     fleetWithSlowEngines.serverOf("engine-a").frameInterval = Duration.ofMillis(400);
     fleetWithSlowEngines.serverOf("engine-b").frameInterval = Duration.ofMillis(400);
@@ -152,7 +154,7 @@
 
   @Test
   void withoutTheRerunRuleTheChecksReportASecondRun() {
-    String violation = firstViolation(parts -> parts.withReruns(service -> true));
+    String violation = firstViolation(parts -> parts.withRerunRule(service -> true));
     assertTrue(violation.contains("expected: <1>"), violation);
   }
 
@@ -172,9 +174,9 @@
   }
 
   /** Returns how many more tokens the two instances hold than the ledger has leased. */
-  private static long excessTokensAfterARepeatedReply(UnaryOperator<InstanceParts> change) {
+  private static long excessTokensAfterARepeatedReply(UnaryOperator<InstancePolicies> change) {
     FakeFleet fleetWithSlowPeers = FakeFleet.withBudget(3, 100_000);
-    fleetWithSlowPeers.change(change);
+    fleetWithSlowPeers.changePolicies(change);
     List<FakeInstance> pair = fleetWithSlowPeers.startReady("r1", "r2");
     FakeCall first = draft(pair.getFirst());
     fleetWithSlowPeers.simulation().runUntil(first::ended, Duration.ofSeconds(10));
@@ -200,17 +202,17 @@
   /** Shows that a request which crashes engines is tried until no engine is left. */
   @Test
   void withoutQuarantineARequestCrashesEveryEngine() {
-    fleet.change(parts -> parts.withQuarantineRule(suspect -> false));
+    fleet.changePolicies(parts -> parts.withQuarantineRule(suspect -> false));
     FakeInstance instance = fleet.startReady("r1").getFirst();
     for (String engine : List.of("engine-a", "engine-b")) {
-      fleet.serverOf(engine).endsOn = "prompt of -";
+      fleet.serverOf(engine).crashPrompt = "prompt of -";
     }
     FakeServer third = fleet.addServer("engine-c", "engines");
-    third.endsOn = "prompt of -";
+    third.crashPrompt = "prompt of -";
     fleet.simulation().run(Duration.ofSeconds(1));
     for (int i = 0; i < 3; i++) {
       ended(draft(instance));
     }
-    assertTrue(third.gone && fleet.serverOf("engine-a").gone && fleet.serverOf("engine-b").gone);
+    assertTrue(third.down && fleet.serverOf("engine-a").down && fleet.serverOf("engine-b").down);
   }
 }
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/ServingTests.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/ServingTests.java
@@ -42,10 +42,10 @@
       FakeCall call = instance.callModel("mill", "drafts", NO_KEY, TIMEOUT);
       untilEnded(call);
       fleet.simulation().run(Duration.ofSeconds(1));
-      assertTrue(call.whole(5), call::toString);
+      assertTrue(call.isComplete(5), call::toString);
       assertEquals(Optional.of(new Usage(20, 5)), call.usage());
       assertEquals(25, fleet.budget().charged());
-      assertEquals(Optional.empty(), fleet.ledger().imbalance());
+      assertEquals(Optional.empty(), fleet.ledger().findImbalance());
     }
 
     @Test
@@ -63,8 +63,8 @@
       FakeCall other = instance.callModel("exporter", "wool/drafts", NO_KEY, TIMEOUT);
       untilEnded(one, other);
       fleet.simulation().run(Duration.ofSeconds(1));
-      assertTrue(one.whole(5), one::toString);
-      assertTrue(other.whole(5), other::toString);
+      assertTrue(one.isComplete(5), one::toString);
+      assertTrue(other.isComplete(5), other::toString);
       assertFalse(one.request().equals(other.request()));
       assertEquals(50, fleet.budget().charged());
     }
@@ -76,7 +76,7 @@
       fleet.simulation().run(Duration.ofMillis(60));
       assertEquals(List.of(), call.frames());
       untilEnded(call);
-      assertTrue(call.whole(3), call::toString);
+      assertTrue(call.isComplete(3), call::toString);
     }
 
     @Test
@@ -112,7 +112,7 @@
     for (int i = 0; i < 6; i++) {
       FakeCall call = pair.get(i % 2).callModel("mill", "drafts", NO_KEY, TIMEOUT);
       spread.simulation().runUntil(call::ended, TIMEOUT);
-      assertTrue(call.whole(5), call::toString);
+      assertTrue(call.isComplete(5), call::toString);
     }
     spread.simulation().run(Duration.ofSeconds(1));
     assertEquals(150, spread.budget().charged());
@@ -149,8 +149,8 @@
       FakeCall call = instance.callModel("mill", "drafts", NO_KEY, TIMEOUT);
       FakeCall named = instance.callModel("mill", "wool/drafts", NO_KEY, TIMEOUT);
       untilEnded(call, named);
-      assertTrue(call.whole(5), call::toString);
-      assertTrue(named.whole(5), named::toString);
+      assertTrue(call.isComplete(5), call::toString);
+      assertTrue(named.isComplete(5), named::toString);
       fleet.simulation().run(Duration.ofSeconds(1));
       assertEquals(50, fleet.budget().charged());
     }
@@ -205,11 +205,11 @@
 
     @Test
     void thatRefuseConnectionsAreSkippedWithoutAnError() {
-      fleet.serverOf("engine-a").gone = true;
+      fleet.serverOf("engine-a").down = true;
       for (int i = 0; i < 6; i++) {
         FakeCall call = instance.callModel("mill", "drafts", NO_KEY, TIMEOUT);
         untilEnded(call);
-        assertTrue(call.whole(5), call::toString);
+        assertTrue(call.isComplete(5), call::toString);
       }
     }
 
@@ -221,7 +221,7 @@
     @Test
     void thatRefuseConnectionsDoNotUseUpTheRetryBudget() {
       for (int i = 0; i < 5; i++) {
-        fleet.addServer("desk-gone-" + i, "desks").gone = true;
+        fleet.addServer("desk-gone-" + i, "desks").down = true;
       }
       fleet.simulation().run(Duration.ofSeconds(30));
       FakeCall[] calls = new FakeCall[40];
@@ -242,7 +242,7 @@
       }
       untilEnded(calls);
       for (FakeCall call : calls) {
-        assertTrue(call.whole(5), call::toString);
+        assertTrue(call.isComplete(5), call::toString);
       }
     }
 
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/StreamTests.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/StreamTests.java
@@ -59,7 +59,7 @@
     instance.deliver(new InstanceEvent.FrameReceived(mine, 0, other));
     instance.deliver(new InstanceEvent.FrameReceived(mine, 4, other));
     ended(call);
-    assertTrue(call.whole(5), call::toString);
+    assertTrue(call.isComplete(5), call::toString);
     assertEquals(3, instance.core().counters().value(Counter.DROPPED_FRAMES));
   }
 
@@ -79,7 +79,7 @@
     // The old connection is lost for good, so only a new one can deliver the rest.
     runner.forgetConnections();
     ended(call);
-    assertTrue(call.whole(5), call::toString);
+    assertTrue(call.isComplete(5), call::toString);
     assertEquals(1, runner.runCount());
     assertTrue(instance.core().counters().value(Counter.RESUMES) >= 1);
     fleet.simulation().run(Duration.ofSeconds(1));
@@ -117,7 +117,7 @@
     FakeServer first = runner();
     first.crash();
     ended(call);
-    assertTrue(call.whole(5), call::toString);
+    assertTrue(call.isComplete(5), call::toString);
     fleet.simulation().run(Duration.ofSeconds(1));
     assertEquals(25, fleet.budget().charged());
   }
@@ -130,7 +130,7 @@
   void aDisconnectedCallerStopsTheEngineAndIsChargedForTheUsage() {
     FakeCall call = draft();
     runUntilFrames(call, 2);
-    instance.hangUp(call);
+    instance.disconnect(call);
     fleet.simulation().run(Duration.ofSeconds(2));
     assertTrue(runner().cancelled(call.request().orElseThrow()));
     long charged = fleet.budget().charged();
@@ -150,9 +150,9 @@
     FakeCall first = instance.callModel("mill", "drafts", key, TIMEOUT);
     FakeCall second = instance.callModel("mill", "drafts", key, TIMEOUT);
     runUntilFrames(second, 2);
-    instance.hangUp(first);
+    instance.disconnect(first);
     ended(second);
-    assertTrue(second.whole(5), second::toString);
+    assertTrue(second.isComplete(5), second::toString);
     assertEquals(1, fleet.runCount());
   }
 
@@ -181,9 +181,9 @@
   void aRequestThatCrashesEnginesIsQuarantinedFleetWide() {
     FakeInstance second = fleet.startReady("r2").getFirst();
     FakeServer third = fleet.addServer("engine-c", "engines");
-    fleet.serverOf("engine-a").endsOn = "prompt of -";
-    fleet.serverOf("engine-b").endsOn = "prompt of -";
-    third.endsOn = "prompt of -";
+    fleet.serverOf("engine-a").crashPrompt = "prompt of -";
+    fleet.serverOf("engine-b").crashPrompt = "prompt of -";
+    third.crashPrompt = "prompt of -";
     FakeCall first = ended(draft());
     fleet.simulation().run(Duration.ofMillis(200));
     FakeCall again = ended(second.callModel("mill", "drafts", Optional.empty(), TIMEOUT));
@@ -194,7 +194,7 @@
     assertTrue(first.error().isPresent());
     long gone =
         List.of("engine-a", "engine-b", "engine-c").stream()
-            .filter(id -> fleet.serverOf(id).gone)
+            .filter(id -> fleet.serverOf(id).down)
             .count();
     assertEquals(2, gone);
   }
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/fake/FakeCall.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/fake/FakeCall.java
@@ -22,7 +22,7 @@
   private @Nullable Usage usage;
   private @Nullable String plainBody;
   private boolean connectionLost;
-  private int ends;
+  private int finalAnswerCount;
 
   FakeCall(CallId id) {
     this.id = id;
@@ -40,36 +40,36 @@
   void onFinish(RequestId requestId, Usage reported) {
     request = requestId;
     usage = reported;
-    ends++;
+    finalAnswerCount++;
   }
 
   void onPlain(RequestId requestId, byte[] body) {
     request = requestId;
     plainBody = new String(body, UTF_8);
-    ends++;
+    finalAnswerCount++;
   }
 
   void onProblem(RequestId requestId, Problem received, boolean afterFrames) {
     request = requestId;
     problem = received;
     broken = afterFrames;
-    ends++;
+    finalAnswerCount++;
   }
 
   void onConnectionLost() {
-    connectionLost = ends == 0;
+    connectionLost = finalAnswerCount == 0;
   }
 
   /**
    * Returns whether the caller has received its final answer or lost its connection before that.
    */
   public boolean ended() {
-    return ends > 0 || connectionLost;
+    return finalAnswerCount > 0 || connectionLost;
   }
 
   /** Returns the number of final answers. More than one is a fault. */
-  public int ends() {
-    return ends;
+  public int finalAnswerCount() {
+    return finalAnswerCount;
   }
 
   public Optional<RequestId> request() {
@@ -104,7 +104,7 @@
    * Returns whether the caller received exactly the {@code count} frames of its own request and the
    * end of the answer.
    */
-  public boolean whole(long count) {
+  public boolean isComplete(long count) {
     RequestId requestId = request;
     if (requestId == null || usage == null || frames.size() != count) {
       return false;
@@ -128,7 +128,7 @@
             plainBody,
             problem,
             broken ? " (broken)" : "",
-            ends,
+            finalAnswerCount,
             connectionLost ? ", connection lost" : "");
   }
 }
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/fake/FakeFleet.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/fake/FakeFleet.java
@@ -19,14 +19,14 @@
 import org.teaseldeal.api.TeamId;
 import org.teaseldeal.core.command.InstanceCommand;
 import org.teaseldeal.core.event.InstanceEvent;
-import org.teaseldeal.core.part.InstanceParts;
+import org.teaseldeal.core.part.InstancePolicies;
 import org.teaseldeal.ledger.AccountId;
 import org.teaseldeal.ledger.LogRecord;
-import org.teaseldeal.ledger.Streams;
+import org.teaseldeal.ledger.StreamPartitioning;
 import org.teaseldeal.ledger.entry.Entry;
-import org.teaseldeal.ledger.fold.KeyRules;
+import org.teaseldeal.ledger.fold.EntryOutcome;
+import org.teaseldeal.ledger.fold.KeyRetention;
 import org.teaseldeal.ledger.fold.LedgerFold;
-import org.teaseldeal.ledger.fold.Settled;
 import org.teaseldeal.ledger.outcome.Outcome;
 import org.teaseldeal.ledger.state.AccountView;
 import org.teaseldeal.ledger.state.LedgerState;
@@ -57,10 +57,10 @@
   private static final TeamId WOOL = new TeamId("wool");
 
   private final Simulation simulation;
-  private final Streams streams;
+  private final StreamPartitioning streams;
   private final FakeLog log;
   private final FakeSettings settings = new FakeSettings();
-  private InstanceParts parts = InstanceParts.standard().withValidator(settings);
+  private InstancePolicies parts = InstancePolicies.standard().withValidator(settings);
   private final TreeMap<String, FakeInstance> instances = new TreeMap<>();
   private final TreeMap<String, FakeServer> servers = new TreeMap<>();
   private final Set<String> cutLinks = new TreeSet<>();
@@ -80,7 +80,7 @@
 
   /** Creates a fleet whose ledger has {@code streams} streams. */
   public FakeFleet(long seed, int streams) {
-    this.streams = new Streams(streams);
+    this.streams = new StreamPartitioning(streams);
     simulation = new Simulation(seed);
     log = new FakeLog(simulation);
   }
@@ -168,7 +168,7 @@
     return log;
   }
 
-  InstanceParts parts() {
+  InstancePolicies parts() {
     return parts;
   }
 
@@ -176,7 +176,7 @@
    * Changes the policies of instances that start from now on, to show which faults the standard
    * policies prevent.
    */
-  public void change(UnaryOperator<InstanceParts> change) {
+  public void changePolicies(UnaryOperator<InstancePolicies> change) {
     parts = change.apply(parts);
   }
 
@@ -224,7 +224,7 @@
             simulation.after(LIST_INTERVAL, () -> scheduleListRead(instance));
           } else if (instance.alive()) {
             instance.deliver(
-                new InstanceEvent.ListRead(
+                new InstanceEvent.PlatformListRead(
                     instances.values().stream()
                         .filter(FakeInstance::alive)
                         .map(FakeInstance::listed)
@@ -241,12 +241,12 @@
   }
 
   /** Allows {@code instance} to read the platform's list again. */
-  public void thawListOf(FakeInstance instance) {
+  public void unfreezeListOf(FakeInstance instance) {
     instancesWithFrozenList.remove(instance.address());
   }
 
   /** Publishes the fleet's settings subtree by two operators, both based on the same revision. */
-  public void raceFleetSettings(String one, String other) {
+  public void publishFleetSettingsConcurrently(String one, String other) {
     long base = ledger().subtree(SubtreeId.FLEET).orElseThrow().revision();
     for (String operator : List.of(one, other)) {
       String text = settings.put(settings.fleet(ledgerFleetText()).orElseThrow());
@@ -268,7 +268,7 @@
   }
 
   /** Passes every outcome of the whole log to {@code each}, in order. */
-  public void outcomes(Consumer<Settled> each) {
+  public void outcomes(Consumer<EntryOutcome> each) {
     readLog(each);
   }
 
@@ -317,7 +317,7 @@
         () -> {
           for (FakeInstance instance : instances.values()) {
             if (instance.address().equals(address)) {
-              instance.deliver(new InstanceEvent.PeerReceived(sender.incarnation(), copy));
+              instance.deliver(new InstanceEvent.PeerMessageReceived(sender.incarnation(), copy));
             }
           }
         });
@@ -340,8 +340,8 @@
     return charges;
   }
 
-  private LedgerState readLog(Consumer<Settled> each) {
-    LedgerFold fold = new LedgerFold(streams.of(WOOL), KeyRules.DEFAULT, settings);
+  private LedgerState readLog(Consumer<EntryOutcome> each) {
+    LedgerFold fold = new LedgerFold(streams.of(WOOL), KeyRetention.DEFAULT, settings);
     for (LogRecord record : log.records(streams.of(WOOL))) {
       fold.fold(record).forEach(each);
     }
@@ -403,12 +403,12 @@
       case InstanceCommand.StartAttempt c ->
           "StartAttempt %s %s %s %s"
               .formatted(c.attempt(), c.request(), c.address(), c.resumeFrom());
-      case InstanceCommand.AtLog c -> describe(c);
+      case InstanceCommand.RunLogCommand c -> describe(c);
       default -> command.toString();
     };
   }
 
-  private static String describe(InstanceCommand.AtLog command) {
+  private static String describe(InstanceCommand.RunLogCommand command) {
     return switch (command.command()) {
       case org.teaseldeal.ledger.LogCommand.Append append ->
           "Append %d %s".formatted(append.token(), HexFormat.of().formatHex(append.payload()));
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/fake/FakeInstance.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/fake/FakeInstance.java
@@ -99,11 +99,11 @@
     return stopped;
   }
 
-  public void freeze() {
+  public void suspend() {
     state = state == State.RUNNING ? State.FROZEN : state;
   }
 
-  public void wake() {
+  public void resume() {
     state = state == State.FROZEN ? State.RUNNING : state;
     while (state == State.RUNNING && !unsentOrders.isEmpty()) {
       InstanceCommand.SendOrder order = unsentOrders.remove();
@@ -157,8 +157,8 @@
   }
 
   /** Closes the caller's connection. */
-  public void hangUp(FakeCall call) {
-    deliver(new InstanceEvent.CallerGone(call.id()));
+  public void disconnect(FakeCall call) {
+    deliver(new InstanceEvent.CallerDisconnected(call.id()));
   }
 
   void step() {
@@ -181,26 +181,30 @@
 
   private void carryOut(InstanceCommand command) {
     switch (command) {
-      case InstanceCommand.Refuse c -> call(c.call()).onProblem(c.request(), c.problem(), false);
+      case InstanceCommand.RefuseCall c ->
+          call(c.call()).onProblem(c.request(), c.problem(), false);
       case InstanceCommand.SendFrame c -> call(c.call()).onFrame(c.request(), c.data());
       case InstanceCommand.FinishStream c -> call(c.call()).onFinish(c.request(), c.usage());
-      case InstanceCommand.BreakStream c ->
+      case InstanceCommand.AbortStream c ->
           call(c.call()).onProblem(c.request(), c.problem(), true);
       case InstanceCommand.AnswerPlain c -> call(c.call()).onPlain(c.request(), c.body());
       case InstanceCommand.StartAttempt c -> fleet.server(c.address()).start(c, this::deliver);
       case InstanceCommand.CancelAttempt c ->
           fleet.server(c.address()).cancel(c.attempt(), c.request());
       case InstanceCommand.DropAttempt c -> fleet.dropAttempt(c.attempt());
-      case InstanceCommand.AskUsage c ->
+      case InstanceCommand.QueryUsage c ->
           fleet.server(c.address()).askUsage(c.attempt(), c.request(), this::deliver);
-      case InstanceCommand.AskOrderState c ->
+      case InstanceCommand.QueryOrderState c ->
           fleet.server(c.address()).askOrderState(this::deliver);
       case InstanceCommand.SendOrder c -> sendOrder(c);
-      case InstanceCommand.AtLog c ->
+      case InstanceCommand.RunLogCommand c ->
           fleet
               .log()
-              .carryOut(c.command(), cutOffFromLog, e -> deliver(new InstanceEvent.LogNews(e)));
-      case InstanceCommand.SendPeer c -> fleet.send(this, c.address(), c.message());
+              .carryOut(
+                  c.command(),
+                  cutOffFromLog,
+                  e -> deliver(new InstanceEvent.LogResponseReceived(e)));
+      case InstanceCommand.SendPeerMessage c -> fleet.send(this, c.address(), c.message());
       case InstanceCommand.RequestEnded c -> {}
       case InstanceCommand.Stop c -> {
         stopped = true;
@@ -212,7 +216,7 @@
   private void sendOrder(InstanceCommand.SendOrder order) {
     if (suspendsBeforeOrder) {
       suspendsBeforeOrder = false;
-      freeze();
+      suspend();
     }
     if (state == State.FROZEN) {
       unsentOrders.add(order);
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/fake/FakeLog.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/fake/FakeLog.java
@@ -29,10 +29,10 @@
   public boolean down;
 
   /** Whether records are stored but their writers receive an error. */
-  public boolean losesAnswers;
+  public boolean losesResponses;
 
   /** The time that a call takes to reach the log, and its response to come back. */
-  public Duration oneWay = Duration.ofMillis(2);
+  public Duration oneWayDelay = Duration.ofMillis(2);
 
   private long appends;
 
@@ -57,7 +57,7 @@
   /** Carries out a log command, or makes it fail if {@code cutOff} is true. */
   void carryOut(LogCommand command, boolean cutOff, Consumer<LogEvent> answer) {
     simulation.after(
-        oneWay,
+        oneWayDelay,
         () -> {
           switch (command) {
             case LogCommand.Append append when cutOff || down ->
@@ -74,9 +74,9 @@
     long offset = store(append.stream(), append.payload());
     respond(
         answer,
-        losesAnswers
+        losesResponses
             ? new LogEvent.AppendFailed(append.stream(), append.token(), "time-out")
-            : new LogEvent.AppendAnswered(append.stream(), append.token(), offset));
+            : new LogEvent.AppendAcknowledged(append.stream(), append.token(), offset));
   }
 
   private long store(StreamId stream, byte[] payload) {
@@ -104,7 +104,7 @@
   }
 
   private void respond(Consumer<LogEvent> answer, LogEvent event) {
-    simulation.after(oneWay, () -> answer.accept(event));
+    simulation.after(oneWayDelay, () -> answer.accept(event));
   }
 
   /** Appends entries of an operator to the first stream at once, regardless of faults. */
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/fake/FakeServer.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/fake/FakeServer.java
@@ -38,7 +38,7 @@
       Instant at, IncarnationId sender, long fencing, EngineOrder order, boolean taken) {}
 
   /** A start of a request on this server. */
-  public record Start(Instant at, RequestId request) {}
+  public record RunStart(Instant at, RequestId request) {}
 
   private static final class Run {
     private final long frames;
@@ -71,7 +71,7 @@
   private final Map<AttemptId, Connection> connections = new HashMap<>();
   private final TreeMap<String, Integer> starts = new TreeMap<>();
   private final List<Run> allRuns = new ArrayList<>();
-  private final List<Start> startLog = new ArrayList<>();
+  private final List<RunStart> runStarts = new ArrayList<>();
 
   /** Number of frames of each answer, or fewer if the output cap is lower. */
   public long frames = 5;
@@ -80,16 +80,16 @@
   public Duration oneWayDelay = Duration.ofMillis(1);
 
   /** Whether the process is gone, so that connections are refused. */
-  public boolean gone;
+  public boolean down;
 
   /** Whether current and future connections stay silent. */
   public boolean silent;
 
   /** Whether requests are refused before they run. */
-  public boolean refuses;
+  public boolean refusesRequests;
 
   /** The prompt that crashes the process when it runs; empty for none. */
-  public String endsOn = "";
+  public String crashPrompt = "";
 
   /** Whether an order with a fencing token below the highest one seen is refused. */
   public boolean checksFencing = true;
@@ -134,12 +134,12 @@
 
   private void recordStart(RequestId request) {
     starts.merge(request.value(), 1, Integer::sum);
-    startLog.add(new Start(simulation.instant(), request));
+    runStarts.add(new RunStart(simulation.instant(), request));
   }
 
   /** Returns all starts in order. */
-  public List<Start> startLog() {
-    return List.copyOf(startLog);
+  public List<RunStart> runStarts() {
+    return List.copyOf(runStarts);
   }
 
   /** Returns the number of starts of all requests. */
@@ -165,7 +165,7 @@
 
   /** Crashes the process. All callers of this server lose their connections. */
   public void crash() {
-    gone = true;
+    down = true;
     for (Map.Entry<AttemptId, Connection> open : new TreeMap<>(byNumber()).values()) {
       AttemptFailure failure =
           open.getValue().position == 0
@@ -192,9 +192,9 @@
 
   private void onStart(StartAttempt command, Consumer<InstanceEvent> events) {
     AttemptId attempt = command.attempt();
-    if (gone) {
+    if (down) {
       fail(events, attempt, AttemptFailure.NOT_SENT, "connection refused");
-    } else if (refuses) {
+    } else if (refusesRequests) {
       fail(events, attempt, AttemptFailure.REFUSED_BY_SERVER, "429");
     } else if (command.payload() instanceof Payload.PlainCall call) {
       answerPlain(command, call, events);
@@ -219,7 +219,7 @@
         () -> {
           if (!silent && connections.remove(command.attempt()) != null) {
             events.accept(
-                new InstanceEvent.PlainAnswered(command.attempt(), 200, "text/plain", body));
+                new InstanceEvent.PlainAnswerReceived(command.attempt(), 200, "text/plain", body));
           }
         });
   }
@@ -233,7 +233,7 @@
     Run run = existing == null ? begin(command) : existing;
     Connection connection = new Connection(run, command.resumeFrom().orElse(0), events);
     connections.put(command.attempt(), connection);
-    if (endsOn.equals(new String(command.payload().body(), UTF_8))) {
+    if (crashPrompt.equals(new String(command.payload().body(), UTF_8))) {
       crash();
       return;
     }
@@ -304,8 +304,8 @@
         oneWayDelay,
         () -> {
           InstanceEvent answer =
-              gone
-                  ? new InstanceEvent.OrderStateUnknown(id, "connection refused")
+              down
+                  ? new InstanceEvent.OrderStateQueryFailed(id, "connection refused")
                   : new InstanceEvent.OrderStateReported(id, orderState());
           simulation.after(oneWayDelay, () -> events.accept(answer));
         });
@@ -315,7 +315,7 @@
     simulation.after(
         oneWayDelay,
         () -> {
-          if (gone) {
+          if (down) {
             events.accept(new InstanceEvent.OrderFailed(id, command.number(), "refused"));
             return;
           }
@@ -325,7 +325,7 @@
                   simulation.instant(), sender, command.fencing(), command.order(), taken));
           InstanceEvent answer =
               taken
-                  ? new InstanceEvent.OrderAnswered(id, command.number())
+                  ? new InstanceEvent.OrderAccepted(id, command.number())
                   : new InstanceEvent.OrderRefused(id, command.number(), highestFencing);
           if (taken) {
             highestFencing = Math.max(highestFencing, command.fencing());
@@ -366,18 +366,18 @@
     simulation.after(
         oneWayDelay.multipliedBy(2),
         () -> {
-          if (gone) {
-            events.accept(new InstanceEvent.UsageUnknown(attempt, "connection refused"));
+          if (down) {
+            events.accept(new InstanceEvent.UsageQueryFailed(attempt, "connection refused"));
             return;
           }
           Run run = runs.get(request);
           if (run == null) {
-            events.accept(new InstanceEvent.UsageKnown(attempt, Optional.empty()));
+            events.accept(new InstanceEvent.UsageReported(attempt, Optional.empty()));
           } else if (run.cancelled || run.generatedFrames == run.frames) {
             Usage usage = new Usage(run.usage.inputTokens(), run.generatedFrames);
-            events.accept(new InstanceEvent.UsageKnown(attempt, Optional.of(usage)));
+            events.accept(new InstanceEvent.UsageReported(attempt, Optional.of(usage)));
           } else {
-            events.accept(new InstanceEvent.UsageUnknown(attempt, "still running"));
+            events.accept(new InstanceEvent.UsageQueryFailed(attempt, "still running"));
           }
         });
   }
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/AdmissionQueue.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/AdmissionQueue.java
@@ -41,7 +41,7 @@
    * @param deadline time after which the request must not start any more
    * @param since when the request was queued
    */
-  public record Waiting<T>(
+  public record Entry<T>(
       T item,
       CustomerId customer,
       int weight,
@@ -49,13 +49,13 @@
       double cost,
       Instant deadline,
       Instant since) {
-    public Waiting {
+    public Entry {
       Preconditions.requirePositive(weight, "weight");
       Preconditions.require(cost > 0, "cost was %s, expected more than 0".formatted(cost));
     }
 
     /** Creates a request of cost 1. */
-    public Waiting(
+    public Entry(
         T item, CustomerId customer, int weight, int rank, Instant deadline, Instant since) {
       this(item, customer, weight, rank, 1, deadline, since);
     }
@@ -70,7 +70,7 @@
      * The request was not queued because it would be served too late. The queue is expected to be
      * short after {@code comeBack}.
      */
-    record TooLate(Duration comeBack) implements Verdict {}
+    record TooLate(Duration retryAfter) implements Verdict {}
   }
 
   /**
@@ -85,10 +85,10 @@
   private static final Duration MIN_RETRY_AFTER = Duration.ofMillis(200);
 
   private static final class Node<T> {
-    private final Waiting<T> entry;
+    private final Entry<T> entry;
     private boolean removed;
 
-    Node(Waiting<T> waiting) {
+    Node(Entry<T> waiting) {
       this.entry = waiting;
     }
   }
@@ -132,7 +132,7 @@
    * @param drainPerSecond number of the pool's requests that this instance can start per second;
    *     see {@link DrainRate}
    */
-  public Verdict offer(Waiting<T> request, double drainPerSecond, Instant now) {
+  public Verdict offer(Entry<T> request, double drainPerSecond, Instant now) {
     if (rule == QueueRule.UNBOUNDED) {
       add(withoutCustomer(request));
       return new Verdict.Queued();
@@ -146,13 +146,13 @@
     return new Verdict.Queued();
   }
 
-  private static <T> Waiting<T> withoutCustomer(Waiting<T> request) {
-    return new Waiting<>(
+  private static <T> Entry<T> withoutCustomer(Entry<T> request) {
+    return new Entry<>(
         request.item(), SINGLE_LANE_CUSTOMER, 1, 0, request.deadline(), request.since());
   }
 
   /** Removes and returns the request whose turn it is. */
-  public Optional<Waiting<T>> poll() {
+  public Optional<Entry<T>> poll() {
     PriorityClass<T> level = nextClass();
     if (level == null) {
       return Optional.empty();
@@ -170,7 +170,7 @@
   }
 
   /** Removes and returns one request whose deadline has passed. */
-  public Optional<Waiting<T>> pollExpired(Instant now) {
+  public Optional<Entry<T>> pollExpired(Instant now) {
     while (!byDeadline.isEmpty()) {
       Node<T> node = byDeadline.peek();
       if (!node.removed && now.isBefore(node.entry.deadline())) {
@@ -207,7 +207,7 @@
    * requests. Counting all queued requests would reject a light customer because of a hot
    * customer's backlog.
    */
-  private Duration expectedWait(Waiting<T> request, double drainPerSecond) {
+  private Duration expectedWait(Entry<T> request, double drainPerSecond) {
     int aheadByRank =
         levels.headMap(request.rank()).values().stream().mapToInt(level -> level.size).sum();
     PriorityClass<T> level = levels.get(request.rank());
@@ -216,7 +216,7 @@
     return Duration.ofMillis((long) (1000 * ahead / rate));
   }
 
-  private double aheadInClass(PriorityClass<T> level, Waiting<T> request) {
+  private double aheadInClass(PriorityClass<T> level, Entry<T> request) {
     Lane<T> own = level.lanes.get(request.customer());
     int ownSize = own == null ? 0 : own.size;
     double otherWeights =
@@ -229,7 +229,7 @@
     return Math.min(level.size, atOwnShare);
   }
 
-  private void add(Waiting<T> request) {
+  private void add(Entry<T> request) {
     PriorityClass<T> level = levels.computeIfAbsent(request.rank(), rank -> new PriorityClass<>());
     Lane<T> lane = level.lanes.computeIfAbsent(request.customer(), customer -> new Lane<>());
     Node<T> node = new Node<>(request);
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/DrainAdmission.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/DrainAdmission.java
@@ -24,7 +24,7 @@
    * Time until the balancer has noticed the shutdown: it checks the health every second and needs
    * two results; connections arrive until then.
    */
-  public static final Duration BALANCER_NOTICES = Duration.ofMillis(2600);
+  public static final Duration BALANCER_NOTICE_TIME = Duration.ofMillis(2600);
 
   /** Retry time of refused callers: almost immediate, since another instance serves them. */
   private static final Duration RETRY_AFTER = Duration.ofMillis(100);
@@ -70,7 +70,7 @@
    * Returns the time from which the balancer sends callers to other instances, if there are any.
    */
   Instant balancerNoticed() {
-    return began.plus(shorter(BALANCER_NOTICES, total().dividedBy(NOTICE_DIVISOR)));
+    return began.plus(shorter(BALANCER_NOTICE_TIME, total().dividedBy(NOTICE_DIVISOR)));
   }
 
   /** Returns the time from which no request is sent to a server for the first time. */
@@ -79,7 +79,7 @@
   }
 
   /** Returns the retry time of a refused caller. */
-  public Duration comeBack() {
+  public Duration retryAfter() {
     return RETRY_AFTER;
   }
 
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/DrainPhases.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/DrainPhases.java
@@ -33,11 +33,11 @@
      */
     REFUSING,
     /** Aborts the requests that are still running, because the process is about to be killed. */
-    BREAKING_OFF,
+    ABORTING,
     /** Accepts no new connections; answers requests that arrive on existing ones. */
     CLOSING,
     /** Reads no more requests, and flushes the last answers. */
-    LEAVING,
+    FLUSHING,
     /** The process may end. */
     DONE
   }
@@ -47,7 +47,7 @@
    *
    * @param unanswered number of requests whose answers have not left the process
    */
-  public record Left(int unanswered, boolean tokensReturned) {}
+  public record Outstanding(int unanswered, boolean tokensReturned) {}
 
   /** Time reserved for closing down before the process is killed. */
   private static final Duration MAX_RESERVE = Duration.ofMillis(900);
@@ -110,7 +110,7 @@
    * at a time, so that the work of each phase is done before the next one checks what is
    * outstanding.
    */
-  public Phase next(Instant now, Left outstanding) {
+  public Phase advance(Instant now, Outstanding outstanding) {
     Phase next = nextPhase(now, outstanding);
     if (next != phase) {
       phase = next;
@@ -119,26 +119,26 @@
     return phase;
   }
 
-  private Phase nextPhase(Instant now, Left outstanding) {
+  private Phase nextPhase(Instant now, Outstanding outstanding) {
     boolean idle = outstanding.unanswered() == 0;
     return switch (phase) {
       case ACCEPTING -> now.isBefore(admission.balancerNoticed()) ? phase : Phase.SHORT_ONLY;
       case SHORT_ONLY -> idle || !now.isBefore(admission.lastDispatch()) ? Phase.REFUSING : phase;
       case REFUSING -> afterRefusing(now, outstanding);
-      case BREAKING_OFF -> Phase.CLOSING;
-      case CLOSING -> hasLasted(now, LAST_REQUESTS_WAIT) ? Phase.LEAVING : phase;
-      case LEAVING ->
+      case ABORTING -> Phase.CLOSING;
+      case CLOSING -> hasLasted(now, LAST_REQUESTS_WAIT) ? Phase.FLUSHING : phase;
+      case FLUSHING ->
           idle || (pastFlushDeadline(now) && hasLasted(now, FLUSH_TIME)) ? Phase.DONE : phase;
       case DONE -> Phase.DONE;
     };
   }
 
-  private Phase afterRefusing(Instant now, Left outstanding) {
+  private Phase afterRefusing(Instant now, Outstanding outstanding) {
     if (outstanding.unanswered() == 0
         && (outstanding.tokensReturned() || hasLasted(now, MAX_RETURN_WAIT))) {
       return Phase.CLOSING;
     }
-    return now.isBefore(admission.ends()) ? phase : Phase.BREAKING_OFF;
+    return now.isBefore(admission.ends()) ? phase : Phase.ABORTING;
   }
 
   private boolean pastFlushDeadline(Instant now) {
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/DrainRate.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/DrainRate.java
@@ -54,14 +54,14 @@
    * is wasted when servers are scarce. If durations vary evenly by half, this time covers all of
    * them.
    */
-  public Duration usualLongest() {
+  public Duration usualMaximum() {
     return Duration.ofNanos((long) ((meanSeconds() + 2 * meanDeviation) * 1e9));
   }
 
   /**
    * Returns the number of starts per second that {@code inFlight} requests in flight make room for.
    */
-  public double perSecond(int inFlight) {
+  public double startsPerSecond(int inFlight) {
     return Math.max(inFlight, 1) / meanSeconds();
   }
 }
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/LeaseSizing.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/LeaseSizing.java
@@ -30,7 +30,7 @@
    * @param held unreserved tokens that this instance already has
    * @param remaining tokens that the ledger shows as not leased
    */
-  public long wanted(double tokensPerSecond, long needed, long held, long remaining) {
+  public long tokensToRequest(double tokensPerSecond, long needed, long held, long remaining) {
     long target = Math.max(minimum, (long) (tokensPerSecond * horizon.toMillis() / 1000.0));
     long capped = Math.min(target, (long) (remaining * maxShare));
     return Math.max(Math.max(capped, needed) - held, 0);
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/LoadCollectorChoice.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/LoadCollectorChoice.java
@@ -31,7 +31,7 @@
    *
    * @param instances the names of all instances, in any order
    */
-  public static Set<String> of(Collection<String> instances) {
+  public static Set<String> collectors(Collection<String> instances) {
     if (instances.size() <= MAX_FLEET_WITHOUT_SELECTION) {
       return Set.copyOf(instances);
     }
@@ -43,7 +43,7 @@
    * Returns the order in which {@code instance} tries the collectors; each collector is first for
    * about the same number of instances.
    */
-  public static List<String> order(String instance, Collection<String> collectors) {
+  public static List<String> preferenceOrder(String instance, Collection<String> collectors) {
     return RendezvousHash.order(instance, collectors);
   }
 }
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/PromptReading.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/PrefillTime.java
@@ -14,7 +14,7 @@
  * engine that broke off sooner than any engine could have processed the prompt has not used any of
  * its tokens.
  */
-public final class PromptReading {
+public final class PrefillTime {
   /**
    * Prompt tokens per millisecond of an assumed fastest engine. The fastest engines in use process
    * 66 tokens per millisecond; the margin of half of that avoids mistaking a faster engine for one
@@ -22,7 +22,7 @@
    */
   private static final long FASTEST_TOKENS_PER_MS = 100;
 
-  private PromptReading() {}
+  private PrefillTime() {}
 
   /**
    * Returns whether a prompt may have been processed.
@@ -30,7 +30,7 @@
    * @param tokens number of tokens of the prompt that no engine can have cached
    * @param since time since the request was sent
    */
-  public static boolean mayBeDone(long tokens, Duration since) {
+  public static boolean mayBeComplete(long tokens, Duration since) {
     return since.toNanos() * FASTEST_TOKENS_PER_MS >= tokens * Duration.ofMillis(1).toNanos();
   }
 }
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/RecentDurations.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/RecentDurations.java
@@ -28,7 +28,7 @@
   }
 
   /** Returns the 90th percentile; zero if too few durations are known. */
-  public Duration ofNearlyAll() {
+  public Duration ninetiethPercentile() {
     if (recent.size() < MIN_SAMPLES) {
       return Duration.ZERO;
     }
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/RelayChoice.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/RelayChoice.java
@@ -54,7 +54,7 @@
   }
 
   /** Returns the relay of the next call; empty if the call goes directly to the service. */
-  public Optional<String> next(List<String> relays, Instant now) {
+  public Optional<String> nextRelay(List<String> relays, Instant now) {
     if (directAvailable || relays.isEmpty() || now.isBefore(relaysPausedUntil)) {
       return Optional.empty();
     }
@@ -71,7 +71,7 @@
   }
 
   /** Records the outcome of a direct call. */
-  public void onDirect(boolean reached, Instant now) {
+  public void onDirectCall(boolean reached, Instant now) {
     if (!reached && directAvailable) {
       nextProbe = now.plus(PROBE_INTERVAL);
     }
@@ -83,7 +83,7 @@
    *
    * @param relays number of relays available
    */
-  public void onRelayed(boolean reached, int relays, Instant now) {
+  public void onRelayedCall(boolean reached, int relays, Instant now) {
     if (reached) {
       consecutiveFailures = 0;
       return;
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/ComeBackTime.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/RetryAfterJitter.java
@@ -10,14 +10,14 @@
  * return as the same burst. Spread evenly over an additional half of that time, they return at no
  * more than twice the rate at which the queue drains, which the queue's bound absorbs.
  */
-public final class ComeBackTime {
+public final class RetryAfterJitter {
   private static final double JITTER = 0.5;
   private static final Duration MAX_EXPECTED = Duration.ofSeconds(30);
 
-  private ComeBackTime() {}
+  private RetryAfterJitter() {}
 
   /** Returns a random retry time between {@code expected}, limited to 30 s, and 1.5 times that. */
-  public static Duration spread(Duration expected, RandomGenerator random) {
+  public static Duration addJitter(Duration expected, RandomGenerator random) {
     Duration bounded = expected.compareTo(MAX_EXPECTED) > 0 ? MAX_EXPECTED : expected;
     return bounded.plusMillis((long) (bounded.toMillis() * JITTER * random.nextDouble()));
   }
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/RetryWindow.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/RetryWindow.java
@@ -50,7 +50,7 @@
   }
 
   /** Records the first attempt of a request. */
-  public void onFirst(Instant now) {
+  public void onFirstAttempt(Instant now) {
     firstAttempts[slide(now)]++;
   }
 
@@ -59,7 +59,7 @@
    *
    * @param instances number of instances that share the reserve, including this one
    */
-  public boolean tryRepeat(Instant now, int instances) {
+  public boolean tryRetry(Instant now, int instances) {
     Preconditions.requirePositive(instances, "instances");
     int bucket = slide(now);
     double allowed = USED_FRACTION * (share * sum(firstAttempts) + reserve / instances);
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/ServerHealth.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/ServerHealth.java
@@ -159,7 +159,7 @@
   }
 
   /** Returns whether the server may be given requests. */
-  public boolean isIn(BackendServerId server, Instant now) {
+  public boolean isEligible(BackendServerId server, Instant now) {
     Observations observations = records.get(server);
     return observations == null || !isEjected(observations, now);
   }
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/TokenHolderChoice.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/TokenHolderChoice.java
@@ -45,7 +45,7 @@
    *
    * @param instances the names of all instances, in any order
    */
-  public static Set<String> of(String customer, Collection<String> instances) {
+  public static Set<String> holders(String customer, Collection<String> instances) {
     if (instances.size() <= MAX_FLEET_WITHOUT_SELECTION) {
       return Set.copyOf(instances);
     }
@@ -53,7 +53,7 @@
   }
 
   /** Returns the holders of all groups of customers. */
-  public static Set<String> ofAny(Collection<String> instances) {
+  public static Set<String> holdersOfAnyCustomer(Collection<String> instances) {
     if (instances.size() <= MAX_FLEET_WITHOUT_SELECTION) {
       return Set.copyOf(instances);
     }
@@ -72,7 +72,7 @@
    * Returns the order in which {@code requester} asks the holders; each holder is first for about
    * the same number of instances.
    */
-  public static List<String> order(String requester, Collection<String> holders) {
+  public static List<String> preferenceOrder(String requester, Collection<String> holders) {
     return RendezvousHash.order(requester, holders);
   }
 }
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/AdmissionQueueTests.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/AdmissionQueueTests.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 import org.teaseldeal.api.CustomerId;
+import org.teaseldeal.decisions.AdmissionQueue.Entry;
 import org.teaseldeal.decisions.AdmissionQueue.Verdict;
-import org.teaseldeal.decisions.AdmissionQueue.Waiting;
 
 class AdmissionQueueTests {
   private static final Instant NOW = Instant.EPOCH;
@@ -24,8 +24,8 @@
 
   private Verdict offer(
       String item, String customer, int weight, int rank, double cost, int timeoutSeconds) {
-    Waiting<String> waiting =
-        new Waiting<>(
+    Entry<String> waiting =
+        new Entry<>(
             item,
             CustomerId.parse("team/" + customer),
             weight,
@@ -38,9 +38,7 @@
 
   private List<String> pollAll() {
     List<String> items = new ArrayList<>();
-    for (Optional<Waiting<String>> polled = queue.poll();
-        polled.isPresent();
-        polled = queue.poll()) {
+    for (Optional<Entry<String>> polled = queue.poll(); polled.isPresent(); polled = queue.poll()) {
       items.add(polled.get().item());
     }
     return items;
@@ -51,9 +49,8 @@
     private final AdmissionQueue<String> unbounded = new AdmissionQueue<>(QueueRule.UNBOUNDED);
 
     private void offer(String item, String customer, int rank) {
-      Waiting<String> waiting =
-          new Waiting<>(
-              item, CustomerId.parse("team/" + customer), 1, rank, NOW.plusMillis(1), NOW);
+      Entry<String> waiting =
+          new Entry<>(item, CustomerId.parse("team/" + customer), 1, rank, NOW.plusMillis(1), NOW);
       assertInstanceOf(Verdict.Queued.class, unbounded.offer(waiting, 0.1, NOW));
     }
 
@@ -135,7 +132,7 @@
       }
       Verdict verdict = offer("late", "a", 1, 0, 1, 1);
       Verdict.TooLate tooLate = assertInstanceOf(Verdict.TooLate.class, verdict);
-      assertEquals(Duration.ofSeconds(2), tooLate.comeBack());
+      assertEquals(Duration.ofSeconds(2), tooLate.retryAfter());
       assertEquals(20, queue.size());
     }
 
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/DrainPhasesTests.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/DrainPhasesTests.java
@@ -8,7 +8,7 @@
 import java.time.Instant;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.teaseldeal.decisions.DrainPhases.Left;
+import org.teaseldeal.decisions.DrainPhases.Outstanding;
 import org.teaseldeal.decisions.DrainPhases.Phase;
 import org.teaseldeal.decisions.StoppingInstance.Request;
 
@@ -16,14 +16,14 @@
   private static final int SEEDS = 10_000;
   private static final Instant BEGAN = Instant.EPOCH;
   private static final Duration GRACE = Duration.ofSeconds(8);
-  private static final Left NOTHING = new Left(0, true);
+  private static final Outstanding NOTHING = new Outstanding(0, true);
 
   private final DrainPhases phases = new DrainPhases(BEGAN, GRACE);
 
   @Test
   void acceptsEverythingUntilTheBalancerHasNoticed() {
-    assertEquals(Phase.ACCEPTING, phases.next(BEGAN.plusMillis(2_599), NOTHING));
-    assertEquals(Phase.SHORT_ONLY, phases.next(BEGAN.plusMillis(2_600), NOTHING));
+    assertEquals(Phase.ACCEPTING, phases.advance(BEGAN.plusMillis(2_599), NOTHING));
+    assertEquals(Phase.SHORT_ONLY, phases.advance(BEGAN.plusMillis(2_600), NOTHING));
   }
 
   /**
@@ -33,32 +33,32 @@
   @Test
   void refusesBeforeCheckingForOutstandingAnswers() {
     Instant noticed = BEGAN.plusMillis(2_600);
-    phases.next(noticed, NOTHING);
-    assertEquals(Phase.REFUSING, phases.next(noticed, NOTHING));
-    assertEquals(Phase.REFUSING, phases.next(noticed, new Left(1, true)));
-    assertEquals(Phase.CLOSING, phases.next(noticed, NOTHING));
+    phases.advance(noticed, NOTHING);
+    assertEquals(Phase.REFUSING, phases.advance(noticed, NOTHING));
+    assertEquals(Phase.REFUSING, phases.advance(noticed, new Outstanding(1, true)));
+    assertEquals(Phase.CLOSING, phases.advance(noticed, NOTHING));
     assertEquals(
-        Phase.CLOSING, phases.next(noticed, NOTHING), "expected time for the last requests");
-    assertEquals(Phase.LEAVING, phases.next(noticed.plusMillis(60), NOTHING));
-    assertEquals(Phase.LEAVING, phases.next(noticed.plusMillis(60), new Left(1, true)));
-    assertEquals(Phase.DONE, phases.next(noticed.plusMillis(60), NOTHING));
+        Phase.CLOSING, phases.advance(noticed, NOTHING), "expected time for the last requests");
+    assertEquals(Phase.FLUSHING, phases.advance(noticed.plusMillis(60), NOTHING));
+    assertEquals(Phase.FLUSHING, phases.advance(noticed.plusMillis(60), new Outstanding(1, true)));
+    assertEquals(Phase.DONE, phases.advance(noticed.plusMillis(60), NOTHING));
   }
 
   @Test
   void waitsBrieflyForTokensToBeReturned() {
-    Left held = new Left(0, false);
+    Outstanding held = new Outstanding(0, false);
     Instant noticed = BEGAN.plusMillis(2_600);
-    phases.next(noticed, held);
-    phases.next(noticed, held);
-    assertEquals(Phase.REFUSING, phases.next(noticed.plusMillis(799), held));
-    assertEquals(Phase.CLOSING, phases.next(noticed.plusMillis(800), held));
+    phases.advance(noticed, held);
+    phases.advance(noticed, held);
+    assertEquals(Phase.REFUSING, phases.advance(noticed.plusMillis(799), held));
+    assertEquals(Phase.CLOSING, phases.advance(noticed.plusMillis(800), held));
   }
 
   @Test
   void leavesMostOfAShortGraceToCallers() {
     DrainPhases shortGrace = new DrainPhases(BEGAN, Duration.ofSeconds(1));
     assertEquals(BEGAN.plusMillis(750), shortGrace.admission().ends());
-    assertEquals(Phase.SHORT_ONLY, shortGrace.next(BEGAN.plusMillis(375), NOTHING));
+    assertEquals(Phase.SHORT_ONLY, shortGrace.advance(BEGAN.plusMillis(375), NOTHING));
   }
 
   /**
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/LoadCollectorChoiceTests.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/LoadCollectorChoiceTests.java
@@ -15,13 +15,14 @@
   @Test
   void choosesAllInstancesOfASmallFleet() {
     Set<String> fleet = Set.copyOf(names("instance", 9));
-    assertEquals(fleet, LoadCollectorChoice.of(fleet));
+    assertEquals(fleet, LoadCollectorChoice.collectors(fleet));
   }
 
   @Test
   void choosesTheSameCollectorsWhateverTheOrder() {
     List<String> fleet = names("instance", 95);
-    assertEquals(LoadCollectorChoice.of(fleet), LoadCollectorChoice.of(fleet.reversed()));
+    assertEquals(
+        LoadCollectorChoice.collectors(fleet), LoadCollectorChoice.collectors(fleet.reversed()));
   }
 
   /**
@@ -30,8 +31,8 @@
    */
   @Test
   void choosesTheSquareRootOfTheFleetSize() {
-    assertEquals(10, LoadCollectorChoice.of(names("instance", 95)).size());
-    assertEquals(21, LoadCollectorChoice.of(names("instance", 420)).size());
+    assertEquals(10, LoadCollectorChoice.collectors(names("instance", 95)).size());
+    assertEquals(21, LoadCollectorChoice.collectors(names("instance", 420)).size());
   }
 
   /**
@@ -39,18 +40,19 @@
    */
   @Test
   void keepsMostCollectorsWhenAnInstanceJoins() {
-    Set<String> before = LoadCollectorChoice.of(names("instance", 95));
-    Set<String> kept = new HashSet<>(LoadCollectorChoice.of(names("instance", 96)));
+    Set<String> before = LoadCollectorChoice.collectors(names("instance", 95));
+    Set<String> kept = new HashSet<>(LoadCollectorChoice.collectors(names("instance", 96)));
     kept.retainAll(before);
     assertTrue(kept.size() >= before.size() - 1, kept + " of " + before);
   }
 
   @Test
   void spreadsInstancesOverAllCollectors() {
-    Set<String> collectors = LoadCollectorChoice.of(names("instance", 95));
+    Set<String> collectors = LoadCollectorChoice.collectors(names("instance", 95));
     Map<String, Integer> first = new HashMap<>();
     for (String instance : names("reporter", 950)) {
-      first.merge(LoadCollectorChoice.order(instance, collectors).getFirst(), 1, Integer::sum);
+      first.merge(
+          LoadCollectorChoice.preferenceOrder(instance, collectors).getFirst(), 1, Integer::sum);
     }
     assertEquals(collectors, first.keySet());
     first.forEach(
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/LoadSimulation.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/LoadSimulation.java
@@ -132,7 +132,7 @@
       }
       AdmissionQueue.Verdict verdict =
           queue.offer(
-              new AdmissionQueue.Waiting<>(
+              new AdmissionQueue.Entry<>(
                   job,
                   new CustomerId(TEAM, arrival.customer()),
                   1,
@@ -140,7 +140,7 @@
                   arrival.workMicros() / 1e5,
                   instant(latestStart(arrival)),
                   instant(now)),
-              drain.perSecond(inFlight),
+              drain.startsPerSecond(inFlight),
               instant(now));
       if (verdict instanceof AdmissionQueue.Verdict.TooLate) {
         tally(arrival).refused++;
@@ -153,7 +153,7 @@
      * would end late.
      */
     private long latestStart(Arrival arrival) {
-      return arrival.atMicros() + arrival.timeoutMicros() - drain.usualLongest().toNanos() / 1000;
+      return arrival.atMicros() + arrival.timeoutMicros() - drain.usualMaximum().toNanos() / 1000;
     }
 
     private Server baseline() {
@@ -193,7 +193,7 @@
           new SharedLimit(
               slotsPerServer, ownRequests, ownAtLastReport.getOrDefault(server.id, 0), others);
       boolean open =
-          health.isIn(server.id, instant(now))
+          health.isEligible(server.id, instant(now))
               && limit.hasRoom(inFlight, slotsPerServer * servers.size(), instances.size());
       return new ServerView(
           server.id, ownRequests, others, slotsPerServer, health.slowness(server.id), open, true);
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/PromptReadingTests.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/PrefillTimeTests.java
@@ -6,16 +6,16 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-class PromptReadingTests {
+class PrefillTimeTests {
   @Test
   void isNotCompleteBeforeTheFastestEngineIsDone() {
-    assertFalse(PromptReading.mayBeDone(6_000, Duration.ofMillis(3)));
-    assertFalse(PromptReading.mayBeDone(6_000, Duration.ofMillis(59)));
+    assertFalse(PrefillTime.mayBeComplete(6_000, Duration.ofMillis(3)));
+    assertFalse(PrefillTime.mayBeComplete(6_000, Duration.ofMillis(59)));
   }
 
   @Test
   void mayBeCompleteOnceTheFastestEngineWouldBeDone() {
-    assertTrue(PromptReading.mayBeDone(6_000, Duration.ofMillis(60)));
-    assertTrue(PromptReading.mayBeDone(0, Duration.ZERO));
+    assertTrue(PrefillTime.mayBeComplete(6_000, Duration.ofMillis(60)));
+    assertTrue(PrefillTime.mayBeComplete(0, Duration.ZERO));
   }
 }
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/RecentDurationsTests.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/RecentDurationsTests.java
@@ -11,20 +11,20 @@
   @Test
   void isZeroForTooFewDurations() {
     addAll(1, 9);
-    assertEquals(Duration.ZERO, durations.ofNearlyAll());
+    assertEquals(Duration.ZERO, durations.ninetiethPercentile());
   }
 
   @Test
   void returnsTheNinetiethPercentile() {
     addAll(1, 50);
-    assertEquals(Duration.ofMillis(45), durations.ofNearlyAll());
+    assertEquals(Duration.ofMillis(45), durations.ninetiethPercentile());
   }
 
   @Test
   void dropsTheOldestDurations() {
     addAll(5_000, 5_063);
     addAll(1, 64);
-    assertEquals(Duration.ofMillis(57), durations.ofNearlyAll());
+    assertEquals(Duration.ofMillis(57), durations.ninetiethPercentile());
   }
 
   private void addAll(int first, int last) {
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/RelayChoiceTests.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/RelayChoiceTests.java
@@ -19,8 +19,8 @@
 
   @Test
   void callsDirectlyWhileThatWorks() {
-    choice.onDirect(true, now);
-    assertEquals(Optional.empty(), choice.next(RELAYS, now));
+    choice.onDirectCall(true, now);
+    assertEquals(Optional.empty(), choice.nextRelay(RELAYS, now));
   }
 
   /**
@@ -30,12 +30,12 @@
    */
   @Test
   void relaysCallsUntilTheServiceReturns() {
-    choice.onDirect(false, now);
-    assertEquals(Optional.of("a"), choice.next(RELAYS, now));
+    choice.onDirectCall(false, now);
+    assertEquals(Optional.of("a"), choice.nextRelay(RELAYS, now));
     int direct = calls(Duration.ofSeconds(5), false, true);
     assertTrue(direct <= 12, "%d of 50 calls were direct, expected at most 12".formatted(direct));
     calls(Duration.ofSeconds(1), true, true);
-    assertEquals(Optional.empty(), choice.next(RELAYS, now));
+    assertEquals(Optional.empty(), choice.nextRelay(RELAYS, now));
   }
 
   /**
@@ -44,18 +44,18 @@
    */
   @Test
   void callsMostlyDirectlyIfNoRelayReachesTheService() {
-    choice.onDirect(false, now);
+    choice.onDirectCall(false, now);
     int direct = calls(Duration.ofSeconds(5), false, false);
     assertTrue(direct >= 35, "%d of 50 calls were direct, expected at least 35".formatted(direct));
   }
 
   @Test
   void usesTheNextRelayAfterAFailure() {
-    choice.onDirect(false, now);
-    choice.onRelayed(false, RELAYS.size(), now);
+    choice.onDirectCall(false, now);
+    choice.onRelayedCall(false, RELAYS.size(), now);
     now = now.plusMillis(900);
-    choice.next(RELAYS, now);
-    assertEquals(Optional.of("b"), choice.next(RELAYS, now));
+    choice.nextRelay(RELAYS, now);
+    assertEquals(Optional.of("b"), choice.nextRelay(RELAYS, now));
   }
 
   /**
@@ -66,13 +66,13 @@
   @Test
   void findsTheOneRelayThatReachesTheService() {
     List<String> relays = List.of("a", "b", "c", "d", "e", "f", "g", "h");
-    choice.onDirect(false, now);
+    choice.onDirectCall(false, now);
     for (int call = 0; call < relays.size() - 1; call++) {
       now = now.plusMillis(5);
-      String relay = choice.next(relays, now).orElseThrow();
-      choice.onRelayed(relay.equals("h"), relays.size(), now);
+      String relay = choice.nextRelay(relays, now).orElseThrow();
+      choice.onRelayedCall(relay.equals("h"), relays.size(), now);
     }
-    assertEquals(Optional.of("h"), choice.next(relays, now));
+    assertEquals(Optional.of("h"), choice.nextRelay(relays, now));
   }
 
   /**
@@ -82,12 +82,12 @@
   @Test
   void limitsTheRelaysTriedInARound() {
     List<String> relays = IntStream.range(0, 67).mapToObj(i -> "instance-" + i).toList();
-    choice.onDirect(false, now);
+    choice.onDirectCall(false, now);
     int relayed = 0;
     for (Instant end = now.plusSeconds(1); now.isBefore(end); now = now.plusMillis(2)) {
-      if (choice.next(relays, now).isPresent()) {
+      if (choice.nextRelay(relays, now).isPresent()) {
         relayed++;
-        choice.onRelayed(false, relays.size(), now);
+        choice.onRelayedCall(false, relays.size(), now);
       }
     }
     assertTrue(
@@ -99,11 +99,11 @@
   private int calls(Duration time, boolean directReached, boolean relayReached) {
     int direct = 0;
     for (Instant end = now.plus(time); now.isBefore(end); now = now.plus(STEP)) {
-      if (choice.next(RELAYS, now).isEmpty()) {
+      if (choice.nextRelay(RELAYS, now).isEmpty()) {
         direct++;
-        choice.onDirect(directReached, now);
+        choice.onDirectCall(directReached, now);
       } else {
-        choice.onRelayed(relayReached, RELAYS.size(), now);
+        choice.onRelayedCall(relayReached, RELAYS.size(), now);
       }
     }
     return direct;
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/RetryWindowTests.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/RetryWindowTests.java
@@ -19,7 +19,7 @@
   @Test
   void allowsAShareOfTheRequestsInTheWindow() {
     for (int i = 0; i < 100; i++) {
-      window.onFirst(START);
+      window.onFirstAttempt(START);
     }
     assertEquals(24, retries(START, 7));
   }
@@ -33,7 +33,7 @@
 
   private int retries(Instant now, int instances) {
     int granted = 0;
-    while (window.tryRepeat(now, instances)) {
+    while (window.tryRetry(now, instances)) {
       granted++;
     }
     return granted;
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/ServerHealthTests.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/ServerHealthTests.java
@@ -41,9 +41,9 @@
   void ejectsAFailingServerAndRampsItUpAgain() {
     fail(0, 5);
     health.update(NOW);
-    assertFalse(health.isIn(server(0), NOW));
+    assertFalse(health.isEligible(server(0), NOW));
     Instant back = NOW.plusSeconds(2);
-    assertTrue(health.isIn(server(0), back));
+    assertTrue(health.isEligible(server(0), back));
     assertEquals(0.1, health.rampShare(server(0), back));
     assertEquals(0.5, health.rampShare(server(0), back.plusSeconds(5)));
     assertEquals(1, health.rampShare(server(0), back.plusSeconds(60)));
@@ -56,8 +56,8 @@
     Instant back = NOW.plusSeconds(2);
     fail(0, 5);
     health.update(back);
-    assertFalse(health.isIn(server(0), back.plusMillis(3_999)));
-    assertTrue(health.isIn(server(0), back.plusSeconds(4)));
+    assertFalse(health.isEligible(server(0), back.plusMillis(3_999)));
+    assertTrue(health.isEligible(server(0), back.plusSeconds(4)));
   }
 
   @Test
@@ -110,7 +110,7 @@
     health.forget(server(0));
     health.onListed(servers, NOW, false);
     health.update(NOW);
-    assertTrue(health.isIn(server(0), NOW));
+    assertTrue(health.isEligible(server(0), NOW));
     assertEquals(0.1, health.rampShare(server(0), NOW));
   }
 }
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/StoppingInstance.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/StoppingInstance.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Random;
 import org.jspecify.annotations.Nullable;
-import org.teaseldeal.decisions.DrainPhases.Left;
+import org.teaseldeal.decisions.DrainPhases.Outstanding;
 import org.teaseldeal.decisions.DrainPhases.Phase;
 
 /**
@@ -120,11 +120,11 @@
     }
     Phase before = phase;
     boolean returned = !now.isBefore(BEGAN.plus(tokensReturnedAfter));
-    phase = phases.next(now, new Left(unanswered().size(), returned));
+    phase = phases.advance(now, new Outstanding(unanswered().size(), returned));
     if (phase == Phase.REFUSING) {
       refuseWaiting();
     }
-    if (phase == Phase.BREAKING_OFF && before != phase) {
+    if (phase == Phase.ABORTING && before != phase) {
       accepted.stream().filter(request -> request.outcome == null).forEach(this::abort);
     }
   }
@@ -136,7 +136,7 @@
   }
 
   private boolean reads() {
-    return phase.compareTo(Phase.LEAVING) < 0;
+    return phase.compareTo(Phase.FLUSHING) < 0;
   }
 
   private void arrive(Request request) {
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/TokenHolderChoiceTests.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/TokenHolderChoiceTests.java
@@ -20,7 +20,7 @@
   @Test
   void choosesAllInstancesOfASmallFleet() {
     Set<String> fleet = Set.copyOf(names("instance", 9));
-    CUSTOMERS.forEach(customer -> assertEquals(fleet, TokenHolderChoice.of(customer, fleet)));
+    CUSTOMERS.forEach(customer -> assertEquals(fleet, TokenHolderChoice.holders(customer, fleet)));
   }
 
   @Test
@@ -28,7 +28,8 @@
     List<String> fleet = names("instance", 68);
     for (String customer : CUSTOMERS) {
       assertEquals(
-          TokenHolderChoice.of(customer, fleet), TokenHolderChoice.of(customer, fleet.reversed()));
+          TokenHolderChoice.holders(customer, fleet),
+          TokenHolderChoice.holders(customer, fleet.reversed()));
     }
   }
 
@@ -42,7 +43,7 @@
       List<String> fleet = names("instance", size);
       Set<String> all =
           CUSTOMERS.stream()
-              .flatMap(customer -> TokenHolderChoice.of(customer, fleet).stream())
+              .flatMap(customer -> TokenHolderChoice.holders(customer, fleet).stream())
               .collect(Collectors.toSet());
       assertTrue(
           all.size() <= 50, "%d of %d hold, expected at most 50".formatted(all.size(), size));
@@ -61,9 +62,9 @@
     int all = 0;
     int kept = 0;
     for (String customer : CUSTOMERS) {
-      Set<String> both = new HashSet<>(TokenHolderChoice.of(customer, before));
+      Set<String> both = new HashSet<>(TokenHolderChoice.holders(customer, before));
       all += both.size();
-      both.retainAll(TokenHolderChoice.of(customer, after));
+      both.retainAll(TokenHolderChoice.holders(customer, after));
       kept += both.size();
     }
     assertTrue(6 * kept >= 5 * all, "%d holders of %d stay".formatted(kept, all));
@@ -71,10 +72,11 @@
 
   @Test
   void spreadsRequestsOverAllHolders() {
-    Set<String> holders = TokenHolderChoice.of("customer-1", names("instance", 68));
+    Set<String> holders = TokenHolderChoice.holders("customer-1", names("instance", 68));
     Map<String, Integer> first = new HashMap<>();
     for (String requester : names("asker", 900)) {
-      first.merge(TokenHolderChoice.order(requester, holders).getFirst(), 1, Integer::sum);
+      first.merge(
+          TokenHolderChoice.preferenceOrder(requester, holders).getFirst(), 1, Integer::sum);
     }
     assertEquals(holders, first.keySet());
     first.forEach((holder, count) -> assertTrue(count <= 225, holder + " is asked by " + count));
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/HolderPort.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/HolderPort.java
@@ -15,11 +15,11 @@
    *
    * @param customer the customer whose total the tokens come from
    * @param tokens number of tokens, greater than 0
-   * @param patience how long the request may wait for the tokens at the holder
+   * @param maxWait how long the request may wait for the tokens at the holder
    * @param deadline how long the answer is of use to the caller
    */
-  record Ask(String customer, long tokens, Duration patience, Duration deadline) {
-    public Ask {
+  record Request(String customer, long tokens, Duration maxWait, Duration deadline) {
+    public Request {
       Preconditions.requireText(customer, "customer");
       Preconditions.require(tokens > 0, "tokens were %d, expected more".formatted(tokens));
     }
@@ -42,11 +42,11 @@
    *
    * @param answer called once, at the latest shortly after the request's maximum wait has passed
    */
-  void ask(String holder, Ask ask, Consumer<Answer> answer);
+  void request(String holder, Request ask, Consumer<Answer> answer);
 
   /**
    * Returns tokens that a holder gave and no request has used. The message is sent only once: if it
    * is lost, the tokens are lost too, but they can't be used twice.
    */
-  void giveBack(String holder, String customer, long tokens);
+  void returnTokens(String holder, String customer, long tokens);
 }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/HolderAnswers.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/HolderService.java
@@ -6,12 +6,12 @@
 import org.teaseldeal.api.Problem;
 
 /** Answers the token requests of other instances out of this instance's own accounts. */
-public final class HolderAnswers {
-  private final AccountBook accounts;
+public final class HolderService {
+  private final PrepaidAccounts accounts;
   private final InstantSource clock;
 
   /** Creates an instance that answers out of {@code accounts}. */
-  public HolderAnswers(AccountBook accounts, InstantSource clock) {
+  public HolderService(PrepaidAccounts accounts, InstantSource clock) {
     this.accounts = accounts;
     this.clock = clock;
   }
@@ -22,12 +22,12 @@
    * @return an action that cancels the request, for use when the requesting instance no longer
    *     needs it
    */
-  public Runnable answer(HolderPort.Ask ask, Consumer<HolderPort.Answer> answer) {
+  public Runnable answer(HolderPort.Request ask, Consumer<HolderPort.Answer> answer) {
     Instant now = clock.instant();
     PeerRequest request = new PeerRequest(ask.tokens(), answer);
     accounts.reserve(
-        ask.customer(), ask.tokens(), now.plus(ask.patience()), now.plus(ask.deadline()), request);
-    return () -> accounts.withdraw(ask.customer(), request);
+        ask.customer(), ask.tokens(), now.plus(ask.maxWait()), now.plus(ask.deadline()), request);
+    return () -> accounts.cancel(ask.customer(), request);
   }
 
   private final class PeerRequest implements ReservationListener {
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/AccountBook.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/PrepaidAccounts.java
@@ -39,7 +39,7 @@
  * may have been spent. Tokens of other instances are never freed by a time-out, since a silent
  * instance may only be paused.
  */
-public final class AccountBook implements LogParticipant {
+public final class PrepaidAccounts implements LogParticipant {
   /**
    * Interval between notes that only refill a lease or return idle tokens. A note for a request
    * that waits is written immediately.
@@ -55,7 +55,7 @@
   private static final Duration RATE_INTERVAL = Duration.ofSeconds(1);
   private static final Duration REPORT_INTERVAL = Duration.ofSeconds(5);
 
-  private static final Logger LOG = LoggerFactory.getLogger(AccountBook.class);
+  private static final Logger LOG = LoggerFactory.getLogger(PrepaidAccounts.class);
 
   private final String instance;
   private final Function<String, OptionalLong> prepaidTotal;
@@ -87,7 +87,7 @@
    * @param heartbeats returns the number of heartbeats received from backend servers so far; empty
    *     as long as no server is known
    */
-  public AccountBook(
+  public PrepaidAccounts(
       String instance,
       Function<String, OptionalLong> prepaidTotal,
       TokenHolders holders,
@@ -176,14 +176,14 @@
   }
 
   /** Takes back tokens that another instance was given and has not used. */
-  public void takeBack(String customer, long tokens) {
+  public void takeBackUnused(String customer, long tokens) {
     CustomerAccount account = account(customer);
     account.takeBack(tokens);
     account.serveWaiting(total(account), clock.instant());
   }
 
   /** Returns whether this instance may give tokens of the customer to other instances. */
-  public boolean servesOthers(String customer) {
+  public boolean mayGiveTokens(String customer) {
     return !closing && prepaidTotal.apply(customer).isPresent();
   }
 
@@ -193,12 +193,12 @@
   }
 
   /** Returns whether this instance can currently claim more tokens through the log. */
-  public boolean asksForMore() {
+  public boolean acceptsClaims() {
     return logAvailability.acceptsClaims();
   }
 
   /** Cancels the token request of a request that has ended. */
-  public void withdraw(String customer, ReservationListener listener) {
+  public void cancel(String customer, ReservationListener listener) {
     account(customer).waiting().removeIf(waiting -> waiting.listener() == listener);
   }
 
@@ -240,7 +240,7 @@
   }
 
   /** Gives another instance up to {@code wanted} tokens; returns the number given. */
-  public long give(String customer, long wanted) {
+  public long giveToPeer(String customer, long wanted) {
     OptionalLong total = prepaidTotal.apply(customer);
     if (!logAvailability.loaded() || total.isEmpty()) {
       return 0;
@@ -256,7 +256,7 @@
   }
 
   /** Records whether the log can be reached; this decides which requests may wait for it. */
-  public void logReachable(boolean reachable) {
+  public void onLogReachable(boolean reachable) {
     logAvailability.onReachable(reachable, clock.instant());
   }
 
@@ -458,7 +458,7 @@
   }
 
   @Override
-  public boolean waitsForOthers() {
+  public boolean awaitsPeerNotes() {
     return accounts.values().stream().anyMatch(account -> !account.waiting().isEmpty());
   }
 
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/TokenDraws.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/TokenDraws.java
@@ -23,7 +23,7 @@
  * answer loses the tokens but never lets both instances use them.
  */
 public final class TokenDraws {
-  private final AccountBook accounts;
+  private final PrepaidAccounts accounts;
   private final DrawPort port;
   private final EventSink events;
   private final InstantSource clock;
@@ -34,7 +34,7 @@
 
   /** Creates an instance that obtains tokens for the waiting requests of {@code accounts}. */
   public TokenDraws(
-      AccountBook accounts,
+      PrepaidAccounts accounts,
       DrawPort port,
       EventSink events,
       InstantSource clock,
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/TokenHolders.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/TokenHolders.java
@@ -68,14 +68,14 @@
     if (current != knownFleet) {
       knownFleet = current;
       byCustomer.clear();
-      holdersOfAnyCustomer = TokenHolderChoice.ofAny(current);
+      holdersOfAnyCustomer = TokenHolderChoice.holdersOfAnyCustomer(current);
     }
   }
 
   private Holders choose(String customer) {
-    Set<String> holders = TokenHolderChoice.of(customer, knownFleet);
+    Set<String> holders = TokenHolderChoice.holders(customer, knownFleet);
     List<String> others =
-        TokenHolderChoice.order(instance, holders).stream()
+        TokenHolderChoice.preferenceOrder(instance, holders).stream()
             .filter(each -> !each.equals(instance))
             .toList();
     return new Holders(holders.contains(instance), holders.size(), others);
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/TokenRequests.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/TokenRequests.java
@@ -46,7 +46,7 @@
    */
   private static final Duration RETURN_INTERVAL = Duration.ofMillis(200);
 
-  private final AccountBook accounts;
+  private final PrepaidAccounts accounts;
   private final TokenHolders holders;
   private final HolderPort port;
   private final BooleanSupplier peersHeard;
@@ -63,7 +63,7 @@
    * @param peersHeard whether a message of any other instance has arrived recently
    */
   public TokenRequests(
-      AccountBook accounts,
+      PrepaidAccounts accounts,
       TokenHolders holders,
       HolderPort port,
       BooleanSupplier peersHeard,
@@ -77,7 +77,7 @@
     this.clock = clock;
   }
 
-  /** Reserves tokens for a request; see {@link AccountBook#reserve}. */
+  /** Reserves tokens for a request; see {@link PrepaidAccounts#reserve}. */
   public void reserve(
       String customer,
       long tokens,
@@ -95,9 +95,9 @@
   }
 
   /** Cancels the token request of a request that has ended. */
-  public void withdraw(String customer, ReservationListener listener) {
+  public void cancel(String customer, ReservationListener listener) {
     pending.removeIf(request -> request.listener == listener);
-    accounts.withdraw(customer, listener);
+    accounts.cancel(customer, listener);
   }
 
   /** Counts {@code used} tokens of a reservation as spent and frees the rest. */
@@ -109,7 +109,7 @@
    * Returns whether requests of the customer wait for tokens at this instance instead of at a
    * holder.
    */
-  public boolean waitHere(String customer) {
+  public boolean waitsLocally(String customer) {
     return holders.holds(customer);
   }
 
@@ -119,8 +119,8 @@
   }
 
   /** Returns whether this instance can currently claim more tokens through the log. */
-  public boolean asksForMore() {
-    return accounts.asksForMore();
+  public boolean acceptsClaims() {
+    return accounts.acceptsClaims();
   }
 
   /**
@@ -148,7 +148,7 @@
     holders.otherHolders(customer).stream()
         .filter(this::reachable)
         .findFirst()
-        .ifPresent(holder -> port.giveBack(holder, customer, accounts.removeDrawn(customer)));
+        .ifPresent(holder -> port.returnTokens(holder, customer, accounts.removeDrawn(customer)));
   }
 
   private boolean reachable(String holder) {
@@ -201,9 +201,9 @@
       Instant now = clock.instant();
       long missing = tokens - Math.min(accounts.drawn(customer), tokens - 1);
       Duration maxWait = shorter(MAX_WAIT, Duration.between(now, callerTimeout));
-      HolderPort.Ask ask =
-          new HolderPort.Ask(customer, missing, maxWait, Duration.between(now, deadline));
-      port.ask(holder, ask, answer -> onAnswer(holder, missing, answer));
+      HolderPort.Request ask =
+          new HolderPort.Request(customer, missing, maxWait, Duration.between(now, deadline));
+      port.request(holder, ask, answer -> onAnswer(holder, missing, answer));
     }
 
     private void onAnswer(String holder, long asked, HolderPort.Answer answer) {
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/event/EventLog.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/event/EventLog.java
@@ -95,7 +95,7 @@
   }
 
   /** The number of lines that wait to be written. */
-  public int waiting() {
+  public int pendingLines() {
     return lines.size();
   }
 
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/Attempt.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/Attempt.java
@@ -5,7 +5,7 @@
 import java.time.Instant;
 import java.util.Map;
 import org.jspecify.annotations.Nullable;
-import org.teaseldeal.decisions.PromptReading;
+import org.teaseldeal.decisions.PrefillTime;
 import org.teaseldeal.gateway.server.BackendServer;
 import org.teaseldeal.net.HttpCall;
 import org.teaseldeal.net.HttpFailure;
@@ -16,7 +16,7 @@
   private static final int OK = 200;
 
   private final RequestFlow flow;
-  private final GatewayParts parts;
+  private final GatewayComponents parts;
   private final BackendServer server;
 
   /** The number of prompt tokens that no server can have in its cache. */
@@ -40,7 +40,7 @@
 
   Attempt(
       RequestFlow flow,
-      GatewayParts parts,
+      GatewayComponents parts,
       BackendServer server,
       long uncachedTokens,
       boolean streamed) {
@@ -49,13 +49,13 @@
     this.server = server;
     this.uncachedTokens = uncachedTokens;
     this.streamed = streamed;
-    this.promptTokens = flow.request().prompt().map(PromptTerms::unsharedTokens).orElse(0L);
+    this.promptTokens = flow.request().prompt().map(PromptDescription::unsharedTokens).orElse(0L);
     this.startedAt = parts.clock().instant();
     this.lastReceivedAt = startedAt;
   }
 
-  void start(Handover handover) {
-    server.started(uncachedTokens);
+  void start(ForwardingTerms handover) {
+    server.onRequestSent(uncachedTokens);
     HttpCall sent = parts.backends().send(parts.dialect().forward(flow.request(), handover), this);
     if (!ended) {
       call = sent;
@@ -70,7 +70,7 @@
    * Whether the server may have read the prompt: it answered, or enough time has passed to read it.
    */
   boolean mayHaveReadPrompt() {
-    return verdict == AnswerVerdict.GENUINE || PromptReading.mayBeDone(promptTokens, age());
+    return verdict == AnswerVerdict.GENUINE || PrefillTime.mayBeComplete(promptTokens, age());
   }
 
   Duration age() {
@@ -94,7 +94,7 @@
   }
 
   @Override
-  public boolean isAnswer(int answerStatus, Map<String, String> answerHeaders) {
+  public boolean acceptsAnswer(int answerStatus, Map<String, String> answerHeaders) {
     return parts.dialect().isAnswerTo(flow.request(), answerHeaders);
   }
 
@@ -114,7 +114,7 @@
   }
 
   @Override
-  public void onPart(byte[] part) {
+  public void onBodyPart(byte[] part) {
     if (ended) {
       return;
     }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/RoutedRequest.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/CallerRequest.java
@@ -18,7 +18,7 @@
  * @param key the API key that identifies the customer, if there is one
  * @param prompt the caller's description of its prompt, if the request has one
  */
-public record RoutedRequest(
+public record CallerRequest(
     String id,
     String method,
     String host,
@@ -27,8 +27,8 @@
     byte[] body,
     Optional<Duration> callerTimeout,
     Optional<String> key,
-    Optional<PromptTerms> prompt) {
-  public RoutedRequest {
+    Optional<PromptDescription> prompt) {
+  public CallerRequest {
     headers = List.copyOf(headers);
   }
 
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/Dialect.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/Dialect.java
@@ -13,16 +13,16 @@
  */
 public interface Dialect {
   /** Parses a caller's request. */
-  Result<RoutedRequest> read(HttpExchange exchange);
+  Result<CallerRequest> read(HttpExchange exchange);
 
   /** The caller's identifier of the attempt, for the log; empty if it gave none. */
   String requestId(HttpExchange exchange);
 
   /** Creates the request that is sent to a backend server. */
-  HttpCallRequest forward(RoutedRequest request, Handover handover);
+  HttpCallRequest forward(CallerRequest request, ForwardingTerms handover);
 
   /** Whether the headers of an answer identify it as an answer to {@code request}. */
-  boolean isAnswerTo(RoutedRequest request, Map<String, String> headers);
+  boolean isAnswerTo(CallerRequest request, Map<String, String> headers);
 
   /** Interprets the status and headers of an answer. */
   AnswerVerdict verdict(int status, Map<String, String> headers);
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/Handover.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/ForwardingTerms.java
@@ -14,7 +14,7 @@
  * @param resumeAfter the id of the last event that the caller has received, if a stream is to be
  *     resumed after it
  */
-public record Handover(
+public record ForwardingTerms(
     BackendServerId server,
     String address,
     Optional<String> customer,
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/GatewayParts.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/GatewayComponents.java
@@ -7,7 +7,7 @@
 import org.jspecify.annotations.Nullable;
 import org.teaseldeal.gateway.account.TokenRequests;
 import org.teaseldeal.gateway.event.EventSink;
-import org.teaseldeal.gateway.peer.FleetLoad;
+import org.teaseldeal.gateway.peer.PeerLoads;
 import org.teaseldeal.gateway.plan.GatewayPlan;
 import org.teaseldeal.gateway.quarantine.RequestQuarantine;
 import org.teaseldeal.gateway.server.CachedPrompts;
@@ -17,21 +17,21 @@
  * The components that handle requests and what they depend on.
  *
  * @param plan the configuration in force; null until one is known
- * @param othersLoad the load that the other instances have outstanding at the backend servers
+ * @param peerLoads the load that the other instances have outstanding at the backend servers
  * @param cachedPrompts the prompt parts that are presumably in the backend servers' caches
  * @param instances the number of instances, including this one
  */
-public record GatewayParts(
+public record GatewayComponents(
     Supplier<@Nullable GatewayPlan> plan,
     ServerDirectory servers,
     TokenRequests tokens,
     RequestQuarantine quarantine,
     Dialect dialect,
     BackendPort backends,
-    Supplier<FleetLoad> othersLoad,
+    Supplier<PeerLoads> peerLoads,
     CachedPrompts cachedPrompts,
     IntSupplier instances,
-    GatewayLimits limits,
+    RetryLimits retryLimits,
     EventSink events,
     InstantSource clock,
     RandomGenerator random) {}
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/InstanceDrain.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/InstanceDrain.java
@@ -9,9 +9,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.teaseldeal.decisions.DrainPhases;
-import org.teaseldeal.decisions.DrainPhases.Left;
+import org.teaseldeal.decisions.DrainPhases.Outstanding;
 import org.teaseldeal.decisions.DrainPhases.Phase;
-import org.teaseldeal.gateway.account.AccountBook;
+import org.teaseldeal.gateway.account.PrepaidAccounts;
 import org.teaseldeal.gateway.event.EventSink;
 import org.teaseldeal.gateway.event.GatewayEvent;
 import org.teaseldeal.net.HttpServer;
@@ -32,8 +32,8 @@
 
   private final ScheduledExecutorService loop;
   private final HttpServer callers;
-  private final RequestDesk dispatcher;
-  private final AccountBook accounts;
+  private final RequestDispatcher dispatcher;
+  private final PrepaidAccounts accounts;
   private final EventSink events;
   private final InstantSource clock;
   private final Duration grace;
@@ -52,8 +52,8 @@
   public InstanceDrain(
       ScheduledExecutorService loop,
       HttpServer callers,
-      RequestDesk dispatcher,
-      AccountBook accounts,
+      RequestDispatcher dispatcher,
+      PrepaidAccounts accounts,
       EventSink events,
       InstantSource clock,
       Duration grace) {
@@ -82,7 +82,8 @@
   }
 
   private void begin() {
-    events.accept(new GatewayEvent.InstanceState("draining", dispatcher.open() + " requests"));
+    events.accept(
+        new GatewayEvent.InstanceState("draining", dispatcher.openRequests() + " requests"));
     dispatcher.drain(phases.admission());
     accounts.close();
   }
@@ -90,7 +91,9 @@
   private void step() {
     try {
       Phase next =
-          phases.next(clock.instant(), new Left(callers.unanswered(), accounts.allReturned()));
+          phases.advance(
+              clock.instant(),
+              new Outstanding(callers.unansweredRequests(), accounts.allReturned()));
       if (next != phase) {
         phase = next;
         enter(next);
@@ -105,13 +108,13 @@
   private void enter(Phase next) {
     switch (next) {
       case ACCEPTING, SHORT_ONLY -> {}
-      case REFUSING -> dispatcher.refuseAll();
-      case BREAKING_OFF -> {
-        abortedRequests = dispatcher.open();
-        dispatcher.breakOffAll();
+      case REFUSING -> dispatcher.refuseAllNotRun();
+      case ABORTING -> {
+        abortedRequests = dispatcher.openRequests();
+        dispatcher.abortAll();
       }
-      case CLOSING -> callers.beginToStopAccepting();
-      case LEAVING -> callers.stopReading();
+      case CLOSING -> callers.stopAcceptingAsync();
+      case FLUSHING -> callers.stopReading();
       case DONE -> done.countDown();
     }
   }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/GuardedSteps.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/IsolatedTasks.java
@@ -13,8 +13,8 @@
  * requests would wait past their deadlines while the instance reports that it is ready. An
  * exception that leaves a task of a scheduled executor ends its schedule silently.
  */
-public final class GuardedSteps {
-  private static final Logger LOG = LoggerFactory.getLogger(GuardedSteps.class);
+public final class IsolatedTasks {
+  private static final Logger LOG = LoggerFactory.getLogger(IsolatedTasks.class);
 
   private final Set<String> failing = new HashSet<>();
 
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/PromptTerms.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/PromptDescription.java
@@ -11,8 +11,8 @@
  * @param parts the parts of the prompt in order; the last part is specific to this request or its
  *     session, the parts before it may be shared with other prompts
  */
-public record PromptTerms(long inputTokens, long maxOutputTokens, List<PromptPart> parts) {
-  public PromptTerms {
+public record PromptDescription(long inputTokens, long maxOutputTokens, List<PromptPart> parts) {
+  public PromptDescription {
     Preconditions.requireNotNegative(inputTokens, "input tokens");
     Preconditions.requireNotNegative(maxOutputTokens, "max output tokens");
     parts = List.copyOf(parts);
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/RequestDesk.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/RequestDispatcher.java
@@ -13,9 +13,9 @@
 import org.teaseldeal.api.ErrorKind;
 import org.teaseldeal.api.Problem;
 import org.teaseldeal.api.Result;
-import org.teaseldeal.decisions.ComeBackTime;
 import org.teaseldeal.decisions.DrainAdmission;
 import org.teaseldeal.decisions.RecentDurations;
+import org.teaseldeal.decisions.RetryAfterJitter;
 import org.teaseldeal.decisions.RetryWindow;
 import org.teaseldeal.gateway.event.GatewayEvent;
 import org.teaseldeal.gateway.plan.GatewayPlan;
@@ -30,7 +30,7 @@
  * Receives callers' requests, determines the route and customer of each, admits or refuses it, and
  * starts a {@link RequestFlow} for each admitted one.
  */
-public final class RequestDesk implements HttpHandler {
+public final class RequestDispatcher implements HttpHandler {
   /**
    * The suggested delay before a retry while the instance is starting: about the time that it takes
    * to become ready.
@@ -59,7 +59,7 @@
 
   /** A request that was admitted and may be sent to a backend server. */
   record Admitted(
-      RoutedRequest request,
+      CallerRequest request,
       Route route,
       Optional<PrepaidCustomer> customer,
       String service,
@@ -70,9 +70,9 @@
   /** A request that arrived before the first configuration was known. */
   private record EarlyRequest(HttpExchange exchange, Instant arrived) {}
 
-  private final GatewayParts parts;
+  private final GatewayComponents parts;
   private final ServerSelector selector;
-  private final GuardedSteps isolatedTasks = new GuardedSteps();
+  private final IsolatedTasks isolatedTasks = new IsolatedTasks();
   private final List<EarlyRequest> earlyRequests = new ArrayList<>();
   private final Set<RequestFlow> flows = new LinkedHashSet<>();
   private final Map<String, RetryWindow> retryWindows = new HashMap<>();
@@ -80,15 +80,15 @@
   private @Nullable DrainAdmission drainAdmission;
   private boolean refusingAll;
 
-  public RequestDesk(GatewayParts parts) {
+  public RequestDispatcher(GatewayComponents parts) {
     this.parts = parts;
     this.selector =
         new ServerSelector(
-            parts.servers(), parts.othersLoad(), parts.cachedPrompts(), parts.random());
+            parts.servers(), parts.peerLoads(), parts.cachedPrompts(), parts.random());
   }
 
   /** The number of requests that have no final answer yet. */
-  public int open() {
+  public int openRequests() {
     return flows.size() + earlyRequests.size();
   }
 
@@ -96,7 +96,7 @@
    * The number of backend servers that get no requests because they failed or are far slower than
    * the others.
    */
-  public int serversLeftOut() {
+  public int ejectedServers() {
     return selector.ejectedCount(parts.clock().instant());
   }
 
@@ -110,7 +110,7 @@
    * kept, they would be cut off without an answer, or sent to a server that has no time left to run
    * them.
    */
-  public void refuseAll() {
+  public void refuseAllNotRun() {
     refusingAll = true;
     handleDueEarlyRequests();
     new ArrayList<>(flows)
@@ -121,24 +121,24 @@
    * Ends all requests: each caller whose answer has not begun gets an error that says whether its
    * request may have run, and answers that have begun are aborted.
    */
-  public void breakOffAll() {
+  public void abortAll() {
     new ArrayList<>(flows).forEach(flow -> isolatedTasks.run(flow.request().id(), flow::abort));
   }
 
   @Override
   public void handle(HttpExchange exchange) {
-    Instant arrived = parts.clock().instant().minus(exchange.sinceHead());
+    Instant arrived = parts.clock().instant().minus(exchange.timeSinceHead());
     if (parts.plan().get() == null && !refusingAll) {
       EarlyRequest request = new EarlyRequest(exchange, arrived);
       earlyRequests.add(request);
-      exchange.onCallerGone(() -> earlyRequests.remove(request));
+      exchange.onCallerDisconnect(() -> earlyRequests.remove(request));
     } else {
       handle(exchange, arrived);
     }
   }
 
   private void handle(HttpExchange exchange, Instant arrived) {
-    Result<RoutedRequest> read = parts.dialect().read(exchange);
+    Result<CallerRequest> read = parts.dialect().read(exchange);
     switch (admit(read, arrived)) {
       case Result.Ok<Admitted> admitted -> start(exchange, admitted.value());
       case Result.Err<Admitted> refused -> refuse(exchange, read, refused.problem(), arrived);
@@ -178,23 +178,23 @@
   private void start(HttpExchange exchange, Admitted admitted) {
     RequestFlow flow = new RequestFlow(parts, this, exchange, admitted);
     flows.add(flow);
-    retryWindow(admitted.service()).onFirst(admitted.arrived());
+    retryWindow(admitted.service()).onFirstAttempt(admitted.arrived());
     flow.start();
   }
 
-  private Result<Admitted> admit(Result<RoutedRequest> request, Instant arrived) {
+  private Result<Admitted> admit(Result<CallerRequest> request, Instant arrived) {
     GatewayPlan plan = parts.plan().get();
     if (plan == null) {
       return retryableRefusal(
           ErrorKind.NOT_READY, "no configuration is known yet", STARTING_RETRY_DELAY);
     }
     return switch (request) {
-      case Result.Err<RoutedRequest> malformed -> Result.err(malformed.problem());
-      case Result.Ok<RoutedRequest> read -> admit(plan, read.value(), arrived);
+      case Result.Err<CallerRequest> malformed -> Result.err(malformed.problem());
+      case Result.Ok<CallerRequest> read -> admit(plan, read.value(), arrived);
     };
   }
 
-  private Result<Admitted> admit(GatewayPlan plan, RoutedRequest request, Instant arrived) {
+  private Result<Admitted> admit(GatewayPlan plan, CallerRequest request, Instant arrived) {
     Optional<Route> route = plan.route(request.host(), request.target());
     if (route.isEmpty()) {
       return Result.err(
@@ -224,7 +224,7 @@
     if (drain == null) {
       return true;
     }
-    Duration usualDuration = answerTimes(route).ofNearlyAll();
+    Duration usualDuration = answerTimes(route).ninetiethPercentile();
     return !refusingAll && drain.admits(parts.clock().instant(), deadline, usualDuration);
   }
 
@@ -237,7 +237,7 @@
   }
 
   private void refuse(
-      HttpExchange exchange, Result<RoutedRequest> read, Problem problem, Instant arrived) {
+      HttpExchange exchange, Result<CallerRequest> read, Problem problem, Instant arrived) {
     HttpAnswer answer = parts.dialect().refuse(problem);
     exchange.respond(answer.status(), answer.headers(), answer.body());
     GatewayPlan plan = parts.plan().get();
@@ -261,10 +261,10 @@
                 fingerprint(read)));
   }
 
-  private static String fingerprint(Result<RoutedRequest> read) {
+  private static String fingerprint(Result<CallerRequest> read) {
     return switch (read) {
-      case Result.Ok<RoutedRequest> request -> request.value().fingerprint();
-      case Result.Err<RoutedRequest> malformed -> "";
+      case Result.Ok<CallerRequest> request -> request.value().fingerprint();
+      case Result.Err<CallerRequest> malformed -> "";
     };
   }
 
@@ -272,7 +272,7 @@
    * The longest time that a request may take: the lesser of its caller's timeout and its route's
    * timeout.
    */
-  static Duration maxDuration(RoutedRequest request, Route route) {
+  static Duration maxDuration(CallerRequest request, Route route) {
     Duration callerTimeout = request.callerTimeout().orElse(route.timeout());
     return callerTimeout.compareTo(route.timeout()) < 0 ? callerTimeout : route.timeout();
   }
@@ -285,7 +285,7 @@
   /** The error for a request that has not run when the instance stops. */
   Problem drainingProblem() {
     DrainAdmission drain = drainAdmission;
-    Duration retryAfter = drain == null ? STARTING_RETRY_DELAY : drain.comeBack();
+    Duration retryAfter = drain == null ? STARTING_RETRY_DELAY : drain.retryAfter();
     return Problem.retryable(ErrorKind.DRAINING, "the instance stops", withJitter(retryAfter));
   }
 
@@ -298,7 +298,7 @@
   }
 
   boolean tryRetry(String service) {
-    return retryWindow(service).tryRepeat(parts.clock().instant(), parts.instances().getAsInt());
+    return retryWindow(service).tryRetry(parts.clock().instant(), parts.instances().getAsInt());
   }
 
   /** How long a server of {@code route} may send nothing before it counts as silent. */
@@ -310,7 +310,7 @@
 
   /** Adds jitter to a suggested retry delay, so that the callers don't all return at once. */
   Duration withJitter(Duration retryAfter) {
-    return ComeBackTime.spread(retryAfter, parts.random());
+    return RetryAfterJitter.addJitter(retryAfter, parts.random());
   }
 
   void onEnded(RequestFlow flow) {
@@ -323,8 +323,8 @@
         service,
         name ->
             new RetryWindow(
-                parts.limits().retryShare(),
-                parts.limits().retryReserve(),
-                parts.limits().retryWindow()));
+                parts.retryLimits().retryShare(),
+                parts.retryLimits().retryReserve(),
+                parts.retryLimits().retryWindow()));
   }
 }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/RequestFlow.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/RequestFlow.java
@@ -95,11 +95,11 @@
    */
   private static final Duration TIMER_TOLERANCE = Duration.ofMillis(2);
 
-  private final GatewayParts parts;
-  private final RequestDesk dispatcher;
+  private final GatewayComponents parts;
+  private final RequestDispatcher dispatcher;
   private final HttpExchange exchange;
   private final CallerAnswer answer;
-  private final RoutedRequest request;
+  private final CallerRequest request;
   private final Route route;
   private final Optional<PrepaidCustomer> customer;
   private final String service;
@@ -121,10 +121,10 @@
   private Instant waitingForServerSince = Instant.MAX;
 
   RequestFlow(
-      GatewayParts parts,
-      RequestDesk dispatcher,
+      GatewayComponents parts,
+      RequestDispatcher dispatcher,
       HttpExchange exchange,
-      RequestDesk.Admitted admitted) {
+      RequestDispatcher.Admitted admitted) {
     this.parts = parts;
     this.dispatcher = dispatcher;
     this.exchange = exchange;
@@ -136,10 +136,10 @@
     this.tokenUsage = new TokenUsage(request.prompt(), admitted.tokensPerEvent());
     this.planVersion = admitted.planVersion();
     this.arrivedAt = admitted.arrived();
-    this.deadline = arrivedAt.plus(RequestDesk.maxDuration(request, route));
+    this.deadline = arrivedAt.plus(RequestDispatcher.maxDuration(request, route));
   }
 
-  RoutedRequest request() {
+  CallerRequest request() {
     return request;
   }
 
@@ -156,7 +156,7 @@
   }
 
   void start() {
-    exchange.onCallerGone(this::onCallerGone);
+    exchange.onCallerDisconnect(this::onCallerGone);
     if (customer.isPresent() && request.prompt().isPresent()) {
       reserve(customer.get().name(), request.prompt().get().maxTokens());
     } else {
@@ -166,14 +166,14 @@
 
   private void reserve(String name, long tokens) {
     TokenRequests requests = parts.tokens();
-    Instant abandonAt = arrivedAt.plus(route.silenceBorne(Duration.between(arrivedAt, deadline)));
+    Instant abandonAt = arrivedAt.plus(route.silenceTimeout(Duration.between(arrivedAt, deadline)));
     requests.reserve(name, tokens, abandonAt, deadline, this);
-    if (stage == Stage.TOKENS && requests.waitHere(name)) {
+    if (stage == Stage.TOKENS && requests.waitsLocally(name)) {
       parts
           .events()
           .accept(
               new GatewayEvent.WaitsForTokens(
-                  request.id(), name, tokens, requests.idle(name), requests.asksForMore()));
+                  request.id(), name, tokens, requests.idle(name), requests.acceptsClaims()));
     }
   }
 
@@ -259,7 +259,7 @@
         new Attempt(this, parts, server, chosen.get().uncachedTokens(), route.kind().streamed());
     attempt = next;
     next.start(
-        new Handover(
+        new ForwardingTerms(
             server.id(),
             server.address(),
             customer.map(PrepaidCustomer::name),
@@ -270,7 +270,7 @@
 
   private GatewayEvent.Placed placedEvent(ServerSelector.Selection chosen) {
     BackendServer server = chosen.server();
-    long unshared = request.prompt().map(PromptTerms::unsharedTokens).orElse(0L);
+    long unshared = request.prompt().map(PromptDescription::unsharedTokens).orElse(0L);
     return new GatewayEvent.Placed(
         request.id(),
         service,
@@ -294,7 +294,7 @@
   }
 
   private List<String> sharedPartIds() {
-    return request.prompt().map(PromptTerms::sharedPartIds).orElse(List.of());
+    return request.prompt().map(PromptDescription::sharedPartIds).orElse(List.of());
   }
 
   private int rank() {
@@ -387,7 +387,8 @@
    */
   private double expectedAnswerMillis() {
     return 1
-        + request.prompt().map(PromptTerms::unsharedTokens).orElse(0L) * MILLIS_PER_PROMPT_TOKEN
+        + request.prompt().map(PromptDescription::unsharedTokens).orElse(0L)
+            * MILLIS_PER_PROMPT_TOKEN
         + tokenUsage.outputTokensIn(answer.eventsSent()) * MILLIS_PER_OUTPUT_TOKEN;
   }
 
@@ -529,7 +530,7 @@
 
   private void end(String outcome, int status, String detail) {
     if (stage == Stage.TOKENS && customer.isPresent()) {
-      parts.tokens().withdraw(customer.get().name(), this);
+      parts.tokens().cancel(customer.get().name(), this);
     }
     stage = Stage.ENDED;
     attempt = null;
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/GatewayLimits.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/RetryLimits.java
@@ -10,4 +10,4 @@
  * @param retryReserve the number of retries that all instances together may send in addition within
  *     a window
  */
-public record GatewayLimits(double retryShare, double retryReserve, Duration retryWindow) {}
+public record RetryLimits(double retryShare, double retryReserve, Duration retryWindow) {}
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/ServerSelector.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/ServerSelector.java
@@ -13,8 +13,8 @@
 import org.teaseldeal.api.BackendServerId;
 import org.teaseldeal.decisions.PromptPlacement;
 import org.teaseldeal.decisions.ServerHealth;
-import org.teaseldeal.gateway.peer.FleetLoad;
 import org.teaseldeal.gateway.peer.PeerLoad;
+import org.teaseldeal.gateway.peer.PeerLoads;
 import org.teaseldeal.gateway.server.BackendServer;
 import org.teaseldeal.gateway.server.CachedPrompts;
 import org.teaseldeal.gateway.server.ServerDirectory;
@@ -53,7 +53,7 @@
       Duration loadAge) {}
 
   private final ServerDirectory servers;
-  private final Supplier<FleetLoad> peerLoads;
+  private final Supplier<PeerLoads> peerLoads;
   private final CachedPrompts cachedPrompts;
   private final RandomGenerator random;
   private final Map<String, ServerHealth> healthByService = new HashMap<>();
@@ -63,7 +63,7 @@
 
   ServerSelector(
       ServerDirectory servers,
-      Supplier<FleetLoad> peerLoads,
+      Supplier<PeerLoads> peerLoads,
       CachedPrompts cachedPrompts,
       RandomGenerator random) {
     this.servers = servers;
@@ -132,7 +132,7 @@
    */
   Optional<Selection> select(
       String service,
-      Optional<PromptTerms> prompt,
+      Optional<PromptDescription> prompt,
       Duration aim,
       Set<ServerIncarnation> tried,
       Instant now) {
@@ -143,15 +143,15 @@
         ready.stream().filter(server -> !tried.contains(server.incarnation())).toList();
     List<BackendServer> healthy =
         untried.stream()
-            .filter(server -> !server.isExcluded(now) && health.isIn(server.id(), now))
+            .filter(server -> !server.isExcluded(now) && health.isEligible(server.id(), now))
             .toList();
     List<BackendServer> candidates = healthy.isEmpty() ? untried : healthy;
-    FleetLoad fleet = peerLoads.get();
+    PeerLoads fleet = peerLoads.get();
     List<PromptPlacement.Candidate> views =
         candidates.stream()
             .map(server -> candidate(server, fleet.at(server.id()), prompt))
             .toList();
-    String prefix = prompt.map(PromptTerms::lastSharedPartId).orElse("");
+    String prefix = prompt.map(PromptDescription::lastSharedPartId).orElse("");
     return PromptPlacement.choose(views, new PromptPlacement.Prompt(prefix, aim), random)
         .flatMap(servers::find)
         .map(
@@ -165,7 +165,7 @@
   }
 
   private PromptPlacement.Candidate candidate(
-      BackendServer server, PeerLoad others, Optional<PromptTerms> prompt) {
+      BackendServer server, PeerLoad others, Optional<PromptDescription> prompt) {
     long tokensToRead = uncachedTokens(server, prompt);
     return new PromptPlacement.Candidate(
         server.id(),
@@ -180,7 +180,7 @@
    * The number of prompt tokens that a server has to read: all tokens after the longest prefix that
    * is in its cache.
    */
-  private long uncachedTokens(BackendServer server, Optional<PromptTerms> prompt) {
+  private long uncachedTokens(BackendServer server, Optional<PromptDescription> prompt) {
     if (prompt.isEmpty()) {
       return 0;
     }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/TokenUsage.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/TokenUsage.java
@@ -9,11 +9,11 @@
  * counts as far as it was sent to the caller.
  */
 final class TokenUsage {
-  private final Optional<PromptTerms> prompt;
+  private final Optional<PromptDescription> prompt;
   private final int tokensPerEvent;
   private boolean promptRead;
 
-  TokenUsage(Optional<PromptTerms> prompt, int tokensPerEvent) {
+  TokenUsage(Optional<PromptDescription> prompt, int tokensPerEvent) {
     this.prompt = prompt;
     this.tokensPerEvent = tokensPerEvent;
   }
@@ -30,7 +30,7 @@
         : 0;
   }
 
-  private long usedOutputTokens(PromptTerms terms, long events) {
+  private long usedOutputTokens(PromptDescription terms, long events) {
     return Math.min(terms.maxOutputTokens(), outputTokensIn(events));
   }
 
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/log/AppendPatience.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/log/AppendTimeout.java
@@ -7,7 +7,7 @@
  * Adaptive timeout for appends to the shared log, which processes the appends of all writers one
  * after the other.
  */
-public final class AppendPatience {
+public final class AppendTimeout {
   /**
    * Shortest timeout. The shared log normally answers within a few milliseconds, and a lost answer
    * never arrives.
@@ -24,7 +24,7 @@
   private final AdaptiveTimeout timeout = new AdaptiveTimeout(MIN_TIMEOUT, MAX_TIMEOUT);
 
   /** Returns the current timeout. */
-  public Duration present() {
+  public Duration current() {
     return timeout.current();
   }
 
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/log/FleetLog.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/log/FleetLog.java
@@ -121,7 +121,7 @@
   }
 
   /** Returns whether the last call failed, so that waiting for the log may take long. */
-  public boolean troubled() {
+  public boolean failing() {
     return failureDetail != null;
   }
 
@@ -309,7 +309,7 @@
   }
 
   private Duration readInterval() {
-    boolean waiting = participants.stream().anyMatch(LogParticipant::waitsForOthers);
+    boolean waiting = participants.stream().anyMatch(LogParticipant::awaitsPeerNotes);
     return waiting ? URGENT_READ_INTERVAL : idleReadInterval;
   }
 
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/log/FleetView.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/log/FleetMembership.java
@@ -8,27 +8,27 @@
 import java.util.TreeMap;
 
 /** The instances that have ever joined the fleet, according to the note that each writes once. */
-public final class FleetView implements LogParticipant {
+public final class FleetMembership implements LogParticipant {
   private final SharedNote.Presence own;
   private final Map<String, String> addresses = new TreeMap<>();
-  private Set<String> names;
+  private Set<String> instanceNames;
   private boolean ownNoteWritten;
 
   /**
    * Creates the view of {@code instance}, which the other instances reach at {@code peerAddress}.
    */
-  public FleetView(String instance, String peerAddress) {
+  public FleetMembership(String instance, String peerAddress) {
     this.own = new SharedNote.Presence(instance, peerAddress);
     addresses.put(instance, peerAddress);
-    names = Set.of(instance);
+    instanceNames = Set.of(instance);
   }
 
   /**
    * Returns the names of all instances, including this one; a different set object after each
    * change.
    */
-  public Set<String> names() {
-    return names;
+  public Set<String> instanceNames() {
+    return instanceNames;
   }
 
   /**
@@ -44,7 +44,7 @@
   }
 
   /** Returns the addresses of the other instances. */
-  public List<String> others() {
+  public List<String> peerAddresses() {
     return addresses.entrySet().stream()
         .filter(entry -> !entry.getKey().equals(own.instance()))
         .map(Map.Entry::getValue)
@@ -67,7 +67,7 @@
 
   private void join(SharedNote.Presence presence) {
     if (addresses.put(presence.instance(), presence.peerAddress()) == null) {
-      names = Set.copyOf(addresses.keySet());
+      instanceNames = Set.copyOf(addresses.keySet());
     }
   }
 
@@ -77,7 +77,7 @@
   }
 
   @Override
-  public boolean waitsForOthers() {
+  public boolean awaitsPeerNotes() {
     return false;
   }
 
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/log/LogParticipant.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/log/LogParticipant.java
@@ -45,7 +45,7 @@
   default void onLogReadingResumed() {}
 
   /** Returns whether this component waits for notes of other instances. */
-  boolean waitsForOthers();
+  boolean awaitsPeerNotes();
 
   /** Returns the notes to write now; empty if none is due. */
   List<SharedNote> notesToWrite(Instant now);
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/metrics/FleetTrafficMeter.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/metrics/FleetTrafficMeter.java
@@ -49,7 +49,7 @@
   }
 
   /** A transport that sends all messages through {@code transport} and counts them. */
-  public PeerTransport meteredPort(PeerTransport transport) {
+  public PeerTransport meteredTransport(PeerTransport transport) {
     return (address, message) -> {
       messagesSent++;
       bytesSent += message.length;
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/metrics/GatewayMetrics.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/metrics/GatewayMetrics.java
@@ -82,7 +82,7 @@
   }
 
   /** Records the delay of a tick of the event loop. */
-  public void onTick(Duration late) {
+  public void onLoopDelay(Duration late) {
     loopDelay.update(late.toNanos() / 1_000);
   }
 
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/HolderCalls.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/HolderCalls.java
@@ -9,9 +9,9 @@
 import org.jspecify.annotations.Nullable;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.teaseldeal.gateway.account.AccountBook;
-import org.teaseldeal.gateway.account.HolderAnswers;
 import org.teaseldeal.gateway.account.HolderPort;
+import org.teaseldeal.gateway.account.HolderService;
+import org.teaseldeal.gateway.account.PrepaidAccounts;
 import org.teaseldeal.net.HttpAnswer;
 import org.teaseldeal.net.HttpCallRequest;
 import org.teaseldeal.net.HttpExchange;
@@ -23,7 +23,7 @@
   public static final String PATH = "/reservations";
 
   /** The path of the HTTP call that returns unused tokens to a holder. */
-  public static final String RETURNS = "/returns";
+  public static final String RETURNS_PATH = "/returns";
 
   private static final Logger LOG = LoggerFactory.getLogger(HolderCalls.class);
 
@@ -36,8 +36,8 @@
 
   private final Function<String, Optional<String>> addresses;
   private final RelayedCalls.Caller caller;
-  private final AccountBook accounts;
-  private final HolderAnswers answers;
+  private final PrepaidAccounts accounts;
+  private final HolderService answers;
 
   /**
    * Creates the calls of an instance.
@@ -47,30 +47,30 @@
   public HolderCalls(
       Function<String, Optional<String>> addresses,
       RelayedCalls.Caller caller,
-      AccountBook accounts,
+      PrepaidAccounts accounts,
       InstantSource clock) {
     this.addresses = addresses;
     this.caller = caller;
     this.accounts = accounts;
-    this.answers = new HolderAnswers(accounts, clock);
+    this.answers = new HolderService(accounts, clock);
   }
 
   @Override
-  public void ask(String holder, Ask ask, Consumer<Answer> answer) {
+  public void request(String holder, Request ask, Consumer<Answer> answer) {
     Optional<String> address = addresses.apply(holder);
     if (address.isEmpty()) {
       answer.accept(new Answer.Unreachable("its address isn't known"));
       return;
     }
     byte[] body = HolderMessages.encode(ask);
-    Duration timeout = ask.patience().plus(ROUND_TRIP_ALLOWANCE);
+    Duration timeout = ask.maxWait().plus(ROUND_TRIP_ALLOWANCE);
     caller
         .call(new HttpCallRequest(address.get(), "POST", PATH, Map.of(), body, timeout))
         .whenComplete((response, failure) -> answer.accept(decode(response, failure)));
   }
 
   @Override
-  public void giveBack(String holder, String customer, long tokens) {
+  public void returnTokens(String holder, String customer, long tokens) {
     byte[] body = new HolderMessages.Return(customer, tokens).encode();
     addresses
         .apply(holder)
@@ -79,7 +79,7 @@
                 caller
                     .call(
                         new HttpCallRequest(
-                            address, "POST", RETURNS, Map.of(), body, ROUND_TRIP_ALLOWANCE))
+                            address, "POST", RETURNS_PATH, Map.of(), body, ROUND_TRIP_ALLOWANCE))
                     .whenComplete((response, failure) -> logFailedReturn(holder, tokens, failure)));
   }
 
@@ -106,7 +106,7 @@
 
   @Override
   public void handle(HttpExchange exchange) {
-    Ask ask;
+    Request ask;
     try {
       ask = HolderMessages.decodeAsk(exchange.body());
     } catch (IllegalArgumentException e) {
@@ -114,12 +114,12 @@
       exchange.respond(BAD_REQUEST, Map.of(), new byte[0]);
       return;
     }
-    if (!accounts.servesOthers(ask.customer())) {
+    if (!accounts.mayGiveTokens(ask.customer())) {
       // The instance stops, or doesn't know the customer's plan yet. Another holder may serve it.
       exchange.respond(UNAVAILABLE, Map.of(), new byte[0]);
       return;
     }
-    exchange.onCallerGone(
+    exchange.onCallerDisconnect(
         answers.answer(ask, answer -> exchange.respond(OK, Map.of(), encode(answer))));
   }
 
@@ -136,7 +136,7 @@
   public void handleReturn(HttpExchange exchange) {
     try {
       HolderMessages.Return returned = HolderMessages.Return.decode(exchange.body());
-      accounts.takeBack(returned.customer(), returned.tokens());
+      accounts.takeBackUnused(returned.customer(), returned.tokens());
       exchange.respond(OK, Map.of(), new byte[0]);
     } catch (IllegalArgumentException e) {
       LOG.warn("refused a return of tokens that could not be decoded: {}", e.getMessage());
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/HolderMessages.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/HolderMessages.java
@@ -25,12 +25,12 @@
 
   private HolderMessages() {}
 
-  static byte[] encode(HolderPort.Ask ask) {
+  static byte[] encode(HolderPort.Request ask) {
     return encodeWith(
         out -> {
           out.writeUTF(ask.customer());
           out.writeLong(ask.tokens());
-          out.writeLong(ask.patience().toMillis());
+          out.writeLong(ask.maxWait().toMillis());
           out.writeLong(ask.deadline().toMillis());
         });
   }
@@ -40,11 +40,11 @@
    *
    * @throws IllegalArgumentException if {@code message} doesn't have this layout
    */
-  static HolderPort.Ask decodeAsk(byte[] message) {
+  static HolderPort.Request decodeAsk(byte[] message) {
     return decodeWith(
         message,
         in ->
-            new HolderPort.Ask(
+            new HolderPort.Request(
                 in.readUTF(),
                 in.readLong(),
                 Duration.ofMillis(in.readLong()),
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/LoadCollectors.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/LoadCollectors.java
@@ -50,11 +50,11 @@
     Set<String> present = fleet.get();
     if (present != knownFleet) {
       knownFleet = present;
-      Set<String> collecting = LoadCollectorChoice.of(present);
+      Set<String> collecting = LoadCollectorChoice.collectors(present);
       isCollector = collecting.contains(instance) || collecting.isEmpty();
       allCollect = collecting.size() == present.size();
       preferenceOrder =
-          LoadCollectorChoice.order(instance, collecting).stream()
+          LoadCollectorChoice.preferenceOrder(instance, collecting).stream()
               .filter(name -> !name.equals(instance))
               .toList();
     }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/LoadExchange.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/LoadExchange.java
@@ -77,7 +77,7 @@
 
   private final ReceivedLoads memberLoads = new ReceivedLoads(MAX_AGE);
   private final ReceivedLoads groupLoads = new ReceivedLoads(MAX_AGE);
-  private final ReceivedLoads others = new ReceivedLoads(MAX_AGE);
+  private final ReceivedLoads peerLoads = new ReceivedLoads(MAX_AGE);
   private final RecentSentParts groupParts = new RecentSentParts();
   private final RecentSentParts otherGroupsParts = new RecentSentParts();
   private final LoadChanges ownChanges = new LoadChanges();
@@ -96,7 +96,7 @@
   private long lastLoadChanges = -1;
   private long lastServerChanges = -1;
   private Instant reportUntil = Instant.MIN;
-  private long messagesDropped;
+  private long droppedMessages;
 
   /**
    * Creates the load exchange of {@code instance}.
@@ -129,7 +129,7 @@
    * from. A collector receives messages from the other collectors, any other instance from its
    * collector, both at least every half second.
    */
-  public boolean othersHeard() {
+  public boolean peersHeard() {
     Instant last = lastReceivedAt;
     return collectors.otherCollectors().isEmpty()
         || last == null
@@ -137,8 +137,8 @@
   }
 
   /** The number of messages since the start that could not be decoded. */
-  public long messagesDropped() {
-    return messagesDropped;
+  public long droppedMessages() {
+    return droppedMessages;
   }
 
   /** Sends the messages that are due. */
@@ -300,7 +300,7 @@
     try {
       received = LoadMessage.decode(message);
     } catch (IllegalArgumentException e) {
-      messagesDropped++;
+      droppedMessages++;
       LOG.debug("dropped a load message that could not be decoded: {}", e.getMessage());
       return;
     }
@@ -309,7 +309,7 @@
         switch (received.scope()) {
           case INSTANCE -> memberLoads.receive(received, now);
           case GROUP -> groupLoads.receive(received, now);
-          case OTHERS -> others.receive(received, now);
+          case OTHERS -> peerLoads.receive(received, now);
         };
     if (accepted) {
       lastReceivedAt = now;
@@ -363,14 +363,14 @@
   }
 
   /** The load that the other instances have outstanding at the servers. */
-  public FleetLoad others() {
+  public PeerLoads peerLoads() {
     Instant now = clock.instant();
     refreshServerHashes();
     if (!now.isBefore(sumsValidUntil)) {
       sumsByServer = sumByServer(now);
       sumsValidUntil = now.plus(SUMS_MAX_AGE);
     }
-    return new FleetLoad(
+    return new PeerLoads(
         sumsByServer,
         lastReceivedAt == null ? Duration.ZERO : Duration.between(lastReceivedAt, now));
   }
@@ -382,9 +382,9 @@
   private Map<BackendServerId, PeerLoad> sumByServer(Instant now) {
     LoadSums total = new LoadSums();
     boolean collected =
-        !collectors.isCollector() && !others.loadsOf(collectors.collector(), now).isEmpty();
+        !collectors.isCollector() && !peerLoads.loadsOf(collectors.collector(), now).isEmpty();
     if (collected) {
-      total.add(others.loadsOf(collectors.collector(), now).values());
+      total.add(peerLoads.loadsOf(collectors.collector(), now).values());
     } else {
       memberLoads.addTo(total, now);
       groupLoads.addTo(total, now);
