--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/PeerCalls.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/PeerCallDispatcher.java
@@ -10,9 +10,9 @@
  * @param byPath the handlers of the gateway's own calls
  * @param fallback the handler of all other calls
  */
-public record PeerCalls(Map<String, HttpHandler> byPath, HttpHandler fallback)
+public record PeerCallDispatcher(Map<String, HttpHandler> byPath, HttpHandler fallback)
     implements HttpHandler {
-  public PeerCalls {
+  public PeerCallDispatcher {
     byPath = Map.copyOf(byPath);
   }
 
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/FleetLoad.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/PeerLoads.java
@@ -10,11 +10,11 @@
  * @param byServer the loads by server, without servers that have no load
  * @param age the time since the last message of another instance; zero if none has arrived
  */
-public record FleetLoad(Map<BackendServerId, PeerLoad> byServer, Duration age) {
+public record PeerLoads(Map<BackendServerId, PeerLoad> byServer, Duration age) {
   /** The value if nothing is known of other instances. */
-  public static final FleetLoad NONE = new FleetLoad(Map.of(), Duration.ZERO);
+  public static final PeerLoads NONE = new PeerLoads(Map.of(), Duration.ZERO);
 
-  public FleetLoad {
+  public PeerLoads {
     byServer = Map.copyOf(byServer);
   }
 
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/RelayedCalls.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/RelayedCalls.java
@@ -78,7 +78,7 @@
    */
   private CompletableFuture<HttpAnswer> call(HttpCallRequest request, int further) {
     List<String> present = relays.get();
-    Optional<String> relay = choice.next(present, clock.instant());
+    Optional<String> relay = choice.nextRelay(present, clock.instant());
     if (relay.isEmpty()) {
       return direct.call(request).whenComplete(this::onDirect);
     }
@@ -86,7 +86,7 @@
         .call(withAddress(request, relay.get()))
         .whenComplete(
             (answer, failure) ->
-                choice.onRelayed(reached(answer, failure), present.size(), clock.instant()))
+                choice.onRelayedCall(reached(answer, failure), present.size(), clock.instant()))
         .thenCompose(
             answer ->
                 answer.status() == UNAVAILABLE && further > 0
@@ -96,7 +96,7 @@
 
   private void onDirect(@Nullable HttpAnswer answer, @Nullable Throwable failure) {
     boolean before = choice.relaying();
-    choice.onDirect(reached(answer, failure), clock.instant());
+    choice.onDirectCall(reached(answer, failure), clock.instant());
     if (before != choice.relaying()) {
       events.accept(
           new GatewayEvent.Dependency(service + ", directly", before, reason(answer, failure)));
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/DrawCalls.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/TokenDrawCalls.java
@@ -16,8 +16,8 @@
 import org.jspecify.annotations.Nullable;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.teaseldeal.gateway.account.AccountBook;
 import org.teaseldeal.gateway.account.DrawPort;
+import org.teaseldeal.gateway.account.PrepaidAccounts;
 import org.teaseldeal.net.HttpAnswer;
 import org.teaseldeal.net.HttpCallRequest;
 import org.teaseldeal.net.HttpExchange;
@@ -27,11 +27,11 @@
  * Draws tokens of a customer from other instances, and gives tokens to instances that draw from
  * this one.
  */
-public final class DrawCalls implements DrawPort, HttpHandler {
+public final class TokenDrawCalls implements DrawPort, HttpHandler {
   /** The path of the HTTP call with which one instance draws tokens from another. */
   public static final String PATH = "/draws";
 
-  private static final Logger LOG = LoggerFactory.getLogger(DrawCalls.class);
+  private static final Logger LOG = LoggerFactory.getLogger(TokenDrawCalls.class);
 
   /**
    * Far longer than the two milliseconds that an answer takes. It is bounded because a round of
@@ -45,17 +45,17 @@
 
   private final Function<String, Optional<String>> addresses;
   private final RelayedCalls.Caller caller;
-  private final AccountBook accounts;
+  private final PrepaidAccounts accounts;
 
   /**
    * Creates the draws of an instance.
    *
    * @param addresses maps another instance's name to its address, if that is known
    */
-  public DrawCalls(
+  public TokenDrawCalls(
       Function<String, Optional<String>> addresses,
       RelayedCalls.Caller caller,
-      AccountBook accounts) {
+      PrepaidAccounts accounts) {
     this.addresses = addresses;
     this.caller = caller;
     this.accounts = accounts;
@@ -98,7 +98,7 @@
       exchange.respond(BAD_REQUEST, Map.of(), new byte[0]);
       return;
     }
-    long given = accounts.give(draw.customer(), draw.tokens());
+    long given = accounts.giveToPeer(draw.customer(), draw.tokens());
     byte[] body = Long.toString(given).getBytes(StandardCharsets.US_ASCII);
     exchange.respond(OK, Map.of(), body);
   }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/plan/PlanInForce.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/plan/CurrentPlan.java
@@ -10,12 +10,12 @@
  * <p>Plans arrive over several channels, and a slow one may deliver an older version after a newer
  * one. Without the check a caller could find a route or a key gone that it has just used.
  */
-public final class PlanInForce {
+public final class CurrentPlan {
   private final EventSink events;
   private volatile @Nullable GatewayPlan plan;
 
   /** Creates a holder without a plan. */
-  public PlanInForce(EventSink events) {
+  public CurrentPlan(EventSink events) {
     this.events = events;
   }
 
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/plan/Route.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/plan/Route.java
@@ -70,7 +70,7 @@
    *
    * @param answerTimeout how long it waits for the whole answer
    */
-  public Duration silenceBorne(Duration answerTimeout) {
+  public Duration silenceTimeout(Duration answerTimeout) {
     if (!kind.streamed()) {
       return answerTimeout;
     }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/quarantine/RequestQuarantine.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/quarantine/RequestQuarantine.java
@@ -172,7 +172,7 @@
   }
 
   @Override
-  public boolean waitsForOthers() {
+  public boolean awaitsPeerNotes() {
     return false;
   }
 
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/server/BackendServer.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/server/BackendServer.java
@@ -15,7 +15,7 @@
   private final String service;
   private final String address;
   private final String dataCentre;
-  private final int places;
+  private final int maxConcurrentRequests;
   private final Runnable onLoadChange;
   private boolean leaving;
   private int running;
@@ -33,7 +33,7 @@
     this.service = listing.service();
     this.address = listing.address();
     this.dataCentre = listing.dataCentre();
-    this.places = listing.places();
+    this.maxConcurrentRequests = listing.maxConcurrentRequests();
     this.leaving = listing.leaving();
   }
 
@@ -63,12 +63,12 @@
   }
 
   /** The number of requests that the server runs at once. */
-  public int places() {
-    return places;
+  public int maxConcurrentRequests() {
+    return maxConcurrentRequests;
   }
 
   /** Whether the server accepts new requests according to the list. */
-  public boolean listedAsReady() {
+  public boolean isListedAsReady() {
     return !leaving;
   }
 
@@ -101,7 +101,7 @@
   }
 
   /** Counts a request that was sent to the server. */
-  public void started(long promptTokens) {
+  public void onRequestSent(long promptTokens) {
     running++;
     promptTokensAhead += promptTokens;
     onLoadChange.run();
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/server/ListChange.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/server/ListingChange.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /** How an entry of the server list changed what is known of its server. */
-public enum ListChange {
+public enum ListingChange {
   /** Nothing changed: the listing was known, is outdated or is not accepted as a server's. */
   NONE,
   /** A server is listed for the first time or again. */
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/server/ServerDirectory.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/server/ServerDirectory.java
@@ -43,10 +43,10 @@
    * is ignored. In a listing of the known incarnation only the change to leaving has an effect, and
    * it is final.
    */
-  public ListChange put(ServerListing listing) {
+  public ListingChange put(ServerListing listing) {
     if (startTimesRequired && listing.startedAt().isEmpty()) {
       unusable(listing.id());
-      return ListChange.NONE;
+      return ListingChange.NONE;
     }
     BackendServer known = servers.get(listing.id());
     if (known == null) {
@@ -56,39 +56,39 @@
       return replace(known, listing);
     }
     if (!listing.incarnation().equals(known.incarnation())) {
-      return ListChange.NONE;
+      return ListingChange.NONE;
     }
     boolean hadExpired = graceEnds.remove(listing.id()) != null;
     boolean back = unusable.remove(listing.id()) || hadExpired;
-    if (!known.listedAsReady()) {
-      return ListChange.NONE;
+    if (!known.isListedAsReady()) {
+      return ListingChange.NONE;
     }
     if (listing.leaving()) {
       return leave(known);
     }
-    return back ? ListChange.READY : ListChange.NONE;
+    return back ? ListingChange.READY : ListingChange.NONE;
   }
 
-  private ListChange putUnlisted(ServerListing listing) {
+  private ListingChange putUnlisted(ServerListing listing) {
     if (departed.rejects(listing.incarnation())) {
-      return ListChange.NONE;
+      return ListingChange.NONE;
     }
     departed.remove(listing.id());
     add(listing);
-    return listing.leaving() ? ListChange.LEAVING : ListChange.READY;
+    return listing.leaving() ? ListingChange.LEAVING : ListingChange.READY;
   }
 
-  private ListChange replace(BackendServer earlier, ServerListing listing) {
+  private ListingChange replace(BackendServer earlier, ServerListing listing) {
     drop(earlier);
     add(listing);
     replacedListener.accept(earlier);
-    return listing.leaving() ? ListChange.LEAVING : ListChange.RESTARTED;
+    return listing.leaving() ? ListingChange.LEAVING : ListingChange.RESTARTED;
   }
 
-  private ListChange leave(BackendServer server) {
+  private ListingChange leave(BackendServer server) {
     changes++;
     server.markLeaving();
-    return ListChange.LEAVING;
+    return ListingChange.LEAVING;
   }
 
   private void add(ServerListing listing) {
@@ -127,7 +127,7 @@
   public void remove(BackendServerId id) {
     BackendServer removed = servers.get(id);
     if (removed != null) {
-      departed.add(removed.incarnation(), !removed.listedAsReady());
+      departed.add(removed.incarnation(), !removed.isListedAsReady());
       drop(removed);
     }
   }
@@ -142,9 +142,9 @@
    * fast, and one that left continues to serve for as long as the grace period, so keeping them
    * costs a second attempt at most.
    */
-  public void lapse(BackendServerId id, Instant until) {
+  public void expireWithGrace(BackendServerId id, Instant until) {
     BackendServer server = servers.get(id);
-    if (server == null || !server.listedAsReady()) {
+    if (server == null || !server.isListedAsReady()) {
       remove(id);
     } else {
       graceEnds.putIfAbsent(id, until);
@@ -195,9 +195,9 @@
     unlisted(listed).forEach(this::remove);
   }
 
-  /** Applies {@link #lapse} to all servers that {@code listed} doesn't contain. */
-  public void lapseOthers(Set<BackendServerId> listed, Instant until) {
-    unlisted(listed).forEach(id -> lapse(id, until));
+  /** Applies {@link #expireWithGrace} to all servers that {@code listed} doesn't contain. */
+  public void expireUnlistedWithGrace(Set<BackendServerId> listed, Instant until) {
+    unlisted(listed).forEach(id -> expireWithGrace(id, until));
   }
 
   private List<BackendServerId> unlisted(Set<BackendServerId> listed) {
@@ -216,7 +216,7 @@
       return List.of();
     }
     return all.values().stream()
-        .filter(server -> server.listedAsReady() && !unusable.contains(server.id()))
+        .filter(server -> server.isListedAsReady() && !unusable.contains(server.id()))
         .toList();
   }
 
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/server/ServerListing.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/server/ServerListing.java
@@ -11,7 +11,7 @@
  * @param service the name of the service that the server belongs to
  * @param address the address as {@code host:port}, with an IP address as the host
  * @param dataCentre the data centre in which the server runs
- * @param places the number of requests that the server runs at once
+ * @param maxConcurrentRequests the number of requests that the server runs at once
  * @param leaving whether the server accepts no new requests
  * @param startedAt when the server's process started, by its own clock; empty if the server doesn't
  *     publish it
@@ -21,13 +21,13 @@
     String service,
     String address,
     String dataCentre,
-    int places,
+    int maxConcurrentRequests,
     boolean leaving,
     Optional<Instant> startedAt) {
   public ServerListing {
     Preconditions.requireText(service, "service of " + id);
     Preconditions.requireText(address, "address of " + id);
-    Preconditions.requirePositive(places, "places of " + id);
+    Preconditions.requirePositive(maxConcurrentRequests, "places of " + id);
   }
 
   /** The incarnation that the entry describes. */
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/account/AccountFleet.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/account/AccountFleet.java
@@ -55,13 +55,13 @@
   void run(Duration time) {
     for (long passed = 0; passed < time.toMillis(); passed += STEP.toMillis()) {
       clock.advance(STEP);
-      log.round();
+      log.applyRound();
       instances.forEach(Instance::step);
     }
   }
 
-  void setLines(FakeSharedLog.Line line) {
-    instances.forEach(instance -> instance.port.line(line));
+  void setLines(FakeSharedLog.Behaviour line) {
+    instances.forEach(instance -> instance.port.behaviour(line));
   }
 
   /** Simulates a loss of power of all machines; their monotonic clocks start anew. */
@@ -133,20 +133,20 @@
       given.accept(OptionalLong.empty());
       return;
     }
-    long gift = asked.get().book.give(customer, tokens);
+    long gift = asked.get().book.giveToPeer(customer, tokens);
     given.accept(peers == Peers.ANSWERS_LOST ? OptionalLong.empty() : OptionalLong.of(gift));
   }
 
   /** Delivers requests and answers without delay; a holder answers as soon as it has the tokens. */
   private final class FakeHolderPort implements HolderPort {
     @Override
-    public void ask(String holder, Ask ask, Consumer<Answer> answer) {
+    public void request(String holder, Request ask, Consumer<Answer> answer) {
       Optional<Instance> asked = reachable(holder);
       if (asked.isEmpty()) {
         answer.accept(new Answer.Unreachable("down"));
         return;
       }
-      new HolderAnswers(asked.get().book, clock)
+      new HolderService(asked.get().book, clock)
           .answer(ask, given -> answer.accept(afterTransport(given)));
     }
 
@@ -156,8 +156,8 @@
     }
 
     @Override
-    public void giveBack(String holder, String customer, long tokens) {
-      reachable(holder).ifPresent(each -> each.book.takeBack(customer, tokens));
+    public void returnTokens(String holder, String customer, long tokens) {
+      reachable(holder).ifPresent(each -> each.book.takeBackUnused(customer, tokens));
     }
 
     private Optional<Instance> reachable(String name) {
@@ -196,7 +196,7 @@
   final class Instance {
     final String name;
     final FakeSharedLog.Port port;
-    final AccountBook book;
+    final PrepaidAccounts book;
     final FleetLog fleetLog;
     final TokenRequests requests;
     final TokenDraws draws;
@@ -211,7 +211,7 @@
       this.port = log.port(name);
       TokenHolders holders = new TokenHolders(name, () -> names);
       this.book =
-          new AccountBook(
+          new PrepaidAccounts(
               name,
               customer -> OptionalLong.of(total),
               holders,
@@ -265,9 +265,9 @@
       if (!alive) {
         return;
       }
-      port.answer();
+      port.answerCalls();
       fleetLog.tick();
-      book.logReachable(!fleetLog.troubled());
+      book.onLogReachable(!fleetLog.failing());
       book.tick();
       requests.tick();
       draws.tick();
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/account/ForeignNoteTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/account/ForeignNoteTests.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.teaseldeal.gateway.fake.FakeSharedLog.Line;
+import org.teaseldeal.gateway.fake.FakeSharedLog.Behaviour;
 
 /**
  * Checks that a customer never gets more than its total, whatever foreign writers write under the
@@ -37,11 +37,11 @@
   void countsTheLastReadableNoteAfterAnUnreadableOne(boolean takenAway) {
     spendMostOfTheTotalAtInstance1();
     fleet.stop(1);
-    fleet.instance(0).port.line(Line.CUT);
+    fleet.instance(0).port.behaviour(Behaviour.UNREACHABLE);
     fleet.overwriteNote(1, takenAway ? EMPTY : UNREADABLE);
-    fleet.log.forgetHistory();
+    fleet.log.compact();
     fleet.run(SETTLE_TIME);
-    fleet.instance(0).port.line(Line.OPEN);
+    fleet.instance(0).port.behaviour(Behaviour.NORMAL);
     assertWithinTotalAfterRequest();
   }
 
@@ -81,11 +81,11 @@
    */
   @Test
   void servesAgainAfterAPeerHasRewrittenItsNote() {
-    fleet.instance(0).port.line(Line.CUT);
+    fleet.instance(0).port.behaviour(Behaviour.UNREACHABLE);
     fleet.overwriteNote(1, UNREADABLE);
-    fleet.log.forgetHistory();
+    fleet.log.compact();
     fleet.run(SETTLE_TIME);
-    fleet.instance(0).port.line(Line.OPEN);
+    fleet.instance(0).port.behaviour(Behaviour.NORMAL);
     fleet.run(SETTLE_TIME);
     fleet.instance(0).request(TOTAL / 2);
     fleet.run(SETTLE_TIME);
@@ -103,7 +103,7 @@
     for (int steps = 0; steps < 40; steps++) {
       AccountFleet racing = new AccountFleet(2, TOTAL);
       racing.run(Duration.ofMillis(10 * steps));
-      racing.instance(0).port.line(Line.SLOW_APPENDS);
+      racing.instance(0).port.behaviour(Behaviour.SLOW_APPENDS);
       racing.instance(0).request(TOTAL * 6 / 10);
       racing.run(Duration.ofMillis(10));
       racing.overwriteNote(0, note(0, 0, 1));
@@ -139,7 +139,7 @@
       int overwritten = random.nextInt(3);
       drawing.overwriteNote(overwritten, value);
       if (random.nextBoolean()) {
-        drawing.log.forgetHistory();
+        drawing.log.compact();
       }
       if (random.nextInt(3) == 0) {
         drawing.stop(overwritten);
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/account/LargeFleetTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/account/LargeFleetTests.java
@@ -6,7 +6,7 @@
 import java.time.Duration;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import org.teaseldeal.gateway.fake.FakeSharedLog.Line;
+import org.teaseldeal.gateway.fake.FakeSharedLog.Behaviour;
 
 /**
  * Runs a large fleet in which each instance gets few requests of each customer, with a log that
@@ -46,7 +46,7 @@
    */
   @Test
   void grantsLargeRequestsImmediatelyWhileTheLogIsAvailable() {
-    fleet.log.appendsInRound(APPENDS_PER_STEP);
+    fleet.log.appendsPerRound(APPENDS_PER_STEP);
     Outcome outcome = play(Duration.ofSeconds(10));
     assertShareAtMost(1, 1_000, outcome.refused(), outcome);
     assertShareAtMost(1, 100, outcome.late(), outcome);
@@ -58,9 +58,9 @@
    */
   @Test
   void servesLargeRequestsWhileTheLogIsUnavailable() {
-    fleet.log.appendsInRound(APPENDS_PER_STEP);
+    fleet.log.appendsPerRound(APPENDS_PER_STEP);
     play(Duration.ofSeconds(5));
-    fleet.setLines(Line.CUT);
+    fleet.setLines(Behaviour.UNREACHABLE);
     Outcome outcome = play(Duration.ofSeconds(7));
     assertShareAtMost(1, 10, outcome.refused(), outcome);
     assertShareAtMost(1, 10, outcome.late(), outcome);
@@ -73,7 +73,7 @@
   @Test
   void instancesThatHoldNoTokensReadNoNotes() {
     play(Duration.ofSeconds(5));
-    fleet.instances.forEach(each -> each.port.forgetReads());
+    fleet.instances.forEach(each -> each.port.resetReads());
     play(Duration.ofSeconds(5));
     long reading = fleet.instances.stream().filter(each -> each.port.reads() > 0).count();
     assertTrue(
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/account/AccountBookTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/account/PrepaidAccountsTests.java
@@ -13,9 +13,9 @@
 import org.teaseldeal.api.ErrorKind;
 import org.teaseldeal.api.Problem;
 import org.teaseldeal.gateway.event.GatewayEvent;
-import org.teaseldeal.gateway.fake.FakeSharedLog.Line;
+import org.teaseldeal.gateway.fake.FakeSharedLog.Behaviour;
 
-class AccountBookTests {
+class PrepaidAccountsTests {
   private static final long LARGE = 12_000;
 
   /**
@@ -27,7 +27,7 @@
   void servesFromLeasesWhileTheLogIsUnavailable() {
     AccountFleet fleet = new AccountFleet(7, 5_000_000);
     sendRequestsFor(fleet, Duration.ofSeconds(10));
-    fleet.setLines(Line.CUT);
+    fleet.setLines(Behaviour.UNREACHABLE);
     int reservedBefore = reserved(fleet);
     int refusedBefore = refused(fleet);
     sendRequestsFor(fleet, Duration.ofSeconds(8));
@@ -154,16 +154,16 @@
     switch (random.nextInt(30)) {
       case 0 -> fleet.kill(Duration.ofMillis(random.nextInt(3_000)));
       case 1 -> fleet.powerLoss(Duration.ofMillis(random.nextInt(3_000)));
-      case 2 -> fleet.log.forgetHistory();
-      case 3, 4 -> instance.port.line(Line.CUT);
-      case 5 -> instance.port.line(Line.ANSWERS_LOST);
-      case 6 -> instance.port.line(Line.DONE_LATE);
-      case 7, 8, 9, 10 -> instance.port.line(Line.OPEN);
-      case 11 -> fleet.setLines(Line.CUT);
-      case 12, 13 -> fleet.setLines(Line.OPEN);
+      case 2 -> fleet.log.compact();
+      case 3, 4 -> instance.port.behaviour(Behaviour.UNREACHABLE);
+      case 5 -> instance.port.behaviour(Behaviour.ANSWERS_LOST);
+      case 6 -> instance.port.behaviour(Behaviour.APPLIED_LATE);
+      case 7, 8, 9, 10 -> instance.port.behaviour(Behaviour.NORMAL);
+      case 11 -> fleet.setLines(Behaviour.UNREACHABLE);
+      case 12, 13 -> fleet.setLines(Behaviour.NORMAL);
       case 14 -> fleet.total += 20_000;
-      case 15, 16, 17 -> fleet.setLines(Line.SLOW_APPENDS);
-      case 18, 19 -> fleet.log.forgetHistory();
+      case 15, 16, 17 -> fleet.setLines(Behaviour.SLOW_APPENDS);
+      case 18, 19 -> fleet.log.compact();
       case 20 -> fleet.stepWallClock(Duration.ofMillis(random.nextInt(4_000) - 2_000));
       case 24 ->
           fleet.powerLoss(
@@ -254,11 +254,11 @@
   void reclaimsNothingIfTheWallClockWasSetBack() {
     AccountFleet fleet = new AccountFleet(4, 1_000_000);
     sendRequestsFor(fleet, Duration.ofSeconds(2));
-    fleet.setLines(Line.CUT);
+    fleet.setLines(Behaviour.UNREACHABLE);
     requestEverywhere(fleet, 5_000, 500);
     fleet.stepWallClock(Duration.ofSeconds(-5));
     fleet.powerLoss(Duration.ofMillis(1_500));
-    fleet.setLines(Line.OPEN);
+    fleet.setLines(Behaviour.NORMAL);
     requestEverywhere(fleet, 5_000, 300);
     assertWithinTotal(fleet);
   }
@@ -275,16 +275,16 @@
       AccountFleet fleet = new AccountFleet(2, 1_000_000);
       AccountFleet.Instance instance = fleet.instance(0);
       sendRequestsFor(fleet, List.of(instance), Duration.ofSeconds(4));
-      instance.port.line(Line.ANSWERS_LOST);
+      instance.port.behaviour(Behaviour.ANSWERS_LOST);
       instance.request(1_000);
       fleet.run(Duration.ofMillis(250));
-      instance.port.line(Line.CUT);
+      instance.port.behaviour(Behaviour.UNREACHABLE);
       fleet.run(Duration.ofMillis(cutFor));
       for (int step = 0; step < 30; step++) {
         instance.request(5_000);
       }
       fleet.kill(Duration.ofMillis(10));
-      fleet.setLines(Line.OPEN);
+      fleet.setLines(Behaviour.NORMAL);
       requestEverywhere(fleet, 2_000, 400);
       assertTrue(
           fleet.givenTokens() <= fleet.total,
@@ -325,7 +325,7 @@
   @Test
   void refusesImmediatelyInAnOutageWithoutEnoughTokens() {
     AccountFleet fleet = new AccountFleet(2, 100_000);
-    fleet.setLines(Line.CUT);
+    fleet.setLines(Behaviour.UNREACHABLE);
     fleet.run(Duration.ofSeconds(1));
     fleet.instance(0).request(90_000);
     assertEquals(ErrorKind.NO_LEASE, fleet.instance(0).refusals.getFirst().kind());
@@ -342,12 +342,12 @@
     AccountFleet fleet = new AccountFleet(2, 1_000_000);
     fleet.instance(0).request(1_000);
     fleet.run(Duration.ofSeconds(1));
-    fleet.setLines(Line.CUT);
+    fleet.setLines(Behaviour.UNREACHABLE);
     fleet.instance(0).request(1_000);
     fleet.run(Duration.ofMillis(7_500));
     fleet.instance(0).request(400_000);
     fleet.run(Duration.ofMillis(1_800));
-    fleet.setLines(Line.OPEN);
+    fleet.setLines(Behaviour.NORMAL);
     fleet.run(Duration.ofSeconds(1));
     assertEquals(List.of(), fleet.instance(0).refusals);
     assertEquals(3, fleet.instance(0).grantedRequests);
@@ -361,7 +361,7 @@
   @Test
   void servesALargeRequestFromPeersWhileTheLogIsUnavailable() {
     AccountFleet fleet = fleetUnderSteadyLoad();
-    fleet.setLines(Line.CUT);
+    fleet.setLines(Behaviour.UNREACHABLE);
     fleet.run(Duration.ofMillis(300));
     AccountFleet.Instance asked = fleet.instance(0);
     int before = asked.grantedRequests;
@@ -378,13 +378,13 @@
   @Test
   void countsDrawnTokensOnceAfterAKill() {
     AccountFleet fleet = fleetUnderSteadyLoad();
-    fleet.setLines(Line.CUT);
+    fleet.setLines(Behaviour.UNREACHABLE);
     for (int step = 0; step < 100; step++) {
       fleet.instance(0).request(LARGE);
       fleet.run(Duration.ofMillis(10));
     }
     fleet.kill(Duration.ofMillis(10));
-    fleet.setLines(Line.OPEN);
+    fleet.setLines(Behaviour.NORMAL);
     requestEverywhere(fleet, LARGE, 300);
     assertWithinTotal(fleet);
   }
@@ -396,12 +396,12 @@
   @Test
   void countsDrawnTokensOnceAfterAnOutage() {
     AccountFleet fleet = fleetUnderSteadyLoad();
-    fleet.setLines(Line.CUT);
+    fleet.setLines(Behaviour.UNREACHABLE);
     for (int step = 0; step < 700; step++) {
       fleet.instance(0).request(LARGE / 4);
       fleet.run(Duration.ofMillis(10));
     }
-    fleet.setLines(Line.OPEN);
+    fleet.setLines(Behaviour.NORMAL);
     requestEverywhere(fleet, LARGE, 300);
     assertWithinTotal(fleet);
   }
@@ -414,7 +414,7 @@
   @Test
   void returnsUnusedDrawnTokens() {
     AccountFleet fleet = fleetUnderSteadyLoad();
-    fleet.setLines(Line.CUT);
+    fleet.setLines(Behaviour.UNREACHABLE);
     fleet.run(Duration.ofMillis(300));
     AccountFleet.Instance asked = fleet.instance(0);
     asked.request(3 * LARGE);
@@ -422,7 +422,7 @@
     while (!asked.reserved.isEmpty()) {
       asked.settle(1);
     }
-    fleet.setLines(Line.OPEN);
+    fleet.setLines(Behaviour.NORMAL);
     asked.book.close();
     fleet.run(Duration.ofSeconds(2));
     AccountFleet.Instance other = fleet.instance(1);
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/account/TokenRequestsTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/account/TokenRequestsTests.java
@@ -33,7 +33,7 @@
           .findFirst()
           .orElseThrow();
 
-  private record Asked(String holder, HolderPort.Ask ask, Consumer<HolderPort.Answer> answer) {}
+  private record Asked(String holder, HolderPort.Request ask, Consumer<HolderPort.Answer> answer) {}
 
   private record Returned(String holder, long tokens) {}
 
@@ -44,8 +44,8 @@
   private final List<Reservation> reserved = new ArrayList<>();
   private final List<Problem> refused = new ArrayList<>();
   private final TokenHolders holders = new TokenHolders(REQUESTER, () -> FLEET);
-  private final AccountBook book =
-      new AccountBook(
+  private final PrepaidAccounts book =
+      new PrepaidAccounts(
           REQUESTER,
           customer -> OptionalLong.of(1_000_000),
           holders,
@@ -139,7 +139,7 @@
   @Test
   void returnsTokensOfACancelledRequest() {
     request();
-    requests.withdraw(CUSTOMER, listener);
+    requests.cancel(CUSTOMER, listener);
     answer(new HolderPort.Answer.Granted());
     requests.tick();
     assertEquals(List.of(), reserved);
@@ -175,12 +175,12 @@
 
   private final class Port implements HolderPort {
     @Override
-    public void ask(String holder, Ask ask, Consumer<Answer> answer) {
+    public void request(String holder, Request ask, Consumer<Answer> answer) {
       asked.add(new Asked(holder, ask, answer));
     }
 
     @Override
-    public void giveBack(String holder, String customer, long tokens) {
+    public void returnTokens(String holder, String customer, long tokens) {
       returned.add(new Returned(holder, tokens));
     }
   }
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/fake/FakeDialect.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/fake/FakeDialect.java
@@ -6,9 +6,9 @@
 import org.teaseldeal.api.Problem;
 import org.teaseldeal.api.Result;
 import org.teaseldeal.gateway.flow.AnswerVerdict;
+import org.teaseldeal.gateway.flow.CallerRequest;
 import org.teaseldeal.gateway.flow.Dialect;
-import org.teaseldeal.gateway.flow.Handover;
-import org.teaseldeal.gateway.flow.RoutedRequest;
+import org.teaseldeal.gateway.flow.ForwardingTerms;
 import org.teaseldeal.net.HttpAnswer;
 import org.teaseldeal.net.HttpCallRequest;
 import org.teaseldeal.net.HttpExchange;
@@ -22,9 +22,9 @@
   public static final String HOST = "desk.example";
 
   @Override
-  public Result<RoutedRequest> read(HttpExchange exchange) {
+  public Result<CallerRequest> read(HttpExchange exchange) {
     return Result.ok(
-        new RoutedRequest(
+        new CallerRequest(
             requestId(exchange),
             exchange.method(),
             HOST,
@@ -42,7 +42,7 @@
   }
 
   @Override
-  public HttpCallRequest forward(RoutedRequest request, Handover handover) {
+  public HttpCallRequest forward(CallerRequest request, ForwardingTerms handover) {
     return new HttpCallRequest(
         handover.address(),
         request.method(),
@@ -53,7 +53,7 @@
   }
 
   @Override
-  public boolean isAnswerTo(RoutedRequest request, Map<String, String> headers) {
+  public boolean isAnswerTo(CallerRequest request, Map<String, String> headers) {
     return true;
   }
 
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/fake/FakeExchange.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/fake/FakeExchange.java
@@ -61,7 +61,7 @@
   }
 
   @Override
-  public Duration sinceHead() {
+  public Duration timeSinceHead() {
     return Duration.ZERO;
   }
 
@@ -91,7 +91,7 @@
   }
 
   @Override
-  public void onCallerGone(Runnable action) {
+  public void onCallerDisconnect(Runnable action) {
     // Callers always wait for their answers.
   }
 }
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/fake/FakeSharedLog.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/fake/FakeSharedLog.java
@@ -15,21 +15,21 @@
 
 /**
  * A shared log in memory that keeps the latest record of each key. Each writer's calls are answered
- * when the test calls {@link Port#answer()}.
+ * when the test calls {@link Port#answerCalls()}.
  */
 public final class FakeSharedLog {
   /** How the calls of a writer behave. */
-  public enum Line {
+  public enum Behaviour {
     /** Calls are carried out and answered. */
-    OPEN,
+    NORMAL,
     /** Calls don't reach the log and fail. */
-    CUT,
+    UNREACHABLE,
     /** Appends are applied, but their answers are lost. */
     ANSWERS_LOST,
     /** Appends are applied some rounds later, just before their answers, so reads overtake them. */
     SLOW_APPENDS,
     /** Appends are reported as failed but are applied some time later. */
-    DONE_LATE
+    APPLIED_LATE
   }
 
   private static final class Writer {
@@ -49,23 +49,23 @@
   private final Queue<Runnable> queuedAppends = new ArrayDeque<>();
   private long firstRetainedOffset;
   private int appends;
-  private int appendsInRound;
+  private int appendsPerRound;
 
   /** Drops all records except the latest one of each key. */
-  public void forgetHistory() {
+  public void compact() {
     firstRetainedOffset = records.size();
   }
 
   /**
    * From now on the appends of all writers are queued, and a round applies {@code count} of them.
    */
-  public void appendsInRound(int count) {
-    appendsInRound = count;
+  public void appendsPerRound(int count) {
+    appendsPerRound = count;
   }
 
   /** Applies the queued appends of one round. */
-  public void round() {
-    for (int i = 0; i < appendsInRound && !queuedAppends.isEmpty(); i++) {
+  public void applyRound() {
+    for (int i = 0; i < appendsPerRound && !queuedAppends.isEmpty(); i++) {
       queuedAppends.remove().run();
     }
   }
@@ -82,15 +82,15 @@
     private final List<Supplier<AppendOutcome>> lateAppends = new ArrayList<>();
     private int rounds;
     private int reads;
-    private Line line = Line.OPEN;
+    private Behaviour behaviour = Behaviour.NORMAL;
 
     Port(String producer) {
       this.producer = producer;
     }
 
     /** Sets the behaviour of the following calls. */
-    public void line(Line line) {
-      this.line = line;
+    public void behaviour(Behaviour line) {
+      this.behaviour = line;
     }
 
     /** The number of reads since the count was last reset. */
@@ -99,7 +99,7 @@
     }
 
     /** Resets the number of reads. */
-    public void forgetReads() {
+    public void resetReads() {
       reads = 0;
     }
 
@@ -107,7 +107,7 @@
      * Gives the answers of the calls made so far. Every fiftieth call also applies the delayed
      * appends.
      */
-    public void answer() {
+    public void answerCalls() {
       if (++rounds % LATE_APPEND_ROUNDS == 0) {
         for (Supplier<AppendOutcome> append : lateAppends) {
           AppendOutcome ignored = append.get();
@@ -123,17 +123,17 @@
     public void append(
         long epoch, long sequence, List<KeyedRecord> batch, Consumer<AppendOutcome> outcome) {
       Supplier<AppendOutcome> append = () -> appendNow(producer, epoch, sequence, batch);
-      AppendOutcome unknown = new AppendOutcome.Unknown(line.name());
-      switch (line) {
-        case OPEN -> appendNormally(append, outcome);
-        case CUT -> answers.add(() -> outcome.accept(unknown));
+      AppendOutcome unknown = new AppendOutcome.Unknown(behaviour.name());
+      switch (behaviour) {
+        case NORMAL -> appendNormally(append, outcome);
+        case UNREACHABLE -> answers.add(() -> outcome.accept(unknown));
         case ANSWERS_LOST -> {
           AppendOutcome lost = append.get();
           answers.add(
               () -> outcome.accept(lost instanceof AppendOutcome.Appended ? unknown : lost));
         }
         case SLOW_APPENDS -> answerAfter(SLOW_APPEND_ROUNDS, () -> outcome.accept(append.get()));
-        case DONE_LATE -> {
+        case APPLIED_LATE -> {
           answers.add(() -> outcome.accept(unknown));
           lateAppends.add(append);
         }
@@ -146,9 +146,9 @@
             AppendOutcome done = append.get();
             answers.add(() -> outcome.accept(done));
           };
-      if (appendsInRound == 0) {
+      if (appendsPerRound == 0) {
         take.run();
-      } else if (queuedAppends.size() < MAX_QUEUED_ROUNDS * appendsInRound) {
+      } else if (queuedAppends.size() < MAX_QUEUED_ROUNDS * appendsPerRound) {
         queuedAppends.add(take);
       } else {
         answers.add(() -> outcome.accept(new AppendOutcome.Unknown("busy")));
@@ -174,7 +174,7 @@
     }
 
     private boolean readable() {
-      return line == Line.OPEN || line == Line.SLOW_APPENDS;
+      return behaviour == Behaviour.NORMAL || behaviour == Behaviour.SLOW_APPENDS;
     }
 
     private static ReadOutcome failed() {
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/EarlyRequestTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/EarlyRequestTests.java
@@ -27,12 +27,12 @@
     FakeExchange early = gateway.call(GatewayFixture.ONCE_PATH);
     gateway.dispatcher.tick();
     assertEquals(0, early.status());
-    assertEquals(1, gateway.dispatcher.open());
+    assertEquals(1, gateway.dispatcher.openRequests());
     gateway.configured = true;
     gateway.dispatcher.tick();
     gateway.sent.getFirst().answer();
     assertEquals(200, early.status());
-    assertEquals(0, gateway.dispatcher.open());
+    assertEquals(0, gateway.dispatcher.openRequests());
   }
 
   /**
@@ -51,8 +51,8 @@
   @Test
   void refusesARequestWhenTheInstanceStops() {
     FakeExchange early = gateway.call(GatewayFixture.ONCE_PATH);
-    gateway.dispatcher.refuseAll();
+    gateway.dispatcher.refuseAllNotRun();
     assertEquals(503, early.status());
-    assertEquals(0, gateway.dispatcher.open());
+    assertEquals(0, gateway.dispatcher.openRequests());
   }
 }
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/GatewayFixture.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/GatewayFixture.java
@@ -11,16 +11,16 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import org.teaseldeal.api.BackendServerId;
-import org.teaseldeal.gateway.account.AccountBook;
 import org.teaseldeal.gateway.account.ClockReading;
 import org.teaseldeal.gateway.account.HolderPort;
+import org.teaseldeal.gateway.account.PrepaidAccounts;
 import org.teaseldeal.gateway.account.TokenHolders;
 import org.teaseldeal.gateway.account.TokenRequests;
 import org.teaseldeal.gateway.event.GatewayEvent;
 import org.teaseldeal.gateway.fake.FakeDialect;
 import org.teaseldeal.gateway.fake.FakeExchange;
 import org.teaseldeal.gateway.fake.ManualClock;
-import org.teaseldeal.gateway.peer.FleetLoad;
+import org.teaseldeal.gateway.peer.PeerLoads;
 import org.teaseldeal.gateway.plan.CallerLimits;
 import org.teaseldeal.gateway.plan.GatewayPlan;
 import org.teaseldeal.gateway.plan.PlannedService;
@@ -69,7 +69,7 @@
   final ServerDirectory servers = new ServerDirectory();
   final List<SentRequest> sent = new ArrayList<>();
   final List<GatewayEvent> events = new ArrayList<>();
-  final RequestDesk dispatcher;
+  final RequestDispatcher dispatcher;
 
   /** Whether the configuration has been read. */
   boolean configured = true;
@@ -88,8 +88,8 @@
             CallerLimits.untilPublished());
     ClockReading reading = new ClockReading(0, 0);
     TokenHolders holders = new TokenHolders("instance-1", () -> ONLY_INSTANCE);
-    AccountBook accounts =
-        new AccountBook(
+    PrepaidAccounts accounts =
+        new PrepaidAccounts(
             "instance-1",
             customer -> OptionalLong.empty(),
             holders,
@@ -101,8 +101,8 @@
     RequestQuarantine quarantine =
         new RequestQuarantine("instance-1", servers::lists, events::add, clock);
     dispatcher =
-        new RequestDesk(
-            new GatewayParts(
+        new RequestDispatcher(
+            new GatewayComponents(
                 () -> configured ? plan : null,
                 servers,
                 new TokenRequests(accounts, holders, new NoPeers(), () -> true, events::add, clock),
@@ -112,10 +112,10 @@
                   sent.add(new SentRequest(request, listener));
                   return () -> {};
                 },
-                () -> FleetLoad.NONE,
+                () -> PeerLoads.NONE,
                 new CachedPrompts(),
                 () -> 1,
-                new GatewayLimits(0.2, 50, Duration.ofSeconds(10)),
+                new RetryLimits(0.2, 50, Duration.ofSeconds(10)),
                 events::add,
                 clock,
                 new Random(1)));
@@ -158,12 +158,12 @@
   /** A port without peers, for a single instance that holds every customer itself. */
   private static final class NoPeers implements HolderPort {
     @Override
-    public void ask(String holder, Ask ask, Consumer<Answer> answer) {
+    public void request(String holder, Request ask, Consumer<Answer> answer) {
       throw new AssertionError("unexpected request to holder " + holder);
     }
 
     @Override
-    public void giveBack(String holder, String customer, long tokens) {
+    public void returnTokens(String holder, String customer, long tokens) {
       throw new AssertionError("unexpected return of tokens to " + holder);
     }
   }
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/GuardedStepsTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/IsolatedTasksTests.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class GuardedStepsTests {
-  private final GuardedSteps steps = new GuardedSteps();
+class IsolatedTasksTests {
+  private final IsolatedTasks steps = new IsolatedTasks();
   private final List<String> ran = new ArrayList<>();
 
   /**
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/ServerSelectorTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/ServerSelectorTests.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.teaseldeal.api.BackendServerId;
-import org.teaseldeal.gateway.peer.FleetLoad;
+import org.teaseldeal.gateway.peer.PeerLoads;
 import org.teaseldeal.gateway.server.BackendServer;
 import org.teaseldeal.gateway.server.CachedPrompts;
 import org.teaseldeal.gateway.server.ServerDirectory;
@@ -24,7 +24,7 @@
 
   private final ServerDirectory servers = new ServerDirectory();
   private final ServerSelector selector =
-      new ServerSelector(servers, () -> FleetLoad.NONE, new CachedPrompts(), new Random(1));
+      new ServerSelector(servers, () -> PeerLoads.NONE, new CachedPrompts(), new Random(1));
 
   @BeforeEach
   void list() {
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/log/AppendPatienceTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/log/AppendTimeoutTests.java
@@ -6,7 +6,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-class AppendPatienceTests {
+class AppendTimeoutTests {
   private static final Duration ANSWER = Duration.ofMillis(5);
 
   /** Maximum age of a note that lets a successor prove that no tokens were used. */
@@ -20,7 +20,7 @@
   @Test
   void confirmsNineInTenWritesSoonWhileEveryThirdAnswerIsLost() {
     Random answers = new Random(11);
-    AppendPatience timeout = new AppendPatience();
+    AppendTimeout timeout = new AppendTimeout();
     int fresh = 0;
     int writes = 1_000;
     for (int write = 0; write < writes; write++) {
@@ -34,10 +34,10 @@
             .formatted(fresh, writes));
   }
 
-  private static Duration untilAnswered(AppendPatience timeout, Random answers) {
+  private static Duration untilAnswered(AppendTimeout timeout, Random answers) {
     Duration passed = Duration.ZERO;
     while (answers.nextInt(3) == 0) {
-      passed = passed.plus(timeout.present());
+      passed = passed.plus(timeout.current());
       timeout.onUnanswered();
     }
     timeout.onAnswered(ANSWER);
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/metrics/FleetTrafficMeterTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/metrics/FleetTrafficMeterTests.java
@@ -28,8 +28,8 @@
     append(log, 0, Duration.ofMillis(10));
     append(log, 1, Duration.ofMillis(30));
     log.read(0, outcome -> {});
-    port.answer();
-    meter.meteredPort((address, message) -> {}).send("10.0.0.1:7000", new byte[100]);
+    port.answerCalls();
+    meter.meteredTransport((address, message) -> {}).send("10.0.0.1:7000", new byte[100]);
     meter.meteredReceiver(message -> {}).accept(new byte[60]);
     meter.tick(Duration.ofMillis(7));
     meter.tick(Duration.ofMillis(3));
@@ -63,6 +63,6 @@
     byte[] value = "note".getBytes(StandardCharsets.UTF_8);
     log.append(1, sequence, List.of(new KeyedRecord("key", value)), outcome -> {});
     clock.advance(duration);
-    port.answer();
+    port.answerCalls();
   }
 }
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/peer/HolderCallsTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/peer/HolderCallsTests.java
@@ -14,10 +14,10 @@
 import java.util.concurrent.CompletionException;
 import org.junit.jupiter.api.Test;
 import org.teaseldeal.api.ErrorKind;
-import org.teaseldeal.gateway.account.AccountBook;
 import org.teaseldeal.gateway.account.ClockReading;
 import org.teaseldeal.gateway.account.HeartbeatCount;
 import org.teaseldeal.gateway.account.HolderPort;
+import org.teaseldeal.gateway.account.PrepaidAccounts;
 import org.teaseldeal.gateway.account.TokenHolders;
 import org.teaseldeal.gateway.fake.FakeExchange;
 import org.teaseldeal.gateway.fake.FakeSharedLog;
@@ -36,8 +36,8 @@
 
   private final ManualClock clock = new ManualClock();
   private final FakeSharedLog.Port log = new FakeSharedLog().port(HOLDER);
-  private final AccountBook accounts =
-      new AccountBook(
+  private final PrepaidAccounts accounts =
+      new PrepaidAccounts(
           HOLDER,
           customer -> customer.equals(CUSTOMER) ? OptionalLong.of(TOTAL) : OptionalLong.empty(),
           new TokenHolders(HOLDER, () -> FLEET),
@@ -74,7 +74,7 @@
   void grantsReturnedTokensAgain() {
     ask(CUSTOMER, TOTAL);
     run(Duration.ofSeconds(1));
-    requester.giveBack(HOLDER, CUSTOMER, TOTAL);
+    requester.returnTokens(HOLDER, CUSTOMER, TOTAL);
     ask(CUSTOMER, TOTAL);
     run(Duration.ofSeconds(1));
     HolderPort.Answer granted = new HolderPort.Answer.Granted();
@@ -121,7 +121,7 @@
     FakeExchange garbage = new FakeExchange(HolderCalls.PATH, new byte[] {1, 2, 3});
     holder.handle(garbage);
     assertEquals(400, garbage.status());
-    FakeExchange garbageReturn = new FakeExchange(HolderCalls.RETURNS, new byte[] {9});
+    FakeExchange garbageReturn = new FakeExchange(HolderCalls.RETURNS_PATH, new byte[] {9});
     holder.handleReturn(garbageReturn);
     assertEquals(400, garbageReturn.status());
   }
@@ -136,7 +136,7 @@
     CompletableFuture<HttpAnswer> call = new CompletableFuture<>();
     exchanges.add(exchange);
     calls.add(call);
-    if (request.path().equals(HolderCalls.RETURNS)) {
+    if (request.path().equals(HolderCalls.RETURNS_PATH)) {
       holder.handleReturn(exchange);
     } else {
       holder.handle(exchange);
@@ -145,13 +145,14 @@
   }
 
   private void ask(String customer, long tokens) {
-    requester.ask(HOLDER, new HolderPort.Ask(customer, tokens, MAX_WAIT, DEADLINE), answers::add);
+    requester.request(
+        HOLDER, new HolderPort.Request(customer, tokens, MAX_WAIT, DEADLINE), answers::add);
   }
 
   private void run(Duration time) {
     for (long passed = 0; passed < time.toMillis(); passed += 10) {
       clock.advance(Duration.ofMillis(10));
-      log.answer();
+      log.answerCalls();
       fleetLog.tick();
       accounts.tick();
       deliverAnswers();
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/peer/LoadExchangeTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/peer/LoadExchangeTests.java
@@ -50,31 +50,31 @@
 
   @Test
   void sumsUpTheLoadsOfOtherInstances() {
-    senderServers.find(ENGINE).orElseThrow().started(700);
+    senderServers.find(ENGINE).orElseThrow().onRequestSent(700);
     sender.tick();
     receiver.receive(sent.getFirst());
-    assertEquals(Map.of(ENGINE, new PeerLoad(1, 700)), receiver.others().byServer());
+    assertEquals(Map.of(ENGINE, new PeerLoad(1, 700)), receiver.peerLoads().byServer());
   }
 
   @Test
   void ignoresStaleLoads() {
-    senderServers.find(ENGINE).orElseThrow().started(700);
+    senderServers.find(ENGINE).orElseThrow().onRequestSent(700);
     sender.tick();
     receiver.receive(sent.getFirst());
     clock.advance(Duration.ofSeconds(2));
-    assertEquals(Map.of(), receiver.others().byServer());
+    assertEquals(Map.of(), receiver.peerLoads().byServer());
   }
 
   @Test
   void dropsAMessageThatArrivesAfterALaterOne() {
-    senderServers.find(ENGINE).orElseThrow().started(700);
+    senderServers.find(ENGINE).orElseThrow().onRequestSent(700);
     sender.tick();
-    senderServers.find(ENGINE).orElseThrow().started(300);
+    senderServers.find(ENGINE).orElseThrow().onRequestSent(300);
     clock.advance(Duration.ofMillis(200));
     sender.tick();
     receiver.receive(sent.get(1));
     receiver.receive(sent.get(0));
-    assertEquals(Map.of(ENGINE, new PeerLoad(2, 1000)), receiver.others().byServer());
+    assertEquals(Map.of(ENGINE, new PeerLoad(2, 1000)), receiver.peerLoads().byServer());
   }
 
   /**
@@ -86,24 +86,24 @@
   void ignoresLoadAtAnEarlierIncarnationOfAServer() {
     senderServers.put(listing(Optional.of(FIRST_START)));
     receiverServers.put(listing(Optional.of(FIRST_START.plusMillis(1))));
-    senderServers.find(ENGINE).orElseThrow().started(700);
+    senderServers.find(ENGINE).orElseThrow().onRequestSent(700);
     sender.tick();
     receiver.receive(sent.getFirst());
-    assertEquals(Map.of(), receiver.others().byServer());
+    assertEquals(Map.of(), receiver.peerLoads().byServer());
 
     senderServers.put(listing(Optional.of(FIRST_START.plusMillis(1))));
-    senderServers.find(ENGINE).orElseThrow().started(300);
+    senderServers.find(ENGINE).orElseThrow().onRequestSent(300);
     clock.advance(Duration.ofMillis(200));
     sender.tick();
     receiver.receive(sent.getLast());
-    assertEquals(Map.of(ENGINE, new PeerLoad(1, 300)), receiver.others().byServer());
+    assertEquals(Map.of(ENGINE, new PeerLoad(1, 300)), receiver.peerLoads().byServer());
   }
 
   /** Each prompt part is repeated, so that it arrives even if one message is lost. */
   @Test
   void repeatsAPromptPartThatWasSentToAServer() {
     BackendServer server = senderServers.find(ENGINE).orElseThrow();
-    server.started(700);
+    server.onRequestSent(700);
     senderPrompts.onSent(server.incarnation(), List.of("subject"), clock.instant());
     sender.tick();
     clock.advance(Duration.ofMillis(120));
@@ -129,7 +129,7 @@
   void ignoresMessagesThatCannotBeDecoded() {
     receiver.receive(new byte[] {9, 9, 9});
     receiver.receive(new byte[0]);
-    assertEquals(Map.of(), receiver.others().byServer());
+    assertEquals(Map.of(), receiver.peerLoads().byServer());
   }
 
   private static ServerDirectory directory() {
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/peer/LoadFleet.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/peer/LoadFleet.java
@@ -77,13 +77,13 @@
 
     /** The number of requests that the other instances have at a server, as this one knows it. */
     int peerRequestsAt(int index) {
-      return exchange.others().at(id(index)).running();
+      return exchange.peerLoads().at(id(index)).running();
     }
 
     /** Sends a prompt with the shared part {@code part} to a server. */
     void start(int index, String part) {
       BackendServer server = server(index);
-      server.started(PROMPT_TOKENS);
+      server.onRequestSent(PROMPT_TOKENS);
       cached.onSent(server.incarnation(), List.of(part), clock.instant());
       running.add(server);
     }
@@ -169,7 +169,7 @@
 
   /** The names of the collectors. */
   Set<String> collectors() {
-    return LoadCollectorChoice.of(names);
+    return LoadCollectorChoice.collectors(names);
   }
 
   private static BackendServerId id(int index) {
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/peer/LoadMessageTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/peer/LoadMessageTests.java
@@ -82,8 +82,8 @@
       exchange.receive(Arrays.copyOf(forged, random.nextInt(forged.length + 1)));
     }
     assertTrue(
-        exchange.messagesDropped() > FUZZED_MESSAGES / 2, "dropped " + exchange.messagesDropped());
-    assertEquals(FleetLoad.NONE.byServer(), exchange.others().byServer());
+        exchange.droppedMessages() > FUZZED_MESSAGES / 2, "dropped " + exchange.droppedMessages());
+    assertEquals(PeerLoads.NONE.byServer(), exchange.peerLoads().byServer());
   }
 
   /**
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/server/ServerDirectoryTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/server/ServerDirectoryTests.java
@@ -39,7 +39,7 @@
    */
   @Test
   void keepsServersForAGracePeriodAfterAnOutageOfTheList() {
-    directory.lapseOthers(Set.of(), GRACE_END);
+    directory.expireUnlistedWithGrace(Set.of(), GRACE_END);
     directory.tick(GRACE_END.minusMillis(1));
     assertEquals(2, directory.ready("models").size());
     directory.put(listing("a", false));
@@ -52,7 +52,7 @@
   @Test
   void removesALeavingServerWithoutAGracePeriod() {
     directory.put(listing("a", true));
-    directory.lapse(new BackendServerId("a"), GRACE_END);
+    directory.expireWithGrace(new BackendServerId("a"), GRACE_END);
     assertEquals(1, directory.all().size());
   }
 
@@ -74,7 +74,7 @@
     BackendServer crashed = find("c");
     List<BackendServer> replaced = new ArrayList<>();
     directory.onReplaced(replaced::add);
-    crashed.started(700);
+    crashed.onRequestSent(700);
     crashed.excludeUntil(Instant.MAX);
     directory.put(
         new ServerListing(
@@ -88,7 +88,7 @@
     BackendServer restarted = find("c");
     assertEquals("10.0.0.7:81", restarted.address());
     assertEquals("hall-b", restarted.dataCentre());
-    assertEquals(32, restarted.places());
+    assertEquals(32, restarted.maxConcurrentRequests());
     assertEquals(0, restarted.running());
     assertEquals(0, restarted.promptTokensAhead());
     assertFalse(
@@ -119,7 +119,7 @@
     directory.put(started("c", FIRST_START, false));
     directory.put(started("c", FIRST_START, true));
     assertSame(current, find("c"));
-    assertTrue(current.listedAsReady(), "a listing of an earlier incarnation made it leave");
+    assertTrue(current.isListedAsReady(), "a listing of an earlier incarnation made it leave");
   }
 
   @Test
@@ -186,7 +186,7 @@
     BackendServer current = find("c");
     directory.put(listing("c", true));
     assertSame(current, find("c"));
-    assertTrue(current.listedAsReady(), "a listing without a start time made the server leave");
+    assertTrue(current.isListedAsReady(), "a listing without a start time made the server leave");
     directory.remove(new BackendServerId("c"));
     directory.put(listing("c", false));
     assertEquals(List.of("a", "b"), ready("models"));
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/LogEvent.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/LogEvent.java
@@ -11,7 +11,7 @@
    * The log acknowledged the append. The entries take effect only when the record has been read
    * back and folded.
    */
-  record AppendAnswered(StreamId stream, long token, long offset) implements LogEvent {}
+  record AppendAcknowledged(StreamId stream, long token, long offset) implements LogEvent {}
 
   /** The append failed or was not answered in time, so the record may or may not be on the log. */
   record AppendFailed(StreamId stream, long token, String detail) implements LogEvent {}
@@ -19,11 +19,15 @@
   /**
    * Records in offset order, without gaps, from the requested offset on.
    *
-   * @param earliest the earliest offset that the log still keeps
-   * @param next the offset that the next append will get
+   * @param earliestOffset the earliest offset that the log still keeps
+   * @param nextOffset the offset that the next append will get
    */
   record RecordsRead(
-      StreamId stream, long fromOffset, List<LogRecord> records, long earliest, long next)
+      StreamId stream,
+      long fromOffset,
+      List<LogRecord> records,
+      long earliestOffset,
+      long nextOffset)
       implements LogEvent {
     public RecordsRead {
       records = List.copyOf(records);
@@ -31,7 +35,7 @@
   }
 
   /** The log no longer keeps the record at the requested offset. */
-  record OffsetExpired(StreamId stream, long fromOffset, long earliest, long next)
+  record OffsetExpired(StreamId stream, long fromOffset, long earliestOffset, long nextOffset)
       implements LogEvent {}
 
   /** The read failed. */
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/Streams.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/StreamPartitioning.java
@@ -10,11 +10,11 @@
  *
  * <p>All entries of a team are on one stream; the fleet's settings subtree is on the first stream.
  */
-public record Streams(int count) {
+public record StreamPartitioning(int count) {
   /** Keeps all entries on one stream. */
-  public static final Streams ONE = new Streams(1);
+  public static final StreamPartitioning SINGLE = new StreamPartitioning(1);
 
-  public Streams {
+  public StreamPartitioning {
     Preconditions.requirePositive(count, "stream count");
   }
 
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/client/LedgerClient.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/client/LedgerClient.java
@@ -14,9 +14,9 @@
 import org.teaseldeal.ledger.LogRecord;
 import org.teaseldeal.ledger.StreamId;
 import org.teaseldeal.ledger.entry.Entry;
+import org.teaseldeal.ledger.fold.EntryOutcome;
 import org.teaseldeal.ledger.fold.LedgerFold;
 import org.teaseldeal.ledger.fold.SettingsValidator;
-import org.teaseldeal.ledger.fold.Settled;
 import org.teaseldeal.ledger.snapshot.Snapshot;
 import org.teaseldeal.ledger.state.LedgerState;
 
@@ -65,7 +65,7 @@
     this.stream = stream;
     this.config = config;
     this.clock = new MonotonicClock(clock);
-    fold = new LedgerFold(stream, config.keys(), validator);
+    fold = new LedgerFold(stream, config.keyRetention(), validator);
     appender = new Appender(self, stream, config.appends());
     reader = new Reader(stream, config.reads(), self.hashCode());
     snapshots = new SnapshotWriter(self, config.snapshots());
@@ -131,13 +131,13 @@
   /**
    * Handles the result of a command and returns the outcomes of all entries that were folded by it.
    */
-  public List<Settled> handle(LogEvent event) {
+  public List<EntryOutcome> handle(LogEvent event) {
     Preconditions.require(
         event.stream().equals(stream),
         "stream was %s, expected %s".formatted(event.stream(), stream));
     Instant now = clock.instant();
     return switch (event) {
-      case LogEvent.AppendAnswered e -> {
+      case LogEvent.AppendAcknowledged e -> {
         lastContact = now;
         appender.acknowledged(e.token(), e.offset(), now);
         yield List.of();
@@ -158,10 +158,10 @@
     };
   }
 
-  private List<Settled> recordsRead(LogEvent.RecordsRead event, Instant now) {
+  private List<EntryOutcome> recordsRead(LogEvent.RecordsRead event, Instant now) {
     lastContact = now;
     reader.answered(event.fromOffset());
-    knownNextOffset = Math.max(knownNextOffset, event.next());
+    knownNextOffset = Math.max(knownNextOffset, event.nextOffset());
     if (scan != null) {
       scan(scan, event, now);
       return List.of();
@@ -169,9 +169,9 @@
     return foldAll(event, now);
   }
 
-  private List<Settled> foldAll(LogEvent.RecordsRead event, Instant now) {
+  private List<EntryOutcome> foldAll(LogEvent.RecordsRead event, Instant now) {
     boolean stale = event.fromOffset() != position();
-    List<Settled> outcomes = new ArrayList<>();
+    List<EntryOutcome> outcomes = new ArrayList<>();
     for (LogRecord record : event.records()) {
       long expected = fold.state().foldedTo() + 1;
       if (record.offset() > expected) {
@@ -186,7 +186,7 @@
     appender.readBack(fold.state().lastSequence(self));
     checkOwnWriter();
     if (!stale) {
-      checkLogEnd(event.next());
+      checkLogEnd(event.nextOffset());
     }
     return outcomes;
   }
@@ -233,8 +233,8 @@
   private void offsetExpired(LogEvent.OffsetExpired event, Instant now) {
     lastContact = now;
     reader.answered(event.fromOffset());
-    knownNextOffset = Math.max(knownNextOffset, event.next());
-    if (event.fromOffset() != position() || event.earliest() <= position()) {
+    knownNextOffset = Math.max(knownNextOffset, event.nextOffset());
+    if (event.fromOffset() != position() || event.earliestOffset() <= position()) {
       return;
     }
     gaps++;
@@ -242,14 +242,14 @@
     if (scan == null) {
       scan = newScan(event);
     } else {
-      scan.skipTo(event.earliest());
+      scan.skipTo(event.earliestOffset());
     }
-    problem = "records before offset %d have expired".formatted(event.earliest());
+    problem = "records before offset %d have expired".formatted(event.earliestOffset());
   }
 
   private SnapshotScan newScan(LogEvent.OffsetExpired event) {
     long scanLength = config.snapshots().recordsPerSnapshot() * SCAN_LENGTH_IN_SNAPSHOTS;
-    return new SnapshotScan(event.earliest(), event.next(), scanLength);
+    return new SnapshotScan(event.earliestOffset(), event.nextOffset(), scanLength);
   }
 
   private void scan(SnapshotScan running, LogEvent.RecordsRead event, Instant now) {
@@ -263,8 +263,8 @@
         return;
       }
     }
-    if (running.next() >= event.next()) {
-      finishScan(running, event.earliest(), event.next());
+    if (running.next() >= event.nextOffset()) {
+      finishScan(running, event.earliestOffset(), event.nextOffset());
     }
   }
 
@@ -301,7 +301,7 @@
   }
 
   /** Returns the ticket of an outcome if its entry was submitted to this client. */
-  public Optional<Ticket> ticket(Settled outcome) {
+  public Optional<Ticket> ticket(EntryOutcome outcome) {
     return outcome.writer().equals(self)
         ? Optional.of(new Ticket(outcome.sequence(), outcome.index()))
         : Optional.empty();
@@ -311,7 +311,7 @@
    * Returns the tickets whose outcomes will never be known, each once. Their record was in a range
    * that expired before it was read, or this incarnation ended before the record was appended.
    */
-  public List<Ticket> takeLostTickets() {
+  public List<Ticket> drainLostTickets() {
     List<Ticket> lost = List.copyOf(lostTickets);
     lostTickets.clear();
     return lost;
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/Settled.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/EntryOutcome.java
@@ -11,5 +11,5 @@
  *     decode
  * @param offset the offset of the record
  */
-public record Settled(
+public record EntryOutcome(
     IncarnationId writer, long sequence, int index, long offset, Outcome outcome) {}
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/KeyRules.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/KeyRetention.java
@@ -10,18 +10,19 @@
  * <p>All readers of a stream must use the same values, or their states would differ.
  *
  * @param claimWindow how long a claim and its answer are kept
- * @param keyMemory how long the keys of claims and charges, the ids of budget operations, and ended
- *     writers are remembered
+ * @param keyRetention how long the keys of claims and charges, the ids of budget operations, and
+ *     ended writers are remembered
  */
-public record KeyRules(Duration claimWindow, Duration keyMemory) {
+public record KeyRetention(Duration claimWindow, Duration keyRetention) {
   /** Keeps answers for an hour and keys for a week. */
-  public static final KeyRules DEFAULT = new KeyRules(Duration.ofHours(1), Duration.ofDays(7));
+  public static final KeyRetention DEFAULT =
+      new KeyRetention(Duration.ofHours(1), Duration.ofDays(7));
 
-  public KeyRules {
+  public KeyRetention {
     Preconditions.requirePositive(claimWindow.toMillis(), "claim window");
     Preconditions.require(
-        keyMemory.compareTo(claimWindow) >= 0,
+        keyRetention.compareTo(claimWindow) >= 0,
         "key retention was %s, expected at least the claim window, %s"
-            .formatted(keyMemory, claimWindow));
+            .formatted(keyRetention, claimWindow));
   }
 }
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/LedgerFold.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/LedgerFold.java
@@ -25,7 +25,7 @@
  */
 public final class LedgerFold {
   private final StreamId stream;
-  private final KeyRules defaults;
+  private final KeyRetention defaults;
   private final SettingsValidator validator;
   private LedgerTables tables;
   private long records;
@@ -36,7 +36,7 @@
   private long skipped;
 
   /** Creates the fold of {@code stream}, with no record folded yet. */
-  public LedgerFold(StreamId stream, KeyRules defaults, SettingsValidator validator) {
+  public LedgerFold(StreamId stream, KeyRetention defaults, SettingsValidator validator) {
     this.stream = stream;
     this.defaults = defaults;
     this.validator = validator;
@@ -85,7 +85,7 @@
    * @throws IllegalArgumentException if the offset of {@code record} does not directly follow the
    *     last folded one
    */
-  public List<Settled> fold(LogRecord record) {
+  public List<EntryOutcome> fold(LogRecord record) {
     Preconditions.require(
         record.offset() == tables.foldedTo() + 1,
         "offset was %d, expected %d".formatted(record.offset(), tables.foldedTo() + 1));
@@ -100,7 +100,7 @@
     };
   }
 
-  private List<Settled> acceptBatch(Batch batch, int skippedEntries) {
+  private List<EntryOutcome> acceptBatch(Batch batch, int skippedEntries) {
     Optional<Writer> known = tables.writers.find(batch.writer());
     if (known.isPresent() && known.get().ended) {
       fromEndedWriters++;
@@ -119,11 +119,11 @@
     return apply(batch, tables.writers.add(batch.writer()));
   }
 
-  private List<Settled> apply(Batch batch, Writer writer) {
+  private List<EntryOutcome> apply(Batch batch, Writer writer) {
     writer.lastSequence = batch.sequence();
     writer.foldedTo = batch.foldedTo();
     writer.lastSeenMillis = tables.logMillis();
-    List<Settled> outcomes = new ArrayList<>(batch.entries().size());
+    List<EntryOutcome> outcomes = new ArrayList<>(batch.entries().size());
     for (int index = 0; index < batch.entries().size(); index++) {
       int position = index;
       apply(batch.entries().get(index), writer)
@@ -133,8 +133,8 @@
     return outcomes;
   }
 
-  private Settled entryOutcome(Batch batch, int index, Outcome outcome) {
-    return new Settled(batch.writer(), batch.sequence(), index, tables.foldedTo(), outcome);
+  private EntryOutcome entryOutcome(Batch batch, int index, Outcome outcome) {
+    return new EntryOutcome(batch.writer(), batch.sequence(), index, tables.foldedTo(), outcome);
   }
 
   private Optional<Outcome> apply(Entry entry, Writer writer) {
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/LedgerTables.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/LedgerTables.java
@@ -47,7 +47,7 @@
   final ClaimTable claims;
   final SettingsTable settings;
   final OrderTable orders;
-  private final KeyRules defaults;
+  private final KeyRetention defaults;
   private long foldedTo = -1;
   private long logMillis;
   private long nextSweepMillis;
@@ -55,7 +55,7 @@
   private long coveredOffset = -1;
   private long snapshotMillis;
 
-  LedgerTables(KeyRules defaults, SettingsValidator validator) {
+  LedgerTables(KeyRetention defaults, SettingsValidator validator) {
     this.defaults = defaults;
     writers = new WriterTable();
     budgets = new Budgets(writers);
@@ -65,7 +65,7 @@
     orders = new OrderTable();
   }
 
-  private LedgerTables(StateReader in, KeyRules defaults, SettingsValidator validator) {
+  private LedgerTables(StateReader in, KeyRetention defaults, SettingsValidator validator) {
     this.defaults = defaults;
     foldedTo = in.number();
     logMillis = in.number();
@@ -97,7 +97,7 @@
   }
 
   static LedgerTables read(
-      byte[] exported, StreamId stream, KeyRules defaults, SettingsValidator validator) {
+      byte[] exported, StreamId stream, KeyRetention defaults, SettingsValidator validator) {
     StateReader in = new StateReader(exported);
     long version = in.number();
     Preconditions.require(
@@ -126,7 +126,7 @@
   private void expire() {
     Optional<FleetSettings> fleet = settings.fleet();
     Duration claimWindow = fleet.map(FleetSettings::claimWindow).orElse(defaults.claimWindow());
-    Duration keyRetention = fleet.map(FleetSettings::keyMemory).orElse(defaults.keyMemory());
+    Duration keyRetention = fleet.map(FleetSettings::keyMemory).orElse(defaults.keyRetention());
     long retentionLimit = logMillis - keyRetention.toMillis();
     claims.expire(logMillis - claimWindow.toMillis(), retentionLimit);
     budgets.dropOperationsUntil(retentionLimit);
@@ -301,7 +301,7 @@
   }
 
   @Override
-  public Optional<String> imbalance() {
+  public Optional<String> findImbalance() {
     return budgets.findImbalance();
   }
 }
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/outcome/Outcome.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/outcome/Outcome.java
@@ -53,7 +53,7 @@
      * Returns whether the operation had been applied before, so that its author has the result
      * asked for.
      */
-    public boolean countedBefore() {
+    public boolean alreadyApplied() {
       return reason.equals(ALREADY_APPLIED);
     }
   }
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/state/LedgerState.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/state/LedgerState.java
@@ -100,5 +100,5 @@
    * Recomputes every budget from its leases and describes the first that does not match. It scans
    * the whole state and is meant for tests, dumps and operators.
    */
-  Optional<String> imbalance();
+  Optional<String> findImbalance();
 }
--- a/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/EmbeddingExampleTests.java
+++ b/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/EmbeddingExampleTests.java
@@ -19,8 +19,8 @@
 import org.teaseldeal.ledger.client.LedgerClient;
 import org.teaseldeal.ledger.client.LedgerConfig;
 import org.teaseldeal.ledger.entry.Entry;
+import org.teaseldeal.ledger.fold.EntryOutcome;
 import org.teaseldeal.ledger.fold.SettingsValidator;
-import org.teaseldeal.ledger.fold.Settled;
 import org.teaseldeal.ledger.lease.LocalLeases;
 import org.teaseldeal.ledger.lease.Reservation;
 import org.teaseldeal.ledger.outcome.Outcome;
@@ -74,7 +74,7 @@
       }
     }
 
-    private void take(Settled settled) {
+    private void take(EntryOutcome settled) {
       boolean own = client.ticket(settled).isPresent();
       if (own && settled.outcome() instanceof Outcome.LeaseGranted lease) {
         leases.credit(lease.service(), List.of(new Draw(self, lease.tokens())));
@@ -85,7 +85,7 @@
       return switch (command) {
         case LogCommand.Append append -> {
           log.add(new LogRecord(log.size(), InstantSource.system().instant(), append.payload()));
-          yield new LogEvent.AppendAnswered(stream, append.token(), log.size() - 1);
+          yield new LogEvent.AppendAcknowledged(stream, append.token(), log.size() - 1);
         }
         case LogCommand.Read read -> {
           List<LogRecord> records = log.subList((int) read.fromOffset(), log.size());
--- a/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/client/FakeLog.java
+++ b/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/client/FakeLog.java
@@ -49,7 +49,7 @@
     long offset = append(append.payload());
     return losesAcknowledgements
         ? Optional.empty()
-        : Optional.of(new LogEvent.AppendAnswered(append.stream(), append.token(), offset));
+        : Optional.of(new LogEvent.AppendAcknowledged(append.stream(), append.token(), offset));
   }
 
   private LogEvent answer(LogCommand.Read read) {
--- a/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/client/LedgerClientModelTests.java
+++ b/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/client/LedgerClientModelTests.java
@@ -17,7 +17,7 @@
 import org.teaseldeal.api.IncarnationId;
 import org.teaseldeal.ledger.LedgerFixtures;
 import org.teaseldeal.ledger.entry.Entry;
-import org.teaseldeal.ledger.fold.Settled;
+import org.teaseldeal.ledger.fold.EntryOutcome;
 import org.teaseldeal.ledger.outcome.Outcome;
 import org.teaseldeal.ledger.snapshot.SnapshotConfig;
 
@@ -157,15 +157,15 @@
     }
 
     void check(String name) {
-      Set<Ticket> lost = new HashSet<>(client.ledger.takeLostTickets());
+      Set<Ticket> lost = new HashSet<>(client.ledger.drainLostTickets());
       Set<Ticket> answered = new HashSet<>();
-      for (Settled outcome : client.ownOutcomes) {
+      for (EntryOutcome outcome : client.ownOutcomes) {
         assertTrue(answered.add(client.ledger.ticket(outcome).orElseThrow()), name);
       }
       Set<Ticket> known = new HashSet<>(answered);
       known.addAll(lost);
       assertTrue(known.containsAll(tickets), name + ": a ticket of " + id + " has no outcome");
-      assertEquals(Optional.empty(), client.ledger.state().imbalance(), name);
+      assertEquals(Optional.empty(), client.ledger.state().findImbalance(), name);
       if (lost.isEmpty()) {
         assertEquals(leaseChangeSum(), client.ledger.state().leased(DRAFTS, id), name);
       }
--- a/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/client/LedgerClientTests.java
+++ b/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/client/LedgerClientTests.java
@@ -178,7 +178,7 @@
       Ticket lease = a.ledger.submit(lease(DRAFTS, 10, 10));
       LogCommand.Append append = (LogCommand.Append) a.ledger.poll().getFirst();
       a.ledger.handle(
-          new LogEvent.AppendAnswered(TestClient.STREAM, append.token(), log.nextOffset()));
+          new LogEvent.AppendAcknowledged(TestClient.STREAM, append.token(), log.nextOffset()));
       append(B, 1, join(B));
       a.runFor(Duration.ofSeconds(5));
 
@@ -247,8 +247,8 @@
 
       assertTrue(a.ledger.retired());
       assertThrows(IllegalStateException.class, () -> a.ledger.submit(lease(DRAFTS, 1, 1)));
-      assertEquals(List.of(queued), a.ledger.takeLostTickets());
-      assertEquals(List.of(), a.ledger.takeLostTickets());
+      assertEquals(List.of(queued), a.ledger.drainLostTickets());
+      assertEquals(List.of(), a.ledger.drainLostTickets());
     }
 
     /**
@@ -413,7 +413,7 @@
       a.runFor(Duration.ofSeconds(5));
 
       assertEquals(5, a.ledger.state().leased(DRAFTS, A));
-      assertEquals(List.of(lease), a.ledger.takeLostTickets());
+      assertEquals(List.of(lease), a.ledger.drainLostTickets());
       assertTrue(a.ledger.idle());
     }
 
--- a/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/client/TestClient.java
+++ b/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/client/TestClient.java
@@ -8,7 +8,7 @@
 import org.teaseldeal.ledger.LogCommand;
 import org.teaseldeal.ledger.StreamId;
 import org.teaseldeal.ledger.entry.Entry;
-import org.teaseldeal.ledger.fold.Settled;
+import org.teaseldeal.ledger.fold.EntryOutcome;
 import org.teaseldeal.ledger.outcome.Outcome;
 
 /** A client connected to a {@link FakeLog} that keeps the outcomes of its own entries. */
@@ -16,7 +16,7 @@
   static final StreamId STREAM = new StreamId(0);
 
   final LedgerClient ledger;
-  final List<Settled> ownOutcomes = new ArrayList<>();
+  final List<EntryOutcome> ownOutcomes = new ArrayList<>();
   private final FakeLog log;
   private final ManualClock clock;
 
@@ -32,7 +32,7 @@
     }
   }
 
-  private void keep(List<Settled> outcomes) {
+  private void keep(List<EntryOutcome> outcomes) {
     outcomes.stream()
         .filter(outcome -> ledger.ticket(outcome).isPresent())
         .forEach(ownOutcomes::add);
@@ -57,7 +57,7 @@
   Optional<Outcome> outcome(Ticket ticket) {
     return ownOutcomes.stream()
         .filter(outcome -> ledger.ticket(outcome).equals(Optional.of(ticket)))
-        .map(Settled::outcome)
+        .map(EntryOutcome::outcome)
         .findFirst();
   }
 }
--- a/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/fold/FoldTestLog.java
+++ b/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/fold/FoldTestLog.java
@@ -33,7 +33,8 @@
           return Optional.empty();
         }
       };
-  static final KeyRules KEY_RETENTION = new KeyRules(Duration.ofHours(1), Duration.ofDays(7));
+  static final KeyRetention KEY_RETENTION =
+      new KeyRetention(Duration.ofHours(1), Duration.ofDays(7));
 
   final List<LogRecord> records = new ArrayList<>();
   private final Map<IncarnationId, Long> sequences = new HashMap<>();
@@ -88,7 +89,7 @@
   List<Outcome> writePayload(byte[] payload) {
     LogRecord record = new LogRecord(records.size(), now, payload);
     records.add(record);
-    return fold.fold(record).stream().map(Settled::outcome).toList();
+    return fold.fold(record).stream().map(EntryOutcome::outcome).toList();
   }
 
   /** Replaces the fold by a new one that restores its export, as after a restart. */
--- a/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/fold/LedgerFoldModelTests.java
+++ b/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/fold/LedgerFoldModelTests.java
@@ -189,7 +189,7 @@
     }
 
     void check(FoldTestLog log, String context) {
-      assertEquals(Optional.empty(), log.state().imbalance(), context);
+      assertEquals(Optional.empty(), log.state().findImbalance(), context);
       granted.forEach((account, tokens) -> check(log, account, tokens, context));
     }
 
--- a/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/snapshot/SnapshotTests.java
+++ b/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/snapshot/SnapshotTests.java
@@ -23,7 +23,7 @@
 import org.teaseldeal.ledger.codec.Batch;
 import org.teaseldeal.ledger.codec.BatchCodec;
 import org.teaseldeal.ledger.entry.Entry;
-import org.teaseldeal.ledger.fold.KeyRules;
+import org.teaseldeal.ledger.fold.KeyRetention;
 import org.teaseldeal.ledger.fold.LedgerFold;
 import org.teaseldeal.ledger.state.LedgerState;
 
@@ -92,7 +92,7 @@
     private final List<IncarnationId> instances =
         List.of("a-1", "b-1", "c-1").stream().map(IncarnationId::new).toList();
     private final LedgerFold fold =
-        new LedgerFold(new StreamId(0), KeyRules.DEFAULT, (subtree, toml) -> List.of());
+        new LedgerFold(new StreamId(0), KeyRetention.DEFAULT, (subtree, toml) -> List.of());
     private Instant now = Instant.parse("2026-12-02T08:00:00Z");
     private long offset;
 
--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/FaultPlayer.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/FaultPlayer.java
@@ -75,7 +75,7 @@
       }
       case HOLDER_LOST -> {
         List<String> holders =
-            TokenHolderChoice.of(load.customers().getFirst(), fleet.names()).stream()
+            TokenHolderChoice.holders(load.customers().getFirst(), fleet.names()).stream()
                 .sorted()
                 .toList();
         for (int i = 0; i < holders.size() * fault.share(); i++) {
--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelDialect.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelDialect.java
@@ -7,10 +7,10 @@
 import org.teaseldeal.api.Problem;
 import org.teaseldeal.api.Result;
 import org.teaseldeal.gateway.flow.AnswerVerdict;
+import org.teaseldeal.gateway.flow.CallerRequest;
 import org.teaseldeal.gateway.flow.Dialect;
-import org.teaseldeal.gateway.flow.Handover;
-import org.teaseldeal.gateway.flow.PromptTerms;
-import org.teaseldeal.gateway.flow.RoutedRequest;
+import org.teaseldeal.gateway.flow.ForwardingTerms;
+import org.teaseldeal.gateway.flow.PromptDescription;
 import org.teaseldeal.net.HttpAnswer;
 import org.teaseldeal.net.HttpCallRequest;
 import org.teaseldeal.net.HttpExchange;
@@ -29,16 +29,17 @@
   static final String REQUEST = "request";
 
   @Override
-  public Result<RoutedRequest> read(HttpExchange exchange) {
+  public Result<CallerRequest> read(HttpExchange exchange) {
     ModelExchange call = (ModelExchange) exchange;
     ModelRequest request = call.request();
-    Optional<PromptTerms> prompt =
+    Optional<PromptDescription> prompt =
         request.kind().streamed()
             ? Optional.of(
-                new PromptTerms(request.inputTokens(), request.maxOutputTokens(), request.parts()))
+                new PromptDescription(
+                    request.inputTokens(), request.maxOutputTokens(), request.parts()))
             : Optional.empty();
     return Result.ok(
-        new RoutedRequest(
+        new CallerRequest(
             call.attemptId(),
             "POST",
             HOST,
@@ -60,7 +61,7 @@
   }
 
   @Override
-  public HttpCallRequest forward(RoutedRequest request, Handover handover) {
+  public HttpCallRequest forward(CallerRequest request, ForwardingTerms handover) {
     return new HttpCallRequest(
         handover.address(),
         request.method(),
@@ -71,7 +72,7 @@
   }
 
   @Override
-  public boolean isAnswerTo(RoutedRequest request, Map<String, String> headers) {
+  public boolean isAnswerTo(CallerRequest request, Map<String, String> headers) {
     return true;
   }
 
--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelExchange.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelExchange.java
@@ -95,7 +95,7 @@
   }
 
   @Override
-  public Duration sinceHead() {
+  public Duration timeSinceHead() {
     return Duration.ZERO;
   }
 
@@ -132,7 +132,7 @@
   }
 
   @Override
-  public void onCallerGone(Runnable action) {
+  public void onCallerDisconnect(Runnable action) {
     callerGone = action;
   }
 
--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelInstance.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelInstance.java
@@ -14,20 +14,20 @@
 import org.jspecify.annotations.Nullable;
 import org.teaseldeal.api.BackendServerId;
 import org.teaseldeal.decisions.DrainPhases;
-import org.teaseldeal.gateway.account.AccountBook;
 import org.teaseldeal.gateway.account.HeartbeatCount;
-import org.teaseldeal.gateway.account.HolderAnswers;
 import org.teaseldeal.gateway.account.HolderPort;
+import org.teaseldeal.gateway.account.HolderService;
+import org.teaseldeal.gateway.account.PrepaidAccounts;
 import org.teaseldeal.gateway.account.TokenDraws;
 import org.teaseldeal.gateway.account.TokenHolders;
 import org.teaseldeal.gateway.account.TokenRequests;
 import org.teaseldeal.gateway.event.GatewayEvent;
-import org.teaseldeal.gateway.flow.GatewayLimits;
-import org.teaseldeal.gateway.flow.GatewayParts;
-import org.teaseldeal.gateway.flow.RequestDesk;
+import org.teaseldeal.gateway.flow.GatewayComponents;
+import org.teaseldeal.gateway.flow.RequestDispatcher;
+import org.teaseldeal.gateway.flow.RetryLimits;
 import org.teaseldeal.gateway.log.FleetLog;
-import org.teaseldeal.gateway.peer.FleetLoad;
 import org.teaseldeal.gateway.peer.LoadExchange;
+import org.teaseldeal.gateway.peer.PeerLoads;
 import org.teaseldeal.gateway.plan.GatewayPlan;
 import org.teaseldeal.gateway.plan.PrepaidCustomer;
 import org.teaseldeal.gateway.quarantine.RequestQuarantine;
@@ -53,20 +53,20 @@
   private static final Duration GRACE = Duration.ofSeconds(8);
   private static final int CALL_OCTETS = 250;
   private static final int EVENT_OCTETS = 60;
-  private static final GatewayLimits LIMITS = new GatewayLimits(0.2, 100, Duration.ofSeconds(10));
+  private static final RetryLimits LIMITS = new RetryLimits(0.2, 100, Duration.ofSeconds(10));
 
   private final String name;
   private final ModelFleet fleet;
   private final VirtualTime time;
   private final ServerDirectory servers = new ServerDirectory();
   private final CachedPrompts cached = new CachedPrompts();
-  private final AccountBook accounts;
-  private final HolderAnswers holderAnswers;
+  private final PrepaidAccounts accounts;
+  private final HolderService holderAnswers;
   private final FleetLog accountLog;
   private final TokenRequests tokens;
   private final TokenDraws draws;
   private final LoadExchange loads;
-  private final RequestDesk desk;
+  private final RequestDispatcher desk;
   private final Set<ModelExchange> open = new LinkedHashSet<>();
   private @Nullable GatewayPlan plan;
   private @Nullable DrainPhases drain;
@@ -79,7 +79,7 @@
     this.time = fleet.time();
     TokenHolders holders = new TokenHolders(name, fleet::names);
     accounts =
-        new AccountBook(
+        new PrepaidAccounts(
             name,
             this::prepaid,
             holders,
@@ -88,7 +88,7 @@
             fleet.machineClock(name),
             () -> fleet.machineClock(name),
             () -> Optional.of(heartbeats()));
-    holderAnswers = new HolderAnswers(accounts, time);
+    holderAnswers = new HolderService(accounts, time);
     tokens =
         new TokenRequests(accounts, holders, new Holders(), this::othersHeard, this::onEvent, time);
     draws = new TokenDraws(accounts, this::draw, this::onEvent, time, new Random(fleet.nextSeed()));
@@ -104,15 +104,15 @@
             this::sendDatagram,
             time);
     desk =
-        new RequestDesk(
-            new GatewayParts(
+        new RequestDispatcher(
+            new GatewayComponents(
                 () -> plan,
                 servers,
                 tokens,
                 new RequestQuarantine(name, servers::lists, this::onEvent, time),
                 new ModelDialect(),
                 this::send,
-                fleet.has(Mechanism.LOADS) ? loads::others : () -> FleetLoad.NONE,
+                fleet.has(Mechanism.LOADS) ? loads::peerLoads : () -> PeerLoads.NONE,
                 cached,
                 () -> fleet.names().size(),
                 LIMITS,
@@ -189,7 +189,7 @@
       return;
     }
     accountLog.tick();
-    accounts.logReachable(!accountLog.troubled());
+    accounts.onLogReachable(!accountLog.failing());
     loads.tick();
     accounts.tick();
     tokens.tick();
@@ -210,15 +210,16 @@
       return;
     }
     DrainPhases.Phase next =
-        phases.next(time.instant(), new DrainPhases.Left(open.size(), accounts.allReturned()));
+        phases.advance(
+            time.instant(), new DrainPhases.Outstanding(open.size(), accounts.allReturned()));
     if (next == phase) {
       return;
     }
     phase = next;
     switch (next) {
-      case ACCEPTING, SHORT_ONLY, CLOSING, LEAVING -> {}
-      case REFUSING -> desk.refuseAll();
-      case BREAKING_OFF -> desk.breakOffAll();
+      case ACCEPTING, SHORT_ONLY, CLOSING, FLUSHING -> {}
+      case REFUSING -> desk.refuseAllNotRun();
+      case ABORTING -> desk.abortAll();
       case DONE -> {
         kill();
         fleet.onStopped(name);
@@ -227,7 +228,7 @@
   }
 
   private boolean othersHeard() {
-    return !fleet.has(Mechanism.ISOLATION) || loads.othersHeard();
+    return !fleet.has(Mechanism.ISOLATION) || loads.peersHeard();
   }
 
   private void onEvent(GatewayEvent event) {
@@ -302,23 +303,24 @@
         WAY,
         OptionalLong.empty(),
         given,
-        (other, reply) -> reply.accept(OptionalLong.of(other.accounts.give(customer, wanted))));
+        (other, reply) ->
+            reply.accept(OptionalLong.of(other.accounts.giveToPeer(customer, wanted))));
   }
 
   /** Holders are asked over the network, as the product's own calls do. */
   private final class Holders implements HolderPort {
     @Override
-    public void ask(String holder, Ask ask, Consumer<Answer> answer) {
+    public void request(String holder, Request ask, Consumer<Answer> answer) {
       call(
           holder,
-          ask.patience(),
+          ask.maxWait(),
           new Answer.Unreachable("no answer"),
           answer,
           (other, reply) -> other.reserveFor(ask, reply));
     }
 
     @Override
-    public void giveBack(String holder, String customer, long unused) {
+    public void returnTokens(String holder, String customer, long unused) {
       fleet
           .network()
           .control(
@@ -328,12 +330,12 @@
               () ->
                   fleet
                       .running(holder)
-                      .ifPresent(other -> other.accounts.takeBack(customer, unused)));
+                      .ifPresent(other -> other.accounts.takeBackUnused(customer, unused)));
     }
   }
 
-  private void reserveFor(HolderPort.Ask ask, Consumer<HolderPort.Answer> reply) {
-    if (!accounts.servesOthers(ask.customer())) {
+  private void reserveFor(HolderPort.Request ask, Consumer<HolderPort.Answer> reply) {
+    if (!accounts.mayGiveTokens(ask.customer())) {
       reply.accept(new HolderPort.Answer.Unreachable("it doesn't serve others"));
       return;
     }
@@ -423,7 +425,7 @@
       back(
           () -> {
             head(Map.of());
-            listener.onPart(ModelFleet.event(part));
+            listener.onBodyPart(ModelFleet.event(part));
           });
     }
 
--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/ScenarioParser.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/ScenarioParser.java
@@ -31,8 +31,8 @@
     return new Scenario(
         root.name("name"),
         root.text("title"),
-        root.smallInteger("instances", 9, 1, 1_000),
-        root.smallInteger("data_centres", 3, 1, 100),
+        root.intInRange("instances", 9, 1, 1_000),
+        root.intInRange("data_centres", 3, 1, 100),
         duration(root, "duration", Duration.ofSeconds(30)),
         customers(root.table("customers")),
         log(root.table("log")),
@@ -45,9 +45,9 @@
 
   private static Scenario.Customers customers(TomlReader table) {
     return new Scenario.Customers(
-        table.smallInteger("count", 10, 1, MOST),
-        table.integer("prepaid", 1_000_000, 0, Long.MAX_VALUE),
-        table.fraction("skew", 1, 0, 3));
+        table.intInRange("count", 10, 1, MOST),
+        table.longInRange("prepaid", 1_000_000, 0, Long.MAX_VALUE),
+        table.doubleInRange("skew", 1, 0, 3));
   }
 
   private static Scenario.Log log(TomlReader table) {
@@ -59,54 +59,54 @@
 
   private static Scenario.Links links(TomlReader table) {
     return new Scenario.Links(
-        table.fraction("rate_mbit", 14, 0.1, 100_000),
+        table.doubleInRange("rate_mbit", 14, 0.1, 100_000),
         millis(table, "delay_ms", 0.5),
-        table.fraction("loss", 0, 0, 1));
+        table.doubleInRange("loss", 0, 0, 1));
   }
 
   private static Scenario.Engines engines(TomlReader table) {
     return new Scenario.Engines(
-        table.smallInteger("count", 8, 1, 10_000),
-        table.smallInteger("places", 16, 1, 1_000),
+        table.intInRange("count", 8, 1, 10_000),
+        table.intInRange("places", 16, 1, 1_000),
         millis(table, "step_ms", 3.88),
         millis(table, "step_per_place_ms", 0.028),
-        table.fraction("prompt_tokens_per_milli", 66, 0.1, 100_000),
-        table.smallInteger("chunk", 2_048, 1, MOST),
-        table.integer("cache_tokens", 300_000, 0, Long.MAX_VALUE),
-        table.smallInteger("tokens_per_event", 4, 1, 1_000));
+        table.doubleInRange("prompt_tokens_per_milli", 66, 0.1, 100_000),
+        table.intInRange("chunk", 2_048, 1, MOST),
+        table.longInRange("cache_tokens", 300_000, 0, Long.MAX_VALUE),
+        table.intInRange("tokens_per_event", 4, 1, 1_000));
   }
 
   private static Scenario.Services services(TomlReader table) {
     return new Scenario.Services(
-        table.smallInteger("count", 3, 1, 10_000),
-        table.smallInteger("places", 6, 1, 1_000),
-        table.smallInteger("queue", 24, 0, 10_000),
+        table.intInRange("count", 3, 1, 10_000),
+        table.intInRange("places", 6, 1, 1_000),
+        table.intInRange("queue", 24, 0, 10_000),
         millis(table, "work_ms", 43));
   }
 
   private static Scenario.Kind kind(String name, TomlReader kind) {
     return new Scenario.Kind(
         name,
-        kind.oneOf("answer", Scenario.Answer.STREAM),
-        kind.fraction("per_second", 1, 0.001, MOST),
+        kind.enumConstant("answer", Scenario.Answer.STREAM),
+        kind.doubleInRange("per_second", 1, 0.001, MOST),
         duration(kind, "aim", Duration.ofMillis(400)),
         duration(kind, "pause_aim", Duration.ofMillis(300)),
         duration(kind, "deadline", Duration.ofSeconds(10)),
-        kind.fraction("worth", 1, 0, MOST),
-        kind.fraction("late_worth", 0, 0, MOST),
-        kind.smallInteger("subjects", 100, 1, MOST),
-        kind.smallInteger("shared_tokens", 0, 0, MOST),
-        kind.smallInteger("own_tokens", 0, 0, MOST),
-        kind.smallInteger("events", 1, 1, MOST));
+        kind.doubleInRange("worth", 1, 0, MOST),
+        kind.doubleInRange("late_worth", 0, 0, MOST),
+        kind.intInRange("subjects", 100, 1, MOST),
+        kind.intInRange("shared_tokens", 0, 0, MOST),
+        kind.intInRange("own_tokens", 0, 0, MOST),
+        kind.intInRange("events", 1, 1, MOST));
   }
 
   private static Scenario.Fault fault(TomlReader fault) {
     return new Scenario.Fault(
-        fault.oneOf("kind", Scenario.FaultKind.class),
+        fault.enumConstant("kind", Scenario.FaultKind.class),
         fault.duration("at", Duration.ZERO, Duration.ZERO, LONGEST),
         duration(fault, "lasting", Duration.ofSeconds(5)),
-        fault.fraction("share", 1, 0, 1),
-        fault.fraction("factor", 2, 0, 1_000),
+        fault.doubleInRange("share", 1, 0, 1),
+        fault.doubleInRange("factor", 2, 0, 1_000),
         duration(fault, "gap", Duration.ofSeconds(1)));
   }
 
@@ -115,6 +115,6 @@
   }
 
   private static Duration millis(TomlReader table, String key, double byDefault) {
-    return Duration.ofNanos(Math.round(table.fraction(key, byDefault, 0, MOST) * 1e6));
+    return Duration.ofNanos(Math.round(table.doubleInRange(key, byDefault, 0, MOST) * 1e6));
   }
 }
--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/AnswerCollector.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/AnswerCollector.java
@@ -25,7 +25,7 @@
   /** Cancels {@code call} when the future completes in another way or the time limit has passed. */
   void cancelWith(HttpCall call, Duration timeout) {
     var timer =
-        NetRuntime.group()
+        SharedEventLoops.eventLoopGroup()
             .schedule(
                 () -> fail(HttpFailure.BROKEN_ANSWER, "the answer is not whole in time"),
                 timeout.toNanos() + TimeUnit.MILLISECONDS.toNanos(50),
@@ -44,7 +44,7 @@
   }
 
   @Override
-  public void onPart(byte[] part) {
+  public void onBodyPart(byte[] part) {
     if (body.size() + part.length > maxBytes) {
       fail(HttpFailure.BROKEN_ANSWER, "the answer is larger than %d bytes".formatted(maxBytes));
       return;
--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/ClientCall.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/ClientCall.java
@@ -36,7 +36,7 @@
 
   synchronized void startTimeout() {
     timeout =
-        NetRuntime.group()
+        SharedEventLoops.eventLoopGroup()
             .schedule(this::onTimeout, request.timeout().toNanos(), TimeUnit.NANOSECONDS);
   }
 
@@ -61,7 +61,7 @@
 
   /** Returns whether an answer with this head belongs to the call. */
   synchronized boolean isAnswer(int status, Map<String, String> headers) {
-    return finished || listener.isAnswer(status, headers);
+    return finished || listener.acceptsAnswer(status, headers);
   }
 
   synchronized void deliverHead(int status, Map<String, String> headers) {
@@ -75,7 +75,7 @@
 
   synchronized void deliverPart(byte[] part) {
     if (!finished) {
-      runCallback(() -> listener.onPart(part));
+      runCallback(() -> listener.onBodyPart(part));
     }
   }
 
--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/ClientConnection.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/ClientConnection.java
@@ -58,7 +58,7 @@
    * connection, this is noticed here, and the call does not count as sent.
    */
   void start(ClientCall newCall, Runnable ifClosed) {
-    NetRuntime.afterPendingInput(channel.eventLoop(), () -> startOnLoop(newCall, ifClosed));
+    SharedEventLoops.afterPendingInput(channel.eventLoop(), () -> startOnLoop(newCall, ifClosed));
   }
 
   private void startOnLoop(ClientCall newCall, Runnable ifClosed) {
--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/HttpClient.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/HttpClient.java
@@ -103,7 +103,7 @@
         Math.clamp(call.request().timeout().toMillis(), 1, config.connectTimeout().toMillis());
     ChannelFuture connecting =
         new Bootstrap()
-            .group(NetRuntime.group())
+            .group(SharedEventLoops.eventLoopGroup())
             .channel(NioSocketChannel.class)
             .option(ChannelOption.TCP_NODELAY, true)
             .option(ChannelOption.SO_KEEPALIVE, true)
--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/HttpExchange.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/HttpExchange.java
@@ -29,7 +29,7 @@
   byte[] body();
 
   /** Returns the time since the request's head was received. */
-  Duration sinceHead();
+  Duration timeSinceHead();
 
   /** Returns the caller's IP address. */
   String remoteAddress();
@@ -44,5 +44,5 @@
   void abort();
 
   /** Runs {@code action} once if the caller closes its connection before the answer has ended. */
-  void onCallerGone(Runnable action);
+  void onCallerDisconnect(Runnable action);
 }
--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/HttpListener.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/HttpListener.java
@@ -15,7 +15,7 @@
    * call on the connection is due. Matched by order alone, it would be given to the caller of that
    * next call.
    */
-  default boolean isAnswer(int status, Map<String, String> headers) {
+  default boolean acceptsAnswer(int status, Map<String, String> headers) {
     return true;
   }
 
@@ -23,7 +23,7 @@
   void onHead(int status, Map<String, String> headers);
 
   /** Receives a part of the answer's body. */
-  void onPart(byte[] part);
+  void onBodyPart(byte[] part);
 
   /** Called when the answer is complete. */
   void onEnd();
--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/HttpRejectionAnswer.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/HttpRejectionAnswer.java
@@ -11,7 +11,7 @@
   HttpAnswer answer(HttpRejection rejection);
 
   /** Returns plain-text answers with the rejection's default status and its name. */
-  static HttpRejectionAnswer plain() {
+  static HttpRejectionAnswer plainText() {
     return rejection ->
         new HttpAnswer(
             rejection.status(),
--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/HttpServer.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/HttpServer.java
@@ -33,8 +33,8 @@
 
   private final ChannelGroup connections = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
   private final AtomicInteger openConnections = new AtomicInteger();
-  private final AtomicInteger unanswered = new AtomicInteger();
-  private final AtomicInteger newcomers = new AtomicInteger();
+  private final AtomicInteger unansweredRequests = new AtomicInteger();
+  private final AtomicInteger connectionsWithoutRequest = new AtomicInteger();
   private final ByteBudget bodyBudget;
   private volatile HttpServerConfig config;
   private final HttpHandler handler;
@@ -79,15 +79,15 @@
     return new HttpServer(config, handler, rejectionAnswer, maxTotalBodyBytes);
   }
 
-  /** Starts a server that rejects requests with {@link HttpRejectionAnswer#plain()}. */
+  /** Starts a server that rejects requests with {@link HttpRejectionAnswer#plainText()}. */
   public static HttpServer start(HttpServerConfig config, HttpHandler handler) throws IOException {
-    return start(config, handler, HttpRejectionAnswer.plain());
+    return start(config, handler, HttpRejectionAnswer.plainText());
   }
 
   /**
    * Sets the limits for connections accepted from now on; the listening address does not change.
    */
-  public void useLimits(HttpServerConfig limits) {
+  public void setLimits(HttpServerConfig limits) {
     config = limits;
   }
 
@@ -102,13 +102,13 @@
   }
 
   /** Returns the number of requests whose answer has not been written to the network completely. */
-  public int unanswered() {
-    return unanswered.get();
+  public int unansweredRequests() {
+    return unansweredRequests.get();
   }
 
   /** Returns the number of open connections whose first request has not been received yet. */
-  public int newcomers() {
-    return newcomers.get();
+  public int connectionsWithoutRequest() {
+    return connectionsWithoutRequest.get();
   }
 
   /**
@@ -121,7 +121,7 @@
 
   /** Stops listening; open connections are closed as by {@link #closeAfterAnswers}. */
   public void stopAccepting() {
-    beginToStopAccepting().awaitUninterruptibly();
+    stopAcceptingAsync().awaitUninterruptibly();
   }
 
   /**
@@ -132,7 +132,7 @@
    *
    * @return a future that is done when the address is free
    */
-  public Future<Void> beginToStopAccepting() {
+  public Future<Void> stopAcceptingAsync() {
     closeAfterAnswers();
     return listeningSocket.release();
   }
@@ -182,8 +182,8 @@
             handler,
             rejectionAnswer,
             excess,
-            unanswered,
-            newcomers,
+            unansweredRequests,
+            connectionsWithoutRequest,
             bodyBudget,
             () -> closingAfterAnswers);
     channel
--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/ListeningSocket.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/ListeningSocket.java
@@ -49,7 +49,7 @@
     ServerSocketChannel socket = ServerSocketChannel.open();
     var bound =
         bootstrap
-            .group(NetRuntime.group())
+            .group(SharedEventLoops.eventLoopGroup())
             .channelFactory(() -> new NioServerSocketChannel(socket))
             .option(ChannelOption.SO_REUSEADDR, true)
             .bind(IpAddresses.socketAddress(host, port))
@@ -87,7 +87,7 @@
                 .deregister()
                 .addListener(
                     done ->
-                        NetRuntime.afterPendingInput(
+                        SharedEventLoops.afterPendingInput(
                             loop,
                             () -> {
                               acceptRemaining();
@@ -126,7 +126,7 @@
    */
   private static void completeAfterQueuedWork(Promise<Void> released) {
     List<EventExecutor> loops = new ArrayList<>();
-    NetRuntime.group().forEach(loops::add);
+    SharedEventLoops.eventLoopGroup().forEach(loops::add);
     AtomicInteger pendingLoops = new AtomicInteger(loops.size());
     for (EventExecutor loop : loops) {
       loop.execute(
--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/PeerDatagrams.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/PeerDatagrams.java
@@ -46,7 +46,7 @@
   }
 
   /** Passes each message received from now on to {@code consumer}, on the event loop. */
-  public void receiveWith(Consumer<byte[]> consumer) {
+  public void setReceiver(Consumer<byte[]> consumer) {
     receiver = consumer;
   }
 
--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/ServerExchange.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/ServerExchange.java
@@ -82,7 +82,7 @@
   }
 
   @Override
-  public Duration sinceHead() {
+  public Duration timeSinceHead() {
     return Duration.ofNanos(System.nanoTime() - headReceivedNanos);
   }
 
@@ -115,7 +115,7 @@
   }
 
   @Override
-  public void onCallerGone(Runnable action) {
+  public void onCallerDisconnect(Runnable action) {
     channel
         .eventLoop()
         .execute(
--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/NetRuntime.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/SharedEventLoops.java
@@ -13,13 +13,13 @@
  * <p>Their threads are daemons and live as long as the process. There are few of them on purpose:
  * an instance is small, and its tasks on them are short.
  */
-public final class NetRuntime {
+public final class SharedEventLoops {
   private static final int MAX_THREADS = 4;
 
   /** System property with the number of event loop threads, for programs that need exactly one. */
   public static final String THREADS_PROPERTY = "teaseldeal.net.threads";
 
-  private NetRuntime() {}
+  private SharedEventLoops() {}
 
   private static int threadCount() {
     int defaultThreads = Math.clamp(Runtime.getRuntime().availableProcessors(), 1, MAX_THREADS);
@@ -51,17 +51,17 @@
    * @throws IllegalStateException if there is more than one event loop; see {@link
    *     #THREADS_PROPERTY}
    */
-  public static EventLoop onlyLoop() {
+  public static EventLoop singleEventLoop() {
     if (threadCount() != 1) {
       throw new IllegalStateException(
           "there are %d event loops, but this program needs exactly one: set %s to 1"
               .formatted(threadCount(), THREADS_PROPERTY));
     }
-    return group().next();
+    return eventLoopGroup().next();
   }
 
   /** Returns the shared event loops. */
-  public static EventLoopGroup group() {
+  public static EventLoopGroup eventLoopGroup() {
     return Holder.GROUP;
   }
 }
--- a/teaseldeal-net/src/test/java/org/teaseldeal/net/HttpServerTests.java
+++ b/teaseldeal-net/src/test/java/org/teaseldeal/net/HttpServerTests.java
@@ -160,7 +160,7 @@
       CountDownLatch gone = new CountDownLatch(1);
       try (RawConnection connection = connect(startServerThatHoldsExchanges())) {
         connection.send(get("/s"));
-        heldExchanges.take().onCallerGone(gone::countDown);
+        heldExchanges.take().onCallerDisconnect(gone::countDown);
       }
       assertTrue(gone.await(10, TimeUnit.SECONDS));
     }
@@ -232,7 +232,7 @@
     void servesConnectionsAlreadyAcceptedBySystem() throws Exception {
       HttpServer server = startEchoServer();
       CountDownLatch busy = new CountDownLatch(1);
-      NetRuntime.group().forEach(loop -> loop.execute(() -> awaitQuietly(busy)));
+      SharedEventLoops.eventLoopGroup().forEach(loop -> loop.execute(() -> awaitQuietly(busy)));
       try (RawConnection connection = connect(server)) {
         connection.send(post("/a", "x"));
         Thread stopping = Thread.ofVirtual().start(server::stopAccepting);
@@ -254,11 +254,11 @@
     @Test
     void servesConnectionsAcceptedDuringRelease() throws Exception {
       HttpServer server = startEchoServer();
-      server.useLimits(HttpServerConfig.defaults("127.0.0.1", 0));
+      server.setLimits(HttpServerConfig.defaults("127.0.0.1", 0));
       Queue<RawConnection> connections = new ConcurrentLinkedQueue<>();
       CountDownLatch busy = new CountDownLatch(1);
-      NetRuntime.group().forEach(loop -> loop.execute(() -> awaitQuietly(busy)));
-      Future<Void> released = server.beginToStopAccepting();
+      SharedEventLoops.eventLoopGroup().forEach(loop -> loop.execute(() -> awaitQuietly(busy)));
+      Future<Void> released = server.stopAcceptingAsync();
       EventLoop loop = server.eventLoop();
       loop.execute(() -> connectEachRound(loop, server, connections));
       busy.countDown();
@@ -298,7 +298,7 @@
       try (RawConnection connection = connect(server)) {
         connection.send("NOT A REQUEST\r\n\r\n");
         connection.readUntil("400 Bad Request");
-        assertEquals(1, server.unanswered());
+        assertEquals(1, server.unansweredRequests());
       }
     }
 
@@ -394,7 +394,7 @@
       // within the limit for one body, is rejected with 503; once the first has been answered,
       // there is room again.
       HttpServer server =
-          HttpServer.start(CONFIG, heldExchanges::add, HttpRejectionAnswer.plain(), 100);
+          HttpServer.start(CONFIG, heldExchanges::add, HttpRejectionAnswer.plainText(), 100);
       servers.add(server);
       try (RawConnection first = connect(server)) {
         first.send(post("/a", "x".repeat(60)));
--- a/teaseldeal-net/src/test/java/org/teaseldeal/net/RecordingListener.java
+++ b/teaseldeal-net/src/test/java/org/teaseldeal/net/RecordingListener.java
@@ -18,7 +18,7 @@
   }
 
   @Override
-  public void onPart(byte[] part) {
+  public void onBodyPart(byte[] part) {
     recorded.add("part " + new String(part, StandardCharsets.UTF_8));
   }
 
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/BudgetChange.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/BudgetChange.java
@@ -83,7 +83,7 @@
     return switch (outcome) {
       case Outcome.BudgetGranted(AccountId account, long granted, String id) ->
           CommandResult.ok(new Granted(account.toString(), tokens, granted, id, false));
-      case Outcome.BudgetUnchanged unchanged when unchanged.countedBefore() ->
+      case Outcome.BudgetUnchanged unchanged when unchanged.alreadyApplied() ->
           Reading.of(
               session,
               state ->
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/PlatformOptions.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/PlatformOptions.java
@@ -5,7 +5,7 @@
 import java.time.Duration;
 import java.util.Map;
 import org.jspecify.annotations.Nullable;
-import org.teaseldeal.ledger.Streams;
+import org.teaseldeal.ledger.StreamPartitioning;
 
 /** Where the platform is, and how long to try. */
 final class PlatformOptions {
@@ -39,10 +39,10 @@
     return timeout;
   }
 
-  Streams streams() {
+  StreamPartitioning streams() {
     if (streams < 1) {
       throw new ParameterException("--streams was %d, expected 1 or more".formatted(streams));
     }
-    return new Streams(streams);
+    return new StreamPartitioning(streams);
   }
 }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/session/LedgerSession.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/session/LedgerSession.java
@@ -18,8 +18,8 @@
 import org.teaseldeal.ledger.client.LedgerConfig;
 import org.teaseldeal.ledger.client.Ticket;
 import org.teaseldeal.ledger.entry.Entry;
+import org.teaseldeal.ledger.fold.EntryOutcome;
 import org.teaseldeal.ledger.fold.SettingsValidator;
-import org.teaseldeal.ledger.fold.Settled;
 import org.teaseldeal.ledger.outcome.Outcome;
 import org.teaseldeal.settings.SubtreeId;
 
@@ -87,7 +87,7 @@
     mayBeWritten = false;
     List<Ticket> tickets = entries.stream().map(entry -> client.submit(entry, true)).toList();
     while (!outcomes.keySet().containsAll(tickets)) {
-      if (!client.takeLostTickets().isEmpty()) {
+      if (!client.drainLostTickets().isEmpty()) {
         return new Submission.Unknown("its record expired before it was read back");
       }
       if (!clock.instant().isBefore(deadline) || !step(LONG_POLL)) {
@@ -117,13 +117,13 @@
           noteProgress(read);
           publications.add(read.records());
           from += read.records().size();
-          if (from >= read.next()) {
+          if (from >= read.nextOffset()) {
             return new KeptPublications.Found(publications);
           }
         }
-        case LogEvent.OffsetExpired expired -> from = expired.earliest();
+        case LogEvent.OffsetExpired expired -> from = expired.earliestOffset();
         case LogEvent.ReadFailed failed -> lastFailure = failed.detail();
-        case LogEvent.AppendAnswered answered -> {}
+        case LogEvent.AppendAcknowledged answered -> {}
         case LogEvent.AppendFailed failed -> {}
       }
     }
@@ -178,7 +178,7 @@
       mayBeWritten |= completion.mayBeWritten();
     }
     noteFailure(completion.event());
-    for (Settled settled : client.handle(completion.event())) {
+    for (EntryOutcome settled : client.handle(completion.event())) {
       client.ticket(settled).ifPresent(ticket -> outcomes.put(ticket, settled.outcome()));
     }
     if (completion.event() instanceof LogEvent.RecordsRead read) {
@@ -190,7 +190,7 @@
   private void noteEnd(LogEvent.RecordsRead read, long number) {
     // Only a read that began after the question was asked can answer it: an older one may have
     // been answered before the record that the operator has in mind was written.
-    if (client.problem().isEmpty() && client.foldedTo() + 1 >= read.next()) {
+    if (client.problem().isEmpty() && client.foldedTo() + 1 >= read.nextOffset()) {
       readToEnd = Math.max(readToEnd, number);
     }
   }
@@ -200,7 +200,7 @@
         switch (event) {
           case LogEvent.AppendFailed failed -> failed.detail();
           case LogEvent.ReadFailed failed -> failed.detail();
-          case LogEvent.AppendAnswered answered -> null;
+          case LogEvent.AppendAcknowledged answered -> null;
           case LogEvent.RecordsRead read -> null;
           case LogEvent.OffsetExpired expired -> null;
         };
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/session/Ledgers.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/session/Ledgers.java
@@ -9,16 +9,16 @@
 import org.teaseldeal.api.IncarnationId;
 import org.teaseldeal.api.TeamId;
 import org.teaseldeal.ledger.StreamId;
-import org.teaseldeal.ledger.Streams;
+import org.teaseldeal.ledger.StreamPartitioning;
 import org.teaseldeal.net.HttpClient;
 import org.teaseldeal.settings.SubtreeId;
 
 /** One session for each of the ledger's streams, all for one writer. */
 public final class Ledgers {
-  private final Streams streams;
+  private final StreamPartitioning streams;
   private final List<LedgerSession> sessions;
 
-  private Ledgers(Streams streams, List<LedgerSession> sessions) {
+  private Ledgers(StreamPartitioning streams, List<LedgerSession> sessions) {
     this.streams = streams;
     this.sessions = List.copyOf(sessions);
   }
@@ -32,7 +32,7 @@
   public static Ledgers open(
       HttpClient client,
       String address,
-      Streams streams,
+      StreamPartitioning streams,
       Duration timeout,
       InstantSource clock,
       RandomGenerator random) {
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/session/LogHttp.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/session/LogHttp.java
@@ -83,7 +83,7 @@
     try {
       long offset = required(MAPPER.readTree(answer.body()), "offset").asLong();
       return new AppendResult(
-          new LogEvent.AppendAnswered(append.stream(), append.token(), offset), true);
+          new LogEvent.AppendAcknowledged(append.stream(), append.token(), offset), true);
     } catch (IOException e) {
       return new AppendResult(failed(append, "the log's answer is malformed"), true);
     }
--- a/teaseldeal-operator/src/test/java/org/teaseldeal/operator/fake/FakePlatform.java
+++ b/teaseldeal-operator/src/test/java/org/teaseldeal/operator/fake/FakePlatform.java
@@ -21,7 +21,7 @@
 import org.teaseldeal.net.HttpExchange;
 import org.teaseldeal.net.HttpServer;
 import org.teaseldeal.net.HttpServerConfig;
-import org.teaseldeal.net.NetRuntime;
+import org.teaseldeal.net.SharedEventLoops;
 
 /** A platform with one stream and a list of instances; a record is appended each log second. */
 public final class FakePlatform implements AutoCloseable {
@@ -175,7 +175,7 @@
     }
     Duration delay = wait && from == records.size() ? POLL : readDelay;
     if (mayWait && !delay.isZero()) {
-      NetRuntime.group()
+      SharedEventLoops.eventLoopGroup()
           .schedule(() -> read(exchange, query, false), delay.toMillis(), TimeUnit.MILLISECONDS);
       return;
     }
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/CommandDispatcher.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/CommandDispatcher.java
@@ -21,19 +21,19 @@
   @Override
   public void accept(InstanceCommand command) {
     switch (command) {
-      case InstanceCommand.Refuse refuse -> callers.refuse(refuse);
+      case InstanceCommand.RefuseCall refuse -> callers.refuse(refuse);
       case InstanceCommand.SendFrame frame -> callers.sendFrame(frame);
       case InstanceCommand.FinishStream finish -> callers.finishStream(finish);
-      case InstanceCommand.BreakStream broken -> callers.breakStream(broken);
+      case InstanceCommand.AbortStream broken -> callers.breakStream(broken);
       case InstanceCommand.AnswerPlain answer -> callers.answerPlain(answer);
       case InstanceCommand.StartAttempt start -> backendCalls.start(start);
       case InstanceCommand.CancelAttempt cancel -> backendCalls.cancel(cancel);
       case InstanceCommand.DropAttempt drop -> backendCalls.drop(drop);
-      case InstanceCommand.AskUsage ask -> backendCalls.queryUsage(ask);
-      case InstanceCommand.AskOrderState ask -> orderCalls.queryState(ask);
+      case InstanceCommand.QueryUsage ask -> backendCalls.queryUsage(ask);
+      case InstanceCommand.QueryOrderState ask -> orderCalls.queryState(ask);
       case InstanceCommand.SendOrder order -> orderCalls.send(order);
-      case InstanceCommand.AtLog atLog -> logClient.execute(atLog.command());
-      case InstanceCommand.SendPeer send -> peers.send(send);
+      case InstanceCommand.RunLogCommand atLog -> logClient.execute(atLog.command());
+      case InstanceCommand.SendPeerMessage send -> peers.send(send);
       case InstanceCommand.RequestEnded ended -> logRequestEnd(ended);
       case InstanceCommand.Stop ignored -> stop.run();
     }
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/Router.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/Router.java
@@ -258,7 +258,7 @@
    * Their callers are still sending a request and must get an answer to it.
    */
   private void awaitFirstRequests(long deadlineNanos) throws InterruptedException {
-    while (callers.newcomers() > 0 && System.nanoTime() < deadlineNanos) {
+    while (callers.connectionsWithoutRequest() > 0 && System.nanoTime() < deadlineNanos) {
       Thread.sleep(FLUSH_POLL_INTERVAL);
     }
   }
@@ -270,7 +270,7 @@
    * @return false if the deadline passed first
    */
   private boolean awaitAnswersWritten(long deadlineNanos) throws InterruptedException {
-    while (callers.unanswered() > 0) {
+    while (callers.unansweredRequests() > 0) {
       if (System.nanoTime() > deadlineNanos) {
         return false;
       }
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/RouterProcess.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/RouterProcess.java
@@ -11,7 +11,7 @@
 import org.teaseldeal.core.InstanceConfig;
 import org.teaseldeal.core.InstanceCore;
 import org.teaseldeal.core.InstanceLimits;
-import org.teaseldeal.core.part.InstanceParts;
+import org.teaseldeal.core.part.InstancePolicies;
 import org.teaseldeal.router.instance.CoreInstance;
 import org.teaseldeal.router.instance.Instance;
 import org.teaseldeal.router.settings.RouterSettings;
@@ -73,12 +73,15 @@
     return new CoreInstance(config, new InstanceCore(config, parts(settings), clock, random));
   }
 
-  private static InstanceParts parts(RouterSettings settings) {
-    return InstanceParts.standard().withPlacement(settings.placement()).withQueue(settings.queue());
+  private static InstancePolicies parts(RouterSettings settings) {
+    return InstancePolicies.standard()
+        .withPlacementPolicy(settings.placement())
+        .withQueueRule(settings.queue());
   }
 
   private static InstanceLimits limits(RouterSettings settings) {
-    return InstanceLimits.standard().withDrainBound(settings.limits().drainTimeout().dividedBy(2));
+    return InstanceLimits.standard()
+        .withDrainTimeout(settings.limits().drainTimeout().dividedBy(2));
   }
 
   private static IncarnationId newIncarnation(RouterSettings settings) {
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/backend/AttemptListener.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/backend/AttemptListener.java
@@ -74,7 +74,7 @@
   abstract void onBody(byte[] part);
 
   @Override
-  public final void onPart(byte[] part) {
+  public final void onBodyPart(byte[] part) {
     if (!completed) {
       onBody(part);
       return;
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/backend/BackendCalls.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/backend/BackendCalls.java
@@ -89,10 +89,11 @@
   }
 
   /** Queries an engine for the tokens that a request has used. */
-  public void queryUsage(InstanceCommand.AskUsage command) {
+  public void queryUsage(InstanceCommand.QueryUsage command) {
     if (plainAddresses.contains(command.address())) {
       events.accept(
-          new InstanceEvent.UsageUnknown(command.attempt(), "a plain service reports no usage"));
+          new InstanceEvent.UsageQueryFailed(
+              command.attempt(), "a plain service reports no usage"));
       return;
     }
     requestUsage("GET", command.attempt(), command.request(), command.address());
@@ -198,12 +199,13 @@
   private static InstanceEvent usageEvent(
       AttemptId attempt, @Nullable HttpAnswer answer, @Nullable Throwable failure) {
     if (answer == null) {
-      return new InstanceEvent.UsageUnknown(attempt, String.valueOf(failure));
+      return new InstanceEvent.UsageQueryFailed(attempt, String.valueOf(failure));
     }
     return switch (answer.status()) {
       case 200 -> parseUsage(attempt, answer.body());
-      case 404 -> new InstanceEvent.UsageKnown(attempt, Optional.empty());
-      default -> new InstanceEvent.UsageUnknown(attempt, "the engine answered " + answer.status());
+      case 404 -> new InstanceEvent.UsageReported(attempt, Optional.empty());
+      default ->
+          new InstanceEvent.UsageQueryFailed(attempt, "the engine answered " + answer.status());
     };
   }
 
@@ -212,12 +214,12 @@
       ObjectNode state = Json.readObject(body);
       if (state.path("state").asText("").equals("running")) {
         // The tokens used so far are fewer than those that the request will have used in the end.
-        return new InstanceEvent.UsageUnknown(attempt, "the request is still running");
+        return new InstanceEvent.UsageQueryFailed(attempt, "the request is still running");
       }
       Usage usage = EngineListener.parseUsage(state.path("usage"));
-      return new InstanceEvent.UsageKnown(attempt, Optional.of(usage));
+      return new InstanceEvent.UsageReported(attempt, Optional.of(usage));
     } catch (IllegalArgumentException e) {
-      return new InstanceEvent.UsageUnknown(attempt, String.valueOf(e.getMessage()));
+      return new InstanceEvent.UsageQueryFailed(attempt, String.valueOf(e.getMessage()));
     }
   }
 
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/backend/EngineOrderCalls.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/backend/EngineOrderCalls.java
@@ -38,7 +38,7 @@
   }
 
   /** Queries an engine for its models, its adapters and its role. */
-  public void queryState(InstanceCommand.AskOrderState command) {
+  public void queryState(InstanceCommand.QueryOrderState command) {
     client
         .fetch(
             new HttpCallRequest(
@@ -55,7 +55,7 @@
   private static InstanceEvent stateEvent(
       BackendServerId server, @Nullable HttpAnswer answer, @Nullable Throwable failure) {
     if (answer == null || answer.status() != 200) {
-      return new InstanceEvent.OrderStateUnknown(server, failureDetail(answer, failure));
+      return new InstanceEvent.OrderStateQueryFailed(server, failureDetail(answer, failure));
     }
     try {
       ObjectNode state = Json.readObject(answer.body());
@@ -64,7 +64,7 @@
           new EngineState(
               versions(state, "models"), versions(state, "adapters"), text(state, "role")));
     } catch (IllegalArgumentException e) {
-      return new InstanceEvent.OrderStateUnknown(server, String.valueOf(e.getMessage()));
+      return new InstanceEvent.OrderStateQueryFailed(server, String.valueOf(e.getMessage()));
     }
   }
 
@@ -122,7 +122,7 @@
   private static InstanceEvent orderEvent(
       InstanceCommand.SendOrder command, @Nullable HttpAnswer answer, @Nullable Throwable failure) {
     if (answer != null && answer.status() == 200) {
-      return new InstanceEvent.OrderAnswered(command.server(), command.number());
+      return new InstanceEvent.OrderAccepted(command.server(), command.number());
     }
     if (answer != null && answer.status() == 409) {
       return refusalEvent(command, answer);
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/backend/LoadPoller.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/backend/LoadPoller.java
@@ -20,7 +20,7 @@
 import org.teaseldeal.net.HttpAnswer;
 import org.teaseldeal.net.HttpCallRequest;
 import org.teaseldeal.net.HttpClient;
-import org.teaseldeal.net.NetRuntime;
+import org.teaseldeal.net.SharedEventLoops;
 import org.teaseldeal.router.json.Json;
 
 /** Polls the load of every listed engine. */
@@ -32,7 +32,7 @@
   private final Consumer<InstanceEvent> events;
   private final InstantSource clock;
   private final RandomGenerator random;
-  private final EventExecutor executor = NetRuntime.group().next();
+  private final EventExecutor executor = SharedEventLoops.eventLoopGroup().next();
 
   /** The addresses of the polled engines. Accessed by {@code executor} only. */
   private final Map<BackendServerId, String> engines = new HashMap<>();
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/backend/PlainServiceListener.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/backend/PlainServiceListener.java
@@ -50,6 +50,7 @@
     if (isCompleted()) {
       return;
     }
-    complete(new InstanceEvent.PlainAnswered(attempt(), status, contentType, body.toByteArray()));
+    complete(
+        new InstanceEvent.PlainAnswerReceived(attempt(), status, contentType, body.toByteArray()));
   }
 }
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/caller/CallerGateway.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/caller/CallerGateway.java
@@ -59,8 +59,8 @@
     return ProblemAnswer.of(problem, Optional.empty());
   }
 
-  /** Executes {@link InstanceCommand.Refuse}. */
-  public void refuse(InstanceCommand.Refuse command) {
+  /** Executes {@link InstanceCommand.RefuseCall}. */
+  public void refuse(InstanceCommand.RefuseCall command) {
     CallerAnswer answer = calls.remove(command.call());
     if (answer != null) {
       answer.refuse(command.request(), command.problem());
@@ -90,7 +90,7 @@
           .error(e);
     }
     calls.remove(command.call());
-    events.accept(new InstanceEvent.CallerGone(command.call()));
+    events.accept(new InstanceEvent.CallerDisconnected(command.call()));
   }
 
   /** Executes {@link InstanceCommand.FinishStream}. */
@@ -101,8 +101,8 @@
     }
   }
 
-  /** Executes {@link InstanceCommand.BreakStream}. */
-  public void breakStream(InstanceCommand.BreakStream command) {
+  /** Executes {@link InstanceCommand.AbortStream}. */
+  public void breakStream(InstanceCommand.AbortStream command) {
     CallerAnswer answer = calls.remove(command.call());
     if (answer != null) {
       answer.fail(command.request(), command.problem());
@@ -131,12 +131,12 @@
             request.payload()));
     // Registered last, so that the instance never receives the event that a caller is gone before
     // it receives the request of that caller.
-    exchange.onCallerGone(() -> callerGone(call));
+    exchange.onCallerDisconnect(() -> callerGone(call));
   }
 
   private void callerGone(CallId call) {
     if (calls.remove(call) != null) {
-      events.accept(new InstanceEvent.CallerGone(call));
+      events.accept(new InstanceEvent.CallerDisconnected(call));
     }
   }
 
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/caller/RequestReader.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/caller/RequestReader.java
@@ -106,7 +106,7 @@
    * the caller sent the head of its request; receiving a large body may have used up part of it.
    */
   private static Duration remainingTimeout(String header, HttpExchange exchange) {
-    Duration remaining = timeout(header).minus(exchange.sinceHead());
+    Duration remaining = timeout(header).minus(exchange.timeSinceHead());
     return remaining.compareTo(SHORTEST_TIMEOUT) < 0 ? SHORTEST_TIMEOUT : remaining;
   }
 
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/peer/PeerLink.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/peer/PeerLink.java
@@ -26,7 +26,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.random.RandomGenerator;
 import org.jspecify.annotations.Nullable;
-import org.teaseldeal.net.NetRuntime;
+import org.teaseldeal.net.SharedEventLoops;
 
 /**
  * Sends envelopes to one other instance over a TCP connection, which is replaced whenever it fails
@@ -42,7 +42,7 @@
   private static final int MAX_QUEUED_BYTES = 8 << 20;
   private static final int CONNECT_TIMEOUT_MS = 1000;
 
-  private final EventLoop loop = NetRuntime.group().next();
+  private final EventLoop loop = SharedEventLoops.eventLoopGroup().next();
   private final InetSocketAddress address;
   private final PeerTimings timings;
   private final RandomGenerator random;
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/peer/PeerSender.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/peer/PeerSender.java
@@ -35,7 +35,7 @@
    * @throws IllegalArgumentException if the message exceeds the size limit; it is counted as
    *     dropped
    */
-  public void send(InstanceCommand.SendPeer command) {
+  public void send(InstanceCommand.SendPeerMessage command) {
     byte[] envelope = EnvelopeCodec.encode(self, command.message());
     if (envelope.length > EnvelopeCodec.MAX_ENVELOPE_BYTES) {
       dropped.inc();
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/peer/PeerServer.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/peer/PeerServer.java
@@ -28,7 +28,7 @@
 import org.teaseldeal.api.IncarnationId;
 import org.teaseldeal.core.event.InstanceEvent;
 import org.teaseldeal.net.IpAddresses;
-import org.teaseldeal.net.NetRuntime;
+import org.teaseldeal.net.SharedEventLoops;
 import org.teaseldeal.wire.gen.peer.Envelope;
 
 /**
@@ -93,7 +93,7 @@
   private Channel bind(String host, int port) throws IOException {
     var bound =
         new ServerBootstrap()
-            .group(NetRuntime.group())
+            .group(SharedEventLoops.eventLoopGroup())
             .channel(NioServerSocketChannel.class)
             .option(ChannelOption.SO_REUSEADDR, true)
             .childOption(ChannelOption.TCP_NODELAY, true)
@@ -160,7 +160,7 @@
         return;
       }
       events.accept(
-          new InstanceEvent.PeerReceived(
+          new InstanceEvent.PeerMessageReceived(
               new IncarnationId(envelope.getSender()), envelope.getMessage()));
     }
 
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/platform/InstanceListPoller.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/platform/InstanceListPoller.java
@@ -14,7 +14,7 @@
 import org.teaseldeal.net.HttpAnswer;
 import org.teaseldeal.net.HttpCallRequest;
 import org.teaseldeal.net.HttpClient;
-import org.teaseldeal.net.NetRuntime;
+import org.teaseldeal.net.SharedEventLoops;
 import org.teaseldeal.router.backend.PlainServiceAddresses;
 
 /** Polls the platform's instance list and publishes it as events. */
@@ -78,14 +78,14 @@
 
   private void scheduleNextPoll() {
     long nanos = POLL_INTERVAL.toNanos();
-    NetRuntime.group()
+    SharedEventLoops.eventLoopGroup()
         .schedule(this::start, nanos * 3 / 4 + random.nextLong(nanos / 2), TimeUnit.NANOSECONDS);
   }
 
   private void handleAnswer(@Nullable HttpAnswer answer, @Nullable Throwable failure) {
     if (answer == null || answer.status() != 200) {
       events.accept(
-          new InstanceEvent.ListFailed(
+          new InstanceEvent.PlatformListReadFailed(
               answer == null
                   ? String.valueOf(failure)
                   : "the platform answered " + answer.status()));
@@ -95,13 +95,13 @@
     try {
       list = InstanceList.read(answer.body());
     } catch (IllegalArgumentException e) {
-      events.accept(new InstanceEvent.ListFailed(String.valueOf(e.getMessage())));
+      events.accept(new InstanceEvent.PlatformListReadFailed(String.valueOf(e.getMessage())));
       return;
     }
     unreadableEntries.inc(list.unreadableEntries());
     list.services().forEach(service -> plainAddresses.add(service.address()));
     list.engines().forEach(engine -> plainAddresses.remove(engine.address()));
     engineConsumer.accept(list.engines());
-    events.accept(new InstanceEvent.ListRead(list.routers(), list.servers()));
+    events.accept(new InstanceEvent.PlatformListRead(list.routers(), list.servers()));
   }
 }
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/platform/LogClient.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/platform/LogClient.java
@@ -67,7 +67,7 @@
   }
 
   private void publish(LogEvent event) {
-    events.accept(new InstanceEvent.LogNews(event));
+    events.accept(new InstanceEvent.LogResponseReceived(event));
   }
 
   private static String path(LogCommand command) {
@@ -82,7 +82,7 @@
     }
     try {
       long offset = number(Json.readObject(answer.body()), "offset");
-      return new LogEvent.AppendAnswered(append.stream(), append.token(), offset);
+      return new LogEvent.AppendAcknowledged(append.stream(), append.token(), offset);
     } catch (IllegalArgumentException e) {
       return new LogEvent.AppendFailed(
           append.stream(), append.token(), String.valueOf(e.getMessage()));
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/platform/Registration.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/platform/Registration.java
@@ -10,7 +10,7 @@
 import org.teaseldeal.net.HttpAnswer;
 import org.teaseldeal.net.HttpCallRequest;
 import org.teaseldeal.net.HttpClient;
-import org.teaseldeal.net.NetRuntime;
+import org.teaseldeal.net.SharedEventLoops;
 import org.teaseldeal.router.json.Json;
 
 /**
@@ -53,7 +53,7 @@
         .whenComplete(
             (answer, failure) -> {
               recordOutcome(answer, failure);
-              NetRuntime.group()
+              SharedEventLoops.eventLoopGroup()
                   .schedule(this::start, RENEWAL_INTERVAL.toNanos(), TimeUnit.NANOSECONDS);
             });
   }
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/settings/RouterSettingsFile.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/settings/RouterSettingsFile.java
@@ -32,7 +32,7 @@
         new InstanceId(root.name("instance")),
         new DataCentre(root.name("data_centre")),
         address(root, "platform", root.text("platform")),
-        root.smallInteger("streams", 1, 1, 1024),
+        root.intInRange("streams", 1, 1, 1024),
         root.duration(
             "tick_interval", Duration.ofMillis(5), Duration.ofMillis(1), Duration.ofSeconds(1)),
         advertisedListen(root.table("callers")),
@@ -40,8 +40,8 @@
         adminListen,
         credential(admin, adminListen),
         limits(root.table("limits")),
-        decisions.oneOf("placement", PlacementChoice.TWO_CHOICES),
-        decisions.oneOf("queue", QueueChoice.FAIR));
+        decisions.enumConstant("placement", PlacementChoice.TWO_CHOICES),
+        decisions.enumConstant("queue", QueueChoice.FAIR));
   }
 
   private static ListenSettings listen(TomlReader table) {
@@ -49,7 +49,7 @@
     if (!isIpAddress(host)) {
       table.addProblem("host", "was \"%s\", expected an IP address".formatted(host));
     }
-    return new ListenSettings(host, (int) table.integer("port", 0, MAX_PORT), Optional.empty());
+    return new ListenSettings(host, (int) table.longInRange("port", 0, MAX_PORT), Optional.empty());
   }
 
   private static ListenSettings advertisedListen(TomlReader table) {
@@ -82,7 +82,7 @@
     return new RouterLimits(
         (int) limits.byteSize("body", BYTES_PER_MIB, BYTES_PER_KIB, 64 * BYTES_PER_MIB),
         (int) limits.byteSize("header", 16 * BYTES_PER_KIB, BYTES_PER_KIB, 256 * BYTES_PER_KIB),
-        limits.smallInteger("connections", 4096, 1, 100_000),
+        limits.intInRange("connections", 4096, 1, 100_000),
         limits.duration(
             "request_time", Duration.ofSeconds(10), Duration.ofMillis(100), Duration.ofMinutes(5)),
         limits.duration(
--- a/teaseldeal-router/src/test/java/org/teaseldeal/router/CallerAnswersTests.java
+++ b/teaseldeal-router/src/test/java/org/teaseldeal/router/CallerAnswersTests.java
@@ -102,7 +102,7 @@
       try (RawConnection caller = connect()) {
         call = sendChat(caller, BODY);
       }
-      assertEquals(call, instance.awaitEvent(InstanceEvent.CallerGone.class).call());
+      assertEquals(call, instance.awaitEvent(InstanceEvent.CallerDisconnected.class).call());
     }
   }
 
@@ -182,7 +182,7 @@
       try (RawConnection caller = connect()) {
         CallId call = sendChat(caller, BODY);
         instance.issue(
-            new InstanceCommand.Refuse(
+            new InstanceCommand.RefuseCall(
                 call,
                 REQUEST,
                 Problem.retryable(ErrorKind.OVERLOADED, "why", Duration.ofMillis(1200))));
@@ -209,7 +209,7 @@
         CallId call = sendChat(caller, STREAMED_BODY);
         sendFrame(call, "{}");
         instance.issue(
-            new InstanceCommand.BreakStream(
+            new InstanceCommand.AbortStream(
                 call, REQUEST, Problem.of(ErrorKind.STREAM_BROKEN, "lost")));
         String answer = caller.readToEnd();
         assertFalse(answer.endsWith("0\r\n\r\n"), answer);
@@ -233,7 +233,7 @@
         CallId call = sendChat(caller, BODY);
         sendFrame(call, "no JSON");
         assertTrue(caller.readUntil("}").contains(":error:internal"));
-        assertEquals(call, instance.awaitEvent(InstanceEvent.CallerGone.class).call());
+        assertEquals(call, instance.awaitEvent(InstanceEvent.CallerDisconnected.class).call());
       }
     }
 
@@ -245,11 +245,11 @@
       try (RawConnection caller = connect()) {
         CallId call = sendChat(caller, STREAMED_BODY);
         String frame = "{\"x\":\"" + "x".repeat(32 << 10) + "\"}";
-        while (!instance.hasEvent(InstanceEvent.CallerGone.class)) {
+        while (!instance.hasEvent(InstanceEvent.CallerDisconnected.class)) {
           sendFrame(call, frame);
           Thread.sleep(1);
         }
-        assertEquals(call, instance.awaitEvent(InstanceEvent.CallerGone.class).call());
+        assertEquals(call, instance.awaitEvent(InstanceEvent.CallerDisconnected.class).call());
         assertFalse(caller.readToEnd().endsWith("0\r\n\r\n"));
       }
     }
--- a/teaseldeal-router/src/test/java/org/teaseldeal/router/backend/BackendCallsTests.java
+++ b/teaseldeal-router/src/test/java/org/teaseldeal/router/backend/BackendCallsTests.java
@@ -150,7 +150,7 @@
       calls.start(modelCall(OptionalLong.empty()));
       HttpExchange exchange = server.awaitRequest();
       CountDownLatch disconnected = new CountDownLatch(1);
-      exchange.onCallerGone(disconnected::countDown);
+      exchange.onCallerDisconnect(disconnected::countDown);
       exchange.startStream(200, Map.of()).write(bytes("data: nonsense\n\n"));
       assertFailed(AttemptFailure.LOST_MID_ANSWER);
       disconnected.await();
@@ -161,7 +161,7 @@
       calls.start(modelCall(OptionalLong.empty()));
       HttpExchange running = server.awaitRequest();
       CountDownLatch disconnected = new CountDownLatch(1);
-      running.onCallerGone(disconnected::countDown);
+      running.onCallerDisconnect(disconnected::countDown);
       calls.cancel(new InstanceCommand.CancelAttempt(ATTEMPT, REQUEST, server.address()));
       disconnected.await();
       HttpExchange delete = server.awaitRequest();
@@ -172,8 +172,8 @@
           bytes(
               "{\"state\":\"cancelled\",\"usage\":{\"prompt_tokens\":3,\"completion_tokens\":1}}"));
       assertEquals(
-          new InstanceEvent.UsageKnown(ATTEMPT, Optional.of(new Usage(3, 1))),
-          nextEvent(InstanceEvent.UsageKnown.class));
+          new InstanceEvent.UsageReported(ATTEMPT, Optional.of(new Usage(3, 1))),
+          nextEvent(InstanceEvent.UsageReported.class));
       assertFalse(events.stream().anyMatch(InstanceEvent.AttemptFailed.class::isInstance));
     }
 
@@ -181,7 +181,7 @@
     void reportsNoUsageForARequestThatIsStillRunning() throws Exception {
       // Guards against a charge that is too low: the tokens used so far are fewer than those that
       // the request will have used in the end.
-      calls.queryUsage(new InstanceCommand.AskUsage(ATTEMPT, REQUEST, server.address()));
+      calls.queryUsage(new InstanceCommand.QueryUsage(ATTEMPT, REQUEST, server.address()));
       server
           .awaitRequest()
           .respond(
@@ -190,12 +190,12 @@
               bytes(
                   "{\"state\":\"running\",\"usage\":{\"prompt_tokens\":3,"
                       + "\"completion_tokens\":1}}"));
-      nextEvent(InstanceEvent.UsageUnknown.class);
-      calls.queryUsage(new InstanceCommand.AskUsage(ATTEMPT, REQUEST, server.address()));
+      nextEvent(InstanceEvent.UsageQueryFailed.class);
+      calls.queryUsage(new InstanceCommand.QueryUsage(ATTEMPT, REQUEST, server.address()));
       server.awaitRequest().respond(404, Map.of(), new byte[0]);
       assertEquals(
-          new InstanceEvent.UsageKnown(ATTEMPT, Optional.empty()),
-          nextEvent(InstanceEvent.UsageKnown.class));
+          new InstanceEvent.UsageReported(ATTEMPT, Optional.empty()),
+          nextEvent(InstanceEvent.UsageReported.class));
     }
 
     private void assertAnswerMeans(int status, AttemptFailure expected) throws Exception {
@@ -214,7 +214,7 @@
       assertEquals("PUT /x?y=1 in", "PUT " + exchange.path() + " " + text(exchange.body()));
       assertEquals(Optional.of("text/plain"), exchange.header("Content-Type"));
       exchange.respond(418, Map.of("Content-Type", "text/css"), bytes("out"));
-      var answer = nextEvent(InstanceEvent.PlainAnswered.class);
+      var answer = nextEvent(InstanceEvent.PlainAnswerReceived.class);
       assertEquals(418, answer.status());
       assertEquals("text/css", answer.contentType());
       assertArrayEquals(bytes("out"), answer.body());
@@ -229,7 +229,7 @@
       assertFailed(AttemptFailure.REFUSED_BY_SERVER);
       calls.start(plainCall());
       server.awaitRequest().respond(503, Map.of(), new byte[0]);
-      assertEquals(503, nextEvent(InstanceEvent.PlainAnswered.class).status());
+      assertEquals(503, nextEvent(InstanceEvent.PlainAnswerReceived.class).status());
     }
 
     @Test
@@ -246,11 +246,11 @@
       calls.start(plainCall());
       HttpExchange running = server.awaitRequest();
       CountDownLatch disconnected = new CountDownLatch(1);
-      running.onCallerGone(disconnected::countDown);
+      running.onCallerDisconnect(disconnected::countDown);
       calls.cancel(new InstanceCommand.CancelAttempt(ATTEMPT, REQUEST, server.address()));
-      calls.queryUsage(new InstanceCommand.AskUsage(ATTEMPT, REQUEST, server.address()));
+      calls.queryUsage(new InstanceCommand.QueryUsage(ATTEMPT, REQUEST, server.address()));
       disconnected.await();
-      nextEvent(InstanceEvent.UsageUnknown.class);
+      nextEvent(InstanceEvent.UsageQueryFailed.class);
       assertFalse(server.hasRequest());
     }
   }
--- a/teaseldeal-router/src/test/java/org/teaseldeal/router/backend/EngineOrderCallsTests.java
+++ b/teaseldeal-router/src/test/java/org/teaseldeal/router/backend/EngineOrderCallsTests.java
@@ -47,7 +47,7 @@
   }
 
   private HttpExchange queryState() throws InterruptedException {
-    calls.queryState(new InstanceCommand.AskOrderState(ENGINE, server.address()));
+    calls.queryState(new InstanceCommand.QueryOrderState(ENGINE, server.address()));
     return server.awaitRequest();
   }
 
@@ -71,7 +71,7 @@
         "{\"fencing\":41,\"kind\":\"load-model\",\"target\":\"clerk\",\"version\":\"3\"}",
         new String(exchange.body(), StandardCharsets.UTF_8));
     exchange.respond(200, Map.of(), bytes("{}"));
-    assertEquals(new InstanceEvent.OrderAnswered(ENGINE, 7), nextEvent());
+    assertEquals(new InstanceEvent.OrderAccepted(ENGINE, 7), nextEvent());
   }
 
   @Test
@@ -114,6 +114,6 @@
     // Guards against models that are loaded again: an absent field must not be read as an empty
     // one.
     queryState().respond(200, Map.of(), bytes(body));
-    assertInstanceOf(InstanceEvent.OrderStateUnknown.class, nextEvent());
+    assertInstanceOf(InstanceEvent.OrderStateQueryFailed.class, nextEvent());
   }
 }
--- a/teaseldeal-router/src/test/java/org/teaseldeal/router/fake/FakeExchange.java
+++ b/teaseldeal-router/src/test/java/org/teaseldeal/router/fake/FakeExchange.java
@@ -10,7 +10,7 @@
 
 /** A request without a connection; it can be read but not answered. */
 public record FakeExchange(
-    String method, String path, Map<String, String> headersByName, String text, Duration sinceHead)
+    String method, String path, Map<String, String> headersByName, String text, Duration timeSinceHead)
     implements HttpExchange {
   @Override
   public List<Map.Entry<String, String>> headers() {
@@ -48,7 +48,7 @@
   }
 
   @Override
-  public void onCallerGone(Runnable action) {
-    throw new UnsupportedOperationException("onCallerGone");
+  public void onCallerDisconnect(Runnable action) {
+    throw new UnsupportedOperationException("onCallerDisconnect");
   }
 }
--- a/teaseldeal-router/src/test/java/org/teaseldeal/router/fake/FakePlatform.java
+++ b/teaseldeal-router/src/test/java/org/teaseldeal/router/fake/FakePlatform.java
@@ -19,7 +19,7 @@
 import org.teaseldeal.net.HttpServer;
 import org.teaseldeal.net.HttpServerConfig;
 import org.teaseldeal.net.IpAddresses;
-import org.teaseldeal.net.NetRuntime;
+import org.teaseldeal.net.SharedEventLoops;
 
 /** A platform that serves its log and its instance list from memory over HTTP. */
 public final class FakePlatform implements AutoCloseable {
@@ -116,7 +116,7 @@
   private synchronized void read(HttpExchange exchange, int from, int polls) {
     if (from >= records.size() && polls > 0) {
       var unused =
-          NetRuntime.group()
+          SharedEventLoops.eventLoopGroup()
               .schedule(
                   () -> read(exchange, from, polls - 1), POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
       return;
--- a/teaseldeal-router/src/test/java/org/teaseldeal/router/peer/PeerMessagingTests.java
+++ b/teaseldeal-router/src/test/java/org/teaseldeal/router/peer/PeerMessagingTests.java
@@ -62,7 +62,8 @@
     }
     for (int i = 1; i <= 100; i++) {
       assertEquals(
-          new InstanceEvent.PeerReceived(new IncarnationId("r2.y"), message(i)), nextEvent());
+          new InstanceEvent.PeerMessageReceived(new IncarnationId("r2.y"), message(i)),
+          nextEvent());
     }
   }
 
@@ -93,7 +94,8 @@
       writeFrame(out, new byte[(1 << 20) + 100]);
       writeFrame(out, envelope(1, message(5)));
       assertEquals(
-          new InstanceEvent.PeerReceived(new IncarnationId("r2.y"), message(5)), nextEvent());
+          new InstanceEvent.PeerMessageReceived(new IncarnationId("r2.y"), message(5)),
+          nextEvent());
     }
     assertEquals(2, metrics.counter("peer_messages_unknown").getCount());
     assertEquals(2, metrics.counter("peer_messages_undecodable").getCount());
@@ -140,12 +142,13 @@
     try (PeerServer late =
         PeerServer.start("127.0.0.1", address.getPort(), SHORT_TIMINGS, events::add, metrics)) {
       assertEquals(
-          new InstanceEvent.PeerReceived(new IncarnationId("r2.y"), message(101)), nextEvent());
+          new InstanceEvent.PeerMessageReceived(new IncarnationId("r2.y"), message(101)),
+          nextEvent());
     }
   }
 
   private void send(InetSocketAddress address, Message message) {
-    sender.send(new InstanceCommand.SendPeer(IpAddresses.format(address), message));
+    sender.send(new InstanceCommand.SendPeerMessage(IpAddresses.format(address), message));
   }
 
   private InstanceEvent nextEvent() throws InterruptedException {
--- a/teaseldeal-router/src/test/java/org/teaseldeal/router/platform/PlatformAnswerTests.java
+++ b/teaseldeal-router/src/test/java/org/teaseldeal/router/platform/PlatformAnswerTests.java
@@ -26,7 +26,7 @@
     @Test
     void carryTheAppendedOffset() {
       assertEquals(
-          new LogEvent.AppendAnswered(STREAM, 3, 8),
+          new LogEvent.AppendAcknowledged(STREAM, 3, 8),
           LogClient.appendEvent(append, answer(200, "{\"offset\":8}"), null));
     }
 
@@ -50,7 +50,7 @@
                   "appended_at":"2026-01-01T00:00:00Z","payload":"aGk="}]}"""),
               null);
       var records = assertInstanceOf(LogEvent.RecordsRead.class, event);
-      assertEquals(6, records.next());
+      assertEquals(6, records.nextOffset());
       assertEquals(5, records.records().getFirst().offset());
       assertEquals(
           "hi", new String(records.records().getFirst().payload(), StandardCharsets.UTF_8));
--- a/teaseldeal-settings/src/main/java/org/teaseldeal/settings/FleetParser.java
+++ b/teaseldeal-settings/src/main/java/org/teaseldeal/settings/FleetParser.java
@@ -37,7 +37,7 @@
         readLease(root.table("lease")),
         requests.duration("progress_timeout", Duration.ofSeconds(10), MILLISECOND, HOUR),
         requests.duration("default_timeout", Duration.ofMinutes(1), MILLISECOND, DAY),
-        requests.fraction("max_retry_share", DEFAULT_MAX_RETRY_SHARE, 0, 1),
+        requests.doubleInRange("max_retry_share", DEFAULT_MAX_RETRY_SHARE, 0, 1),
         window,
         keyMemory);
   }
@@ -49,13 +49,13 @@
   }
 
   private static PoolSettings readPool(String name, TomlReader pool) {
-    ServiceKind kind = pool.oneOf("kind", ServiceKind.class);
+    ServiceKind kind = pool.enumConstant("kind", ServiceKind.class);
     int defaultConcurrency =
         kind == ServiceKind.MODEL ? DEFAULT_MODEL_CONCURRENCY : DEFAULT_PLAIN_CONCURRENCY;
     return new PoolSettings(
         name,
         kind,
-        pool.smallInteger("max_concurrent_per_server", defaultConcurrency, 1, MAX_CONCURRENCY),
+        pool.intInRange("max_concurrent_per_server", defaultConcurrency, 1, MAX_CONCURRENCY),
         pool.bool("checks_fencing", false),
         modelPoolOnly(kind, pool, "models", pool.versions("models")),
         modelPoolOnly(kind, pool, "adapters", pool.versions("adapters")),
@@ -72,8 +72,8 @@
   private static LeasePolicySettings readLease(TomlReader lease) {
     return new LeasePolicySettings(
         lease.duration("horizon", Duration.ofMinutes(10), SECOND, DAY),
-        lease.fraction("max_share", DEFAULT_MAX_SHARE, MIN_SHARE, 1),
-        lease.integer("minimum_tokens", DEFAULT_MINIMUM_TOKENS, 1, MAX_MINIMUM_TOKENS),
+        lease.doubleInRange("max_share", DEFAULT_MAX_SHARE, MIN_SHARE, 1),
+        lease.longInRange("minimum_tokens", DEFAULT_MINIMUM_TOKENS, 1, MAX_MINIMUM_TOKENS),
         lease.duration("idle_return", Duration.ofMinutes(2), SECOND, DAY));
   }
 }
--- a/teaseldeal-settings/src/main/java/org/teaseldeal/settings/PoolSettings.java
+++ b/teaseldeal-settings/src/main/java/org/teaseldeal/settings/PoolSettings.java
@@ -39,7 +39,7 @@
   }
 
   /** Returns whether the settings specify models, adapters or a role for the pool's engines. */
-  public boolean ordersEngines() {
+  public boolean configuresEngines() {
     return !models.isEmpty() || !adapters.isEmpty() || role.isPresent();
   }
 }
--- a/teaseldeal-settings/src/main/java/org/teaseldeal/settings/TeamParser.java
+++ b/teaseldeal-settings/src/main/java/org/teaseldeal/settings/TeamParser.java
@@ -38,23 +38,23 @@
   }
 
   private ServiceSettings service(String name, TomlReader table) {
-    ServiceKind kind = table.oneOf("kind", ServiceKind.class);
+    ServiceKind kind = table.enumConstant("kind", ServiceKind.class);
     boolean model = kind == ServiceKind.MODEL;
     return new ServiceSettings(
         new ServiceId(team, name),
         kind,
         table.name("pool"),
         table.text("model", name),
-        table.oneOf("priority", PriorityClass.STANDARD),
+        table.enumConstant("priority", PriorityClass.STANDARD),
         // There is no default for plain services: if a call that is not idempotent were repeated,
         // it would take effect twice.
         model ? table.bool("idempotent", true) : table.bool("idempotent"),
         model
-            ? table.integer("max_output_tokens", 1, MAX_OUTPUT_TOKENS)
+            ? table.longInRange("max_output_tokens", 1, MAX_OUTPUT_TOKENS)
             : rejectIfPresent(table, "max_output_tokens", "plain"),
         model
             ? rejectIfPresent(table, "tokens_per_call", "model")
-            : table.integer("tokens_per_call", 1, MAX_TOKENS_PER_CALL),
+            : table.longInRange("tokens_per_call", 1, MAX_TOKENS_PER_CALL),
         table.duration("timeout", DEFAULT_TIMEOUT, MIN_TIMEOUT, MAX_TIMEOUT));
   }
 
@@ -74,7 +74,7 @@
           "token_sha256",
           "was the same as of customer %s, expected one of its own".formatted(existingCustomer));
     }
-    List<String> allowed = table.texts("services");
+    List<String> allowed = table.textList("services");
     allowed.stream()
         .filter(service -> !services.contains(service))
         .forEach(service -> table.addProblem("services", unknownService(service, services)));
@@ -82,7 +82,7 @@
         new CustomerId(team, name),
         token,
         new LinkedHashSet<>(allowed),
-        table.smallInteger("weight", 1, 1, MAX_WEIGHT));
+        table.intInRange("weight", 1, 1, MAX_WEIGHT));
   }
 
   private static String unknownService(String service, Set<String> services) {
--- a/teaseldeal-settings/src/main/java/org/teaseldeal/settings/toml/TomlReader.java
+++ b/teaseldeal-settings/src/main/java/org/teaseldeal/settings/toml/TomlReader.java
@@ -99,7 +99,7 @@
   }
 
   /** Returns a whole number from {@code min} to {@code max}. */
-  public long integer(String key, long min, long max) {
+  public long longInRange(String key, long min, long max) {
     return readRequired(key, min, ValueRule.integer(min, max));
   }
 
@@ -107,7 +107,7 @@
    * Returns a whole number from {@code min} to {@code max}, or {@code defaultValue} if the key is
    * missing.
    */
-  public long integer(String key, long defaultValue, long min, long max) {
+  public long longInRange(String key, long defaultValue, long min, long max) {
     return readOptional(key, defaultValue, ValueRule.integer(min, max));
   }
 
@@ -115,12 +115,12 @@
    * Returns a whole number from {@code min} to {@code max} as an {@code int}, or {@code
    * defaultValue} if the key is missing.
    */
-  public int smallInteger(String key, int defaultValue, int min, int max) {
-    return Math.toIntExact(integer(key, defaultValue, min, max));
+  public int intInRange(String key, int defaultValue, int min, int max) {
+    return Math.toIntExact(longInRange(key, defaultValue, min, max));
   }
 
   /** Returns a number from {@code min} to {@code max}. */
-  public double fraction(String key, double min, double max) {
+  public double doubleInRange(String key, double min, double max) {
     return readRequired(key, min, ValueRule.fraction(min, max));
   }
 
@@ -128,7 +128,7 @@
    * Returns a number from {@code min} to {@code max}, or {@code defaultValue} if the key is
    * missing.
    */
-  public double fraction(String key, double defaultValue, double min, double max) {
+  public double doubleInRange(String key, double defaultValue, double min, double max) {
     return readOptional(key, defaultValue, ValueRule.fraction(min, max));
   }
 
@@ -143,7 +143,7 @@
   }
 
   /** Returns a constant of an enum, which the text writes in lower case with hyphens. */
-  public <E extends Enum<E>> E oneOf(String key, Class<E> type) {
+  public <E extends Enum<E>> E enumConstant(String key, Class<E> type) {
     List<E> constants = Arrays.asList(type.getEnumConstants());
     return readRequired(key, constants.getFirst(), ValueRule.oneOf(constants));
   }
@@ -152,7 +152,7 @@
    * Returns a constant of an enum, which the text writes in lower case with hyphens, or {@code
    * defaultValue} if the key is missing.
    */
-  public <E extends Enum<E>> E oneOf(String key, E defaultValue) {
+  public <E extends Enum<E>> E enumConstant(String key, E defaultValue) {
     List<E> constants = Arrays.asList(defaultValue.getDeclaringClass().getEnumConstants());
     return readOptional(key, defaultValue, ValueRule.oneOf(constants));
   }
@@ -174,7 +174,7 @@
   }
 
   /** Returns a list of non-blank texts; empty if the key is missing. */
-  public List<String> texts(String key) {
+  public List<String> textList(String key) {
     declaredKeys.add(key);
     Object value = rawValue(key);
     if (value == null) {
@@ -194,7 +194,7 @@
   /** Returns a list of {@code name@version} as versions by name; empty if the key is missing. */
   public Map<String, String> versions(String key) {
     Map<String, String> versions = new LinkedHashMap<>();
-    List<String> texts = texts(key);
+    List<String> texts = textList(key);
     for (String text : texts) {
       Matcher matcher = NAME_AND_VERSION.matcher(text);
       if (!matcher.matches()) {
--- a/teaseldeal-settings/src/test/java/org/teaseldeal/settings/SettingsParserTests.java
+++ b/teaseldeal-settings/src/test/java/org/teaseldeal/settings/SettingsParserTests.java
@@ -55,8 +55,8 @@
       assertEquals(Map.of("clerk-8b", "3", "org/small", "2026-11"), language.models());
       assertEquals(Map.of("wool", "7"), language.adapters());
       assertEquals(Optional.of("decode"), language.role());
-      assertTrue(language.ordersEngines());
-      assertFalse(Objects.requireNonNull(fleet.pools().get("other")).ordersEngines());
+      assertTrue(language.configuresEngines());
+      assertFalse(Objects.requireNonNull(fleet.pools().get("other")).configuresEngines());
     }
 
     @Test
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/EngineFaults.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/EngineFaults.java
@@ -49,21 +49,21 @@
   /** Reads the keys that {@code table} has; others are as in {@code byDefault}. */
   public static EngineFaults read(TomlReader table, EngineFaults byDefault) {
     return new EngineFaults(
-        table.integer("seed", byDefault.seed, 0, Long.MAX_VALUE),
-        table.fraction("slow_factor", byDefault.slowFactor, 0.001, 100_000),
-        table.fraction("refuse_share", byDefault.refuseShare, 0, 1),
-        table.fraction("silent_request_share", byDefault.silentRequestShare, 0, 1),
-        table.fraction("silent_answer_share", byDefault.silentAnswerShare, 0, 1),
-        table.fraction("silent_stream_share", byDefault.silentStreamShare, 0, 1),
-        table.smallInteger("silent_after_frames", byDefault.silentAfterFrames, 0, MAX_FRAMES),
+        table.longInRange("seed", byDefault.seed, 0, Long.MAX_VALUE),
+        table.doubleInRange("slow_factor", byDefault.slowFactor, 0.001, 100_000),
+        table.doubleInRange("refuse_share", byDefault.refuseShare, 0, 1),
+        table.doubleInRange("silent_request_share", byDefault.silentRequestShare, 0, 1),
+        table.doubleInRange("silent_answer_share", byDefault.silentAnswerShare, 0, 1),
+        table.doubleInRange("silent_stream_share", byDefault.silentStreamShare, 0, 1),
+        table.intInRange("silent_after_frames", byDefault.silentAfterFrames, 0, MAX_FRAMES),
         table.bool("silent_streams", byDefault.silentStreams),
         table.bool("silent_load", byDefault.silentLoad),
-        table.fraction("crossed_frame_share", byDefault.crossedFrameShare, 0, 1),
-        table.fraction("late_frame_share", byDefault.lateFrameShare, 0, 1),
-        table.fraction("broken_stream_share", byDefault.brokenStreamShare, 0, 1),
+        table.doubleInRange("crossed_frame_share", byDefault.crossedFrameShare, 0, 1),
+        table.doubleInRange("late_frame_share", byDefault.lateFrameShare, 0, 1),
+        table.doubleInRange("broken_stream_share", byDefault.brokenStreamShare, 0, 1),
         table.text("crash_marker", byDefault.crashMarker),
-        table.oneOf("crash_mode", byDefault.crashMode),
-        table.smallInteger("crash_after_frames", byDefault.crashAfterFrames, 0, MAX_FRAMES));
+        table.enumConstant("crash_mode", byDefault.crashMode),
+        table.intInRange("crash_after_frames", byDefault.crashAfterFrames, 0, MAX_FRAMES));
   }
 
   /** Whether a request with this prompt crashes the engine. */
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/EngineHandler.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/EngineHandler.java
@@ -233,7 +233,8 @@
     SseSink sink = new SseSink(stream, head, faults, this::noteFault);
     generation.attach(sink, from);
     // The request runs on without a reader, so that it can be resumed through another instance.
-    exchange.onCallerGone(() -> scheduler.schedule(Duration.ZERO, () -> generation.detach(sink)));
+    exchange.onCallerDisconnect(
+        () -> scheduler.schedule(Duration.ZERO, () -> generation.detach(sink)));
   }
 
   private void noteFault(String fault, SseSink.AnswerHead head) {
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/EngineSettings.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/EngineSettings.java
@@ -54,11 +54,11 @@
 
     static Batch read(TomlReader table) {
       return new Batch(
-          table.smallInteger("max_running", 32, 1, 100_000),
-          table.smallInteger("max_waiting", 256, 0, 1_000_000),
-          table.integer("iteration_micros", 15_000, 0, MAX_MICROS),
-          table.integer("per_request_micros", 150, 0, MAX_MICROS),
-          table.integer("prefill_token_micros", 100, 0, MAX_MICROS));
+          table.intInRange("max_running", 32, 1, 100_000),
+          table.intInRange("max_waiting", 256, 0, 1_000_000),
+          table.longInRange("iteration_micros", 15_000, 0, MAX_MICROS),
+          table.longInRange("per_request_micros", 150, 0, MAX_MICROS),
+          table.longInRange("prefill_token_micros", 100, 0, MAX_MICROS));
     }
   }
 
@@ -73,10 +73,10 @@
   public record Cache(int blocks, int blockTokens, Duration eventLag, double eventLossShare) {
     static Cache read(TomlReader table) {
       return new Cache(
-          table.smallInteger("blocks", 4_096, 1, 10_000_000),
-          table.smallInteger("block_tokens", 16, 1, 4_096),
+          table.intInRange("blocks", 4_096, 1, 10_000_000),
+          table.intInRange("block_tokens", 16, 1, 4_096),
           table.duration("event_lag", Duration.ofMillis(200), Duration.ZERO, LONGEST_LAG),
-          table.fraction("event_loss_share", 0.01, 0, 1));
+          table.doubleInRange("event_loss_share", 0.01, 0, 1));
     }
   }
 
@@ -91,10 +91,10 @@
     private static final int LONGEST = 1_000_000;
 
     static Answers read(TomlReader table) {
-      int minTokens = table.smallInteger("min_tokens", 8, 1, LONGEST);
+      int minTokens = table.intInRange("min_tokens", 8, 1, LONGEST);
       return new Answers(
           minTokens,
-          table.smallInteger("max_tokens", Math.max(64, minTokens), minTokens, LONGEST),
+          table.intInRange("max_tokens", Math.max(64, minTokens), minTokens, LONGEST),
           table.duration("keep_for", Duration.ofMinutes(10), Duration.ZERO, Duration.ofDays(1)));
     }
   }
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/platform/LogHandler.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/platform/LogHandler.java
@@ -108,7 +108,7 @@
     Duration wait = Duration.ofMillis(Math.min(target.number("wait_ms", 0), MAX_WAIT_MS));
     Cancellable waiting =
         log.read(target.segments().get(1), from, max, wait, result -> answerRead(exchange, result));
-    exchange.onCallerGone(() -> scheduler.schedule(Duration.ZERO, waiting::cancel));
+    exchange.onCallerDisconnect(() -> scheduler.schedule(Duration.ZERO, waiting::cancel));
   }
 
   private static void answerRead(HttpExchange exchange, ReadResult result) {
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/platform/PlatformFaults.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/platform/PlatformFaults.java
@@ -40,16 +40,16 @@
   /** Reads the keys that {@code table} has; others are as in {@code byDefault}. */
   public static PlatformFaults read(TomlReader table, PlatformFaults byDefault) {
     return new PlatformFaults(
-        table.integer("seed", byDefault.seed, 0, Long.MAX_VALUE),
+        table.longInRange("seed", byDefault.seed, 0, Long.MAX_VALUE),
         table.bool("log_outage", byDefault.logOutage),
         table.bool("list_outage", byDefault.listOutage),
         table.bool("weights_outage", byDefault.weightsOutage),
         table.bool("log_silent", byDefault.logSilent),
-        table.integer("append_latency_ms", byDefault.appendLatencyMs, 0, MAX_LATENCY_MS),
-        table.integer("read_latency_ms", byDefault.readLatencyMs, 0, MAX_LATENCY_MS),
-        table.integer("list_latency_ms", byDefault.listLatencyMs, 0, MAX_LATENCY_MS),
-        table.fraction("lost_answer_share", byDefault.lostAnswerShare, 0, 1),
-        table.fraction("silent_answer_share", byDefault.silentAnswerShare, 0, 1),
-        table.integer("list_lag_ms", byDefault.listLagMs, 0, MAX_LATENCY_MS));
+        table.longInRange("append_latency_ms", byDefault.appendLatencyMs, 0, MAX_LATENCY_MS),
+        table.longInRange("read_latency_ms", byDefault.readLatencyMs, 0, MAX_LATENCY_MS),
+        table.longInRange("list_latency_ms", byDefault.listLatencyMs, 0, MAX_LATENCY_MS),
+        table.doubleInRange("lost_answer_share", byDefault.lostAnswerShare, 0, 1),
+        table.doubleInRange("silent_answer_share", byDefault.silentAnswerShare, 0, 1),
+        table.longInRange("list_lag_ms", byDefault.listLagMs, 0, MAX_LATENCY_MS));
   }
 }
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/platform/PlatformSettings.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/platform/PlatformSettings.java
@@ -40,10 +40,10 @@
       return new Log(
           table.duration(
               "retention", Duration.ofHours(1), Duration.ofMillis(1), Duration.ofDays(30)),
-          table.smallInteger("retention_records", 1_000_000, 1, 10_000_000),
+          table.intInRange("retention_records", 1_000_000, 1, 10_000_000),
           table.byteSize("retention_size", 128 * MEBIBYTE, MEBIBYTE, 16_384 * MEBIBYTE),
-          table.fraction("appends_per_second", APPENDS_PER_SECOND, 0.1, 1e6),
-          table.fraction("append_burst", APPENDS_PER_SECOND / 2, 1, 1e6),
+          table.doubleInRange("appends_per_second", APPENDS_PER_SECOND, 0.1, 1e6),
+          table.doubleInRange("append_burst", APPENDS_PER_SECOND / 2, 1, 1e6),
           (int) table.byteSize("max_record_size", MEBIBYTE, 1, 8 * MEBIBYTE));
     }
   }
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/service/PlainServiceSettings.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/service/PlainServiceSettings.java
@@ -28,7 +28,7 @@
         RegistrationSettings.read(root.table("registration"), "plain"),
         root.duration("latency", Duration.ofMillis(10), Duration.ZERO, HOUR),
         root.duration("jitter", Duration.ofMillis(5), Duration.ZERO, HOUR),
-        root.smallInteger("max_running", 1_000, 1, 1_000_000),
+        root.intInRange("max_running", 1_000, 1, 1_000_000),
         ServiceFaults.read(root.table("faults"), ServiceFaults.NONE));
   }
 }
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/service/ServiceFaults.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/service/ServiceFaults.java
@@ -33,13 +33,13 @@
   /** Reads the keys that {@code table} has; others are as in {@code byDefault}. */
   public static ServiceFaults read(TomlReader table, ServiceFaults byDefault) {
     return new ServiceFaults(
-        table.integer("seed", byDefault.seed, 0, Long.MAX_VALUE),
-        table.integer("latency_ms", byDefault.latencyMs, 0, MAX_LATENCY_MS),
-        table.fraction("refuse_share", byDefault.refuseShare, 0, 1),
-        table.fraction("fail_share", byDefault.failShare, 0, 1),
-        table.fraction("close_before_share", byDefault.closeBeforeShare, 0, 1),
-        table.fraction("close_after_share", byDefault.closeAfterShare, 0, 1),
-        table.fraction("silent_before_share", byDefault.silentBeforeShare, 0, 1),
-        table.fraction("silent_after_share", byDefault.silentAfterShare, 0, 1));
+        table.longInRange("seed", byDefault.seed, 0, Long.MAX_VALUE),
+        table.longInRange("latency_ms", byDefault.latencyMs, 0, MAX_LATENCY_MS),
+        table.doubleInRange("refuse_share", byDefault.refuseShare, 0, 1),
+        table.doubleInRange("fail_share", byDefault.failShare, 0, 1),
+        table.doubleInRange("close_before_share", byDefault.closeBeforeShare, 0, 1),
+        table.doubleInRange("close_after_share", byDefault.closeAfterShare, 0, 1),
+        table.doubleInRange("silent_before_share", byDefault.silentBeforeShare, 0, 1),
+        table.doubleInRange("silent_after_share", byDefault.silentAfterShare, 0, 1));
   }
 }
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/settings/ListenSettings.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/settings/ListenSettings.java
@@ -17,8 +17,8 @@
   public static ListenSettings read(TomlReader root) {
     return new ListenSettings(
         root.text("host", "127.0.0.1"),
-        root.smallInteger("port", 0, 0, MAX_PORT),
-        root.smallInteger("admin_port", 0, 0, MAX_PORT));
+        root.intInRange("port", 0, 0, MAX_PORT),
+        root.intInRange("admin_port", 0, 0, MAX_PORT));
   }
 
   /** The same with what the command line gave. */
--- a/teaseldeal-standin/src/test/java/org/teaseldeal/standin/runtime/FakeExchange.java
+++ b/teaseldeal-standin/src/test/java/org/teaseldeal/standin/runtime/FakeExchange.java
@@ -110,7 +110,7 @@
   }
 
   @Override
-  public Duration sinceHead() {
+  public Duration timeSinceHead() {
     return Duration.ZERO;
   }
 
@@ -135,7 +135,7 @@
   }
 
   @Override
-  public void onCallerGone(Runnable action) {
+  public void onCallerDisconnect(Runnable action) {
     goneAction = action;
   }
 
