--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/ExperimentCommand.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/ExperimentCommand.java
@@ -14,24 +14,24 @@
 
 @Parameters(
     commandDescription =
-        "Play scenarios with and without a mechanism, paired by seed, at several sizes")
+        "Simulate scenarios with and without a mechanism, paired by seed, at several fleet sizes")
 final class ExperimentCommand extends Command {
   @Parameter(description = "SCENARIO.toml ...", required = true)
   private List<Path> scenarios = new ArrayList<>();
 
-  @Parameter(names = "--sizes", description = "Instances, separated by commas")
+  @Parameter(names = "--sizes", description = "Fleet sizes in instances, separated by commas")
   private List<Integer> sizes = new ArrayList<>(List.of(9, 95));
 
-  @Parameter(names = "--seeds", description = "How many seeds, from 1 on")
+  @Parameter(names = "--seeds", description = "Number of seeds, counted from 1")
   private int seeds = 5;
 
   @Parameter(
       names = "--without",
       required = true,
-      description = "Mechanisms, each switched off alone: draws, loads, caches, isolation")
+      description = "Mechanisms to switch off one at a time: draws, loads, caches, isolation")
   private List<Mechanism> without = new ArrayList<>();
 
-  private boolean kept = true;
+  private boolean allInvariantsHeld = true;
 
   @Override
   protected ExitStatus run(PrintStream out, PrintStream err) throws CommandException {
@@ -41,9 +41,9 @@
     for (Path file : scenarios) {
       Scenario scenario = ScenarioFiles.read(file);
       for (int size : sizes) {
-        List<Double> base = worths(scenario, size, EnumSet.noneOf(Mechanism.class), err);
+        List<Double> base = relativeWorths(scenario, size, EnumSet.noneOf(Mechanism.class), err);
         for (Mechanism mechanism : without) {
-          List<Double> off = worths(scenario, size, EnumSet.of(mechanism), err);
+          List<Double> off = relativeWorths(scenario, size, EnumSet.of(mechanism), err);
           PairedDifference difference = PairedDifference.of(base, off);
           out.printf(
               "%-22s %5d %-8s %7.4f %7.4f %+10.4f %8.4f%n",
@@ -57,19 +57,19 @@
         }
       }
     }
-    return kept ? ExitStatus.OK : ExitStatus.REFUSED;
+    return allInvariantsHeld ? ExitStatus.OK : ExitStatus.REFUSED;
   }
 
-  private List<Double> worths(
+  private List<Double> relativeWorths(
       Scenario scenario, int size, EnumSet<Mechanism> off, PrintStream progress) {
-    List<Double> worths = new ArrayList<>();
+    List<Double> results = new ArrayList<>();
     for (int seed = 1; seed <= seeds; seed++) {
-      PlayResult result = ModelFleet.play(scenario, size, seed, off);
-      worths.add(result.worth());
+      SimulationResult result = ModelFleet.simulate(scenario, size, seed, off);
+      results.add(result.relativeWorth());
       progress.printf("%s, %d instances, seed %d, without %s%n", scenario.name(), size, seed, off);
-      result.broken().forEach(promise -> progress.println("BROKEN: " + promise));
-      kept &= result.broken().isEmpty();
+      result.violations().forEach(violation -> progress.println("BROKEN: " + violation));
+      allInvariantsHeld &= result.violations().isEmpty();
     }
-    return worths;
+    return results;
   }
 }
--- /dev/null
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/FaultInjector.java
@@ -0,0 +1,104 @@
+package org.teaseldeal.model;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.SplittableRandom;
+import org.teaseldeal.decisions.TokenHolderChoice;
+
+/** Injects the faults of a scenario into a fleet. */
+final class FaultInjector {
+  private final ModelFleet fleet;
+  private final LoadGenerator load;
+  private final SplittableRandom random;
+
+  FaultInjector(ModelFleet fleet, LoadGenerator load, SplittableRandom random) {
+    this.fleet = fleet;
+    this.load = load;
+    this.random = random;
+  }
+
+  /**
+   * Starts a fault at the current virtual time and schedules its end; a fault without a duration
+   * has an immediate effect only.
+   */
+  void inject(Scenario.Fault fault) {
+    switch (fault.kind()) {
+      case CUT -> {
+        List<String> chosen = randomSubset(fleet.instanceNames(), fault.share());
+        chosen.forEach(name -> fleet.network().setPartitioned(name, true));
+        fleet
+            .time()
+            .schedule(
+                fault.lasting(),
+                () -> chosen.forEach(name -> fleet.network().setPartitioned(name, false)));
+      }
+      case ISOLATED -> {
+        List<String> chosen = randomSubset(fleet.instanceNames(), fault.share());
+        chosen.forEach(name -> fleet.network().setIsolated(name, true));
+        fleet
+            .time()
+            .schedule(
+                fault.lasting(),
+                () -> chosen.forEach(name -> fleet.network().setIsolated(name, false)));
+      }
+      case LOG_DOWN -> {
+        fleet.log().setDown(true);
+        fleet.time().schedule(fault.lasting(), () -> fleet.log().setDown(false));
+      }
+      case POWER -> randomSubset(fleet.instanceNames(), fault.share()).forEach(fleet::losePower);
+      case STOP -> {
+        List<String> chosen = randomSubset(fleet.instanceNames(), fault.share());
+        for (int i = 0; i < chosen.size(); i++) {
+          String name = chosen.get(i);
+          fleet
+              .time()
+              .schedule(
+                  fault.gap().multipliedBy(i),
+                  () -> fleet.runningInstance(name).ifPresent(ModelInstance::stop));
+        }
+      }
+      case ENGINE_CRASH ->
+          randomSubset(
+                  fleet.serverNames().stream().filter(name -> name.startsWith("engine")).toList(),
+                  fault.share())
+              .forEach(name -> fleet.crashServer(fleet.server(name), fault.lasting()));
+      case BURST -> {
+        load.setLoadFactor(fault.factor());
+        fleet.time().schedule(fault.lasting(), () -> load.setLoadFactor(1));
+      }
+      case HOT_CUSTOMER -> {
+        load.setHotCustomerFactor(fault.factor());
+        fleet.time().schedule(fault.lasting(), () -> load.setHotCustomerFactor(1));
+      }
+      case HOT_BEGINNING -> {
+        load.setSharedPrefix(true);
+        fleet.time().schedule(fault.lasting(), () -> load.setSharedPrefix(false));
+      }
+      case CONFIGURATIONS -> {
+        for (int i = 0; i < fault.factor(); i++) {
+          fleet.time().schedule(fault.gap().multipliedBy(i), fleet::publishConfiguration);
+        }
+      }
+      case HOLDER_LOST -> {
+        List<String> holders =
+            TokenHolderChoice.of(load.customers().getFirst(), fleet.memberNames()).stream()
+                .sorted()
+                .toList();
+        for (int i = 0; i < holders.size() * fault.share(); i++) {
+          String name = holders.get(i);
+          fleet.time().schedule(fault.gap().multipliedBy(i), () -> fleet.losePower(name));
+        }
+      }
+    }
+  }
+
+  private List<String> randomSubset(List<String> all, double share) {
+    List<String> left = new ArrayList<>(all);
+    List<String> chosen = new ArrayList<>();
+    long count = Math.round(all.size() * share);
+    while (chosen.size() < count) {
+      chosen.add(left.remove(random.nextInt(left.size())));
+    }
+    return chosen;
+  }
+}
--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/LoadSource.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/LoadGenerator.java
@@ -7,21 +7,21 @@
 import java.util.stream.IntStream;
 import org.teaseldeal.gateway.flow.PromptPart;
 
-/** Draws the requests of a scenario's callers, and the pauses between them. */
-final class LoadSource {
+/** Generates a scenario's requests and the random times between them. */
+final class LoadGenerator {
   private final SplittableRandom random;
   private final Scenario.Engines engines;
   private final Scenario.Services services;
   private final List<Scenario.Kind> kinds;
   private final List<String> customers;
   private final double[] customerWeights;
-  private final double perSecond;
-  private long requests;
-  private double factor = 1;
-  private double hotCustomer = 1;
-  private boolean hotBeginning;
+  private final double requestsPerSecond;
+  private long requestCount;
+  private double loadFactor = 1;
+  private double hotCustomerFactor = 1;
+  private boolean sharedPrefix;
 
-  LoadSource(Scenario scenario, SplittableRandom random) {
+  LoadGenerator(Scenario scenario, SplittableRandom random) {
     this.random = random;
     this.engines = scenario.engines();
     this.services = scenario.services();
@@ -34,56 +34,60 @@
         IntStream.range(0, customers.size())
             .mapToDouble(i -> 1 / Math.pow(i + 1, scenario.customers().skew()))
             .toArray();
-    this.perSecond = kinds.stream().mapToDouble(Scenario.Kind::perSecond).sum();
+    this.requestsPerSecond = kinds.stream().mapToDouble(Scenario.Kind::perSecond).sum();
   }
 
-  /** The customers' names, the largest first. */
+  /** Returns the customers' names, ordered by load with the largest first. */
   List<String> customers() {
     return customers;
   }
 
-  /** Multiplies the load from now on. */
-  void factor(double times) {
-    factor = factor == 0 ? 0 : times;
+  /** Multiplies the scenario's load by {@code times} from now on; has no effect after a stop. */
+  void setLoadFactor(double times) {
+    loadFactor = loadFactor == 0 ? 0 : times;
   }
 
-  /** Multiplies the load of the largest customer from now on. */
-  void hotCustomer(double times) {
-    hotCustomer = times;
+  /**
+   * Multiplies the weight of the largest customer among all customers by {@code times} from now on.
+   * The total load stays the same.
+   */
+  void setHotCustomerFactor(double times) {
+    hotCustomerFactor = times;
   }
 
-  /** Gives half of the prompts of each kind the same beginning, or no more. */
-  void hotBeginning(boolean shared) {
-    hotBeginning = shared;
+  /** Sets whether half of the prompts of each kind begin with the same shared part. */
+  void setSharedPrefix(boolean shared) {
+    sharedPrefix = shared;
   }
 
-  /** Nobody sends any more. */
-  void end() {
-    factor = 0;
+  /** Stops the load for good: no further request is generated. */
+  void stop() {
+    loadFactor = 0;
   }
 
-  /** The time until the next request; empty if there is none. */
-  Optional<Duration> nextPause() {
-    if (factor == 0) {
+  /** Returns the time until the next request, or empty if the load has stopped. */
+  Optional<Duration> nextInterarrivalTime() {
+    if (loadFactor == 0) {
       return Optional.empty();
     }
-    double seconds = -Math.log(1 - random.nextDouble()) / (perSecond * factor);
+    double seconds = -Math.log(1 - random.nextDouble()) / (requestsPerSecond * loadFactor);
     return Optional.of(Duration.ofNanos(Math.round(seconds * 1e9)));
   }
 
-  /** Draws the next request. */
-  ModelRequest next() {
+  /** Generates the next request. */
+  ModelRequest nextRequest() {
     Scenario.Kind kind = drawKind();
     int customer = drawCustomer();
-    long number = ++requests;
+    long number = ++requestCount;
     if (!kind.streamed()) {
-      double work = services.work().toNanos() * spread(0.5);
+      double work = services.work().toNanos() * logNormalFactor(0.5);
       return new ModelRequest(
           number, kind, customers.get(customer), List.of(), 0, 0, Math.round(work));
     }
-    int subject = hotBeginning && random.nextBoolean() ? 0 : random.nextInt(kind.subjects());
-    long own = Math.max(1, Math.round(kind.ownTokens() * spread(1.0)));
-    long output = Math.max(1, Math.round(kind.events() * spread(0.5))) * engines.tokensPerEvent();
+    int subject = sharedPrefix && random.nextBoolean() ? 0 : random.nextInt(kind.subjects());
+    long own = Math.max(1, Math.round(kind.ownTokens() * logNormalFactor(1.0)));
+    long output =
+        Math.max(1, Math.round(kind.events() * logNormalFactor(0.5))) * engines.tokensPerEvent();
     List<PromptPart> parts =
         List.of(
             new PromptPart(kind.name() + "-" + subject, kind.sharedTokens()),
@@ -92,8 +96,8 @@
         number, kind, customers.get(customer), parts, kind.sharedTokens() + own, output, 0);
   }
 
-  /** A factor around 1, lognormal with {@code sigma}. */
-  private double spread(double sigma) {
+  /** Draws a factor with mean 1 from a log-normal distribution with {@code sigma}. */
+  private double logNormalFactor(double sigma) {
     double normal =
         Math.sqrt(-2 * Math.log(1 - random.nextDouble()))
             * Math.cos(2 * Math.PI * random.nextDouble());
@@ -101,7 +105,7 @@
   }
 
   private Scenario.Kind drawKind() {
-    double drawn = random.nextDouble() * perSecond;
+    double drawn = random.nextDouble() * requestsPerSecond;
     for (Scenario.Kind kind : kinds) {
       drawn -= kind.perSecond();
       if (drawn < 0) {
@@ -112,11 +116,11 @@
   }
 
   private int drawCustomer() {
-    double sum = hotCustomer - 1;
+    double sum = hotCustomerFactor - 1;
     for (double weight : customerWeights) {
       sum += weight;
     }
-    double drawn = random.nextDouble() * sum - (hotCustomer - 1);
+    double drawn = random.nextDouble() * sum - (hotCustomerFactor - 1);
     for (int i = 0; i < customerWeights.length; i++) {
       drawn -= customerWeights[i];
       if (drawn < 0) {
--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/Main.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/Main.java
@@ -5,13 +5,14 @@
 import org.teaseldeal.cli.ExitStatus;
 import org.teaseldeal.cli.Program;
 
-/** The model's command line. */
+/** Entry point of the model's command line. */
 public final class Main {
   private Main() {}
 
-  /** Runs one command and ends the process with its status. */
+  /** Runs one command and exits the process with its exit status. */
   public static void main(String[] args) {
-    // Before the first log line: what instances of the model lose and regain is part of the play.
+    // Has to be set before the first log line. The configuration logs errors only, because
+    // simulated instances lose and regain their dependencies as part of a scenario.
     System.setProperty("tinylog.configuration", "tinylog-model.properties");
     System.exit(program().run(System.out, System.err, args).code());
   }
--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/Mechanism.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/Mechanism.java
@@ -1,13 +1,13 @@
 package org.teaseldeal.model;
 
-/** What can be switched off, to see what it is worth. */
+/** A mechanism of the gateway that can be switched off, to compare results with and without it. */
 public enum Mechanism {
-  /** Instances ask each other for idle tokens when the log is slow or away. */
+  /** Instances draw idle tokens from each other while the shared log is slow or unreachable. */
   DRAWS,
-  /** Instances know what others have outstanding at the servers. */
+  /** Instances take into account what their peers have outstanding at the backend servers. */
   LOADS,
-  /** Instances know what others have sent to the servers' caches. */
+  /** Instances take into account which prompts their peers have sent to the servers' caches. */
   CACHES,
-  /** Instances that hear no other one don't ask holders. */
+  /** Instances that receive messages from no peer stop asking token holders. */
   ISOLATION
 }
--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelCaller.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelCaller.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** A caller with one request, which comes back once if it isn't served. */
+/** A caller with one request, which is sent a second time if the first attempt isn't served. */
 final class ModelCaller {
-  /** How a request came out, the better ones first. */
+  /** The outcome of a request, from best to worst. */
   enum Outcome {
     IN_TIME,
     LATE,
@@ -14,11 +14,11 @@
     FAILED
   }
 
-  /** One way between callers and instances. */
-  private static final Duration WAY = Duration.ofMillis(3);
+  /** Network delay in one direction between callers and instances. */
+  private static final Duration ONE_WAY_DELAY = Duration.ofMillis(3);
 
-  /** Until a caller comes back that wasn't told when. */
-  private static final Duration PAUSE = Duration.ofMillis(200);
+  /** Time until a caller retries if the answer doesn't name a time. */
+  private static final Duration DEFAULT_RETRY_DELAY = Duration.ofMillis(200);
 
   private static final int FIRST_SERVER_ERROR = 500;
   private static final int OK = 200;
@@ -27,105 +27,106 @@
   private final ModelFleet fleet;
   private final VirtualTime time;
   private final ModelRequest request;
-  private final long sentAt;
+  private final long sentAtNanos;
   private int attempts;
-  private boolean decided;
+  private boolean completed;
 
   ModelCaller(ModelFleet fleet, ModelRequest request) {
     this.fleet = fleet;
     this.time = fleet.time();
     this.request = request;
-    this.sentAt = time.nanos();
+    this.sentAtNanos = time.elapsedNanos();
   }
 
   void send() {
     attempts++;
-    time.after(WAY, this::arrive);
+    time.schedule(ONE_WAY_DELAY, this::reachInstance);
   }
 
-  private void arrive() {
-    Optional<ModelInstance> instance = fleet.balance();
-    Duration left = request.kind().deadline().minusNanos(time.nanos() - sentAt);
+  private void reachInstance() {
+    Optional<ModelInstance> instance = fleet.randomReadyInstance();
+    Duration left = request.kind().deadline().minusNanos(time.elapsedNanos() - sentAtNanos);
     if (instance.isEmpty() || left.isNegative() || left.isZero()) {
-      comeBackOr(PAUSE, Outcome.FAILED);
+      retryOrComplete(DEFAULT_RETRY_DELAY, Outcome.FAILED);
       return;
     }
     Attempt attempt = new Attempt();
     String id = request.number() + "-" + attempts;
     ModelExchange exchange = new ModelExchange(id, request, left, attempt);
-    fleet.onAttempt(id, request);
-    time.after(
+    fleet.registerAttempt(id, request);
+    time.schedule(
         left,
         () -> {
-          if (!decided) {
-            exchange.leave();
-            decide(Outcome.FAILED);
+          if (!completed) {
+            exchange.closeByCaller();
+            complete(Outcome.FAILED);
           }
         });
-    instance.get().take(exchange);
+    instance.get().accept(exchange);
   }
 
-  private void comeBackOr(Duration pause, Outcome otherwise) {
-    boolean inTime = time.nanos() - sentAt + pause.toNanos() < request.kind().deadline().toNanos();
+  private void retryOrComplete(Duration pause, Outcome otherwise) {
+    boolean inTime =
+        time.elapsedNanos() - sentAtNanos + pause.toNanos() < request.kind().deadline().toNanos();
     if (attempts < 2 && inTime) {
-      time.after(pause, this::send);
+      time.schedule(pause, this::send);
     } else {
-      decide(otherwise);
+      complete(otherwise);
     }
   }
 
-  private void decide(Outcome outcome) {
-    if (!decided) {
-      decided = true;
-      fleet.onDecided(request, outcome);
+  private void complete(Outcome outcome) {
+    if (!completed) {
+      completed = true;
+      fleet.onRequestCompleted(request, outcome);
     }
   }
 
-  private final class Attempt implements ModelExchange.Answers {
-    private long firstPart = -1;
-    private long lastPart;
-    private long longestPause;
+  private final class Attempt implements ModelExchange.ResponseListener {
+    private long firstPartAtNanos = -1;
+    private long lastPartAtNanos;
+    private long longestPauseNanos;
 
     @Override
-    public void onWhole(int status, Map<String, String> headers) {
+    public void onResponse(int status, Map<String, String> headers) {
       if (status == OK) {
         onPart();
         onEnd();
-      } else if (status == NOT_FOUND || !headers.containsKey(ModelDialect.COME_BACK)) {
+      } else if (status == NOT_FOUND || !headers.containsKey(ModelDialect.RETRY_AFTER_HEADER)) {
         Outcome outcome = status >= FIRST_SERVER_ERROR ? Outcome.FAILED : Outcome.REFUSED;
-        comeBackOr(PAUSE, outcome);
+        retryOrComplete(DEFAULT_RETRY_DELAY, outcome);
       } else {
-        long millis = Long.parseLong(headers.get(ModelDialect.COME_BACK));
-        comeBackOr(Duration.ofMillis(millis), Outcome.REFUSED);
+        long millis = Long.parseLong(headers.get(ModelDialect.RETRY_AFTER_HEADER));
+        retryOrComplete(Duration.ofMillis(millis), Outcome.REFUSED);
       }
     }
 
     @Override
     public void onPart() {
-      long now = time.nanos();
-      if (firstPart < 0) {
-        firstPart = now;
+      long now = time.elapsedNanos();
+      if (firstPartAtNanos < 0) {
+        firstPartAtNanos = now;
       } else {
-        longestPause = Math.max(longestPause, now - lastPart);
+        longestPauseNanos = Math.max(longestPauseNanos, now - lastPartAtNanos);
       }
-      lastPart = now;
+      lastPartAtNanos = now;
     }
 
     @Override
     public void onEnd() {
-      long began = firstPart + WAY.toNanos() - sentAt;
+      long began = firstPartAtNanos + ONE_WAY_DELAY.toNanos() - sentAtNanos;
       boolean prompt = began <= request.kind().aim().toNanos();
       boolean steady =
-          !request.kind().streamed() || longestPause <= request.kind().pauseAim().toNanos();
-      decide(prompt && steady ? Outcome.IN_TIME : Outcome.LATE);
+          !request.kind().streamed() || longestPauseNanos <= request.kind().pauseAim().toNanos();
+      complete(prompt && steady ? Outcome.IN_TIME : Outcome.LATE);
     }
 
     @Override
-    public void onBroken() {
-      if (firstPart < 0) {
-        comeBackOr(PAUSE, Outcome.FAILED);
+    public void onConnectionLost() {
+      if (firstPartAtNanos < 0) {
+        retryOrComplete(DEFAULT_RETRY_DELAY, Outcome.FAILED);
       } else {
-        decide(Outcome.FAILED);
+        complete(Outcome.FAILED);
       }
     }
   }
--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelDialect.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelDialect.java
@@ -15,18 +15,21 @@
 import org.teaseldeal.net.HttpCallRequest;
 import org.teaseldeal.net.HttpExchange;
 
-/** What callers and servers of the model say; nothing of it can be malformed. */
+/**
+ * The protocol between the model's callers, instances and servers. Messages are passed as objects,
+ * so a malformed one can't occur.
+ */
 final class ModelDialect implements Dialect {
   static final String HOST = "model";
 
-  /** Header of a refusal: milliseconds after which to come back. */
-  static final String COME_BACK = "come-back-ms";
+  /** Header of a refusal that holds the time in milliseconds after which the caller may retry. */
+  static final String RETRY_AFTER_HEADER = "come-back-ms";
 
-  /** Header of a server's answer that has not run the request. */
-  static final String FULL = "full";
+  /** Header of a server's answer that marks the request as not run. */
+  static final String NOT_RUN_HEADER = "full";
 
-  /** Header that names the request to the server. */
-  static final String REQUEST = "request";
+  /** Header that carries the attempt's id to the server. */
+  static final String ATTEMPT_ID_HEADER = "request";
 
   @Override
   public Result<RoutedRequest> read(HttpExchange exchange) {
@@ -65,7 +68,7 @@
         handover.address(),
         request.method(),
         request.target(),
-        Map.of(REQUEST, request.id()),
+        Map.of(ATTEMPT_ID_HEADER, request.id()),
         request.body(),
         handover.timeLeft());
   }
@@ -77,7 +80,7 @@
 
   @Override
   public AnswerVerdict verdict(int status, Map<String, String> headers) {
-    return headers.containsKey(FULL) ? AnswerVerdict.NOT_RUN : AnswerVerdict.GENUINE;
+    return headers.containsKey(NOT_RUN_HEADER) ? AnswerVerdict.NOT_RUN : AnswerVerdict.GENUINE;
   }
 
   @Override
@@ -91,7 +94,7 @@
         problem
             .retryAfter()
             .map(Duration::toMillis)
-            .map(millis -> Map.of(COME_BACK, String.valueOf(millis)))
+            .map(millis -> Map.of(RETRY_AFTER_HEADER, String.valueOf(millis)))
             .orElse(Map.of());
     return new HttpAnswer(problem.kind().status(), headers, new byte[0]);
   }
--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelEngine.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelEngine.java
@@ -10,18 +10,18 @@
 import org.teaseldeal.net.HttpCall;
 
 /**
- * A model engine that works in steps: in each it reads a chunk of the prompts that wait and
- * generates a token for each request that is read.
+ * A simulated inference engine that works in steps. In each step it reads one chunk of the running
+ * requests' prompts and generates a token for each request whose prompt has been read in full.
  */
 final class ModelEngine implements ModelServer {
-  private static final class Running {
+  private static final class ActiveRequest {
     private final ModelRequest request;
     private final Listener listener;
-    private long left;
-    private long generated;
-    private boolean counted;
+    private long promptTokensLeft;
+    private long generatedTokens;
+    private boolean usageRecorded;
 
-    Running(ModelRequest request, Listener listener) {
+    ActiveRequest(ModelRequest request, Listener listener) {
       this.request = request;
       this.listener = listener;
     }
@@ -29,21 +29,21 @@
 
   private final String name;
   private final VirtualTime time;
-  private final Scenario.Engines terms;
+  private final Scenario.Engines settings;
   private final TokenMeter meter;
-  private final Deque<Running> waiting = new ArrayDeque<>();
-  private final List<Running> running = new ArrayList<>();
+  private final Deque<ActiveRequest> waiting = new ArrayDeque<>();
+  private final List<ActiveRequest> running = new ArrayList<>();
   private final Map<String, Long> cache = new LinkedHashMap<>(64, 0.75f, true);
   private long cachedTokens;
-  private long readAgainTokens;
+  private long sharedTokensRead;
   private boolean stepping;
   private boolean down;
   private long incarnation;
 
-  ModelEngine(String name, VirtualTime time, Scenario.Engines terms, TokenMeter meter) {
+  ModelEngine(String name, VirtualTime time, Scenario.Engines settings, TokenMeter meter) {
     this.name = name;
     this.time = time;
-    this.terms = terms;
+    this.settings = settings;
     this.meter = meter;
   }
 
@@ -53,72 +53,72 @@
   }
 
   @Override
-  public boolean down() {
+  public boolean isDown() {
     return down;
   }
 
-  /** Tokens of shared parts that it has read. */
+  /** Returns the tokens of shared prompt parts that the engine read because they weren't cached. */
   long sharedTokensRead() {
-    return readAgainTokens;
+    return sharedTokensRead;
   }
 
   @Override
   public HttpCall run(ModelRequest request, Listener listener) {
-    Running entry = new Running(request, listener);
+    ActiveRequest entry = new ActiveRequest(request, listener);
     waiting.add(entry);
-    step();
+    startStep();
     return () -> {
       waiting.remove(entry);
       running.remove(entry);
-      charge(entry);
+      recordUsage(entry);
     };
   }
 
   @Override
-  public void crash(boolean isDown) {
-    down = isDown;
+  public void setDown(boolean newDown) {
+    down = newDown;
     incarnation++;
     cache.clear();
     cachedTokens = 0;
-    List<Running> lost = new ArrayList<>(running);
+    List<ActiveRequest> lost = new ArrayList<>(running);
     lost.addAll(waiting);
     running.clear();
     waiting.clear();
     stepping = false;
-    lost.forEach(this::charge);
-    lost.forEach(each -> each.listener.onBroken());
+    lost.forEach(this::recordUsage);
+    lost.forEach(each -> each.listener.onCrash());
   }
 
-  private void step() {
+  private void startStep() {
     if (stepping || down) {
       return;
     }
-    while (running.size() < terms.places() && !waiting.isEmpty()) {
-      Running next = waiting.remove();
-      next.left = uncached(next.request);
+    while (running.size() < settings.places() && !waiting.isEmpty()) {
+      ActiveRequest next = waiting.remove();
+      next.promptTokensLeft = uncachedTokens(next.request);
       running.add(next);
     }
     if (running.isEmpty()) {
       return;
     }
     stepping = true;
-    long budget = terms.chunk();
+    long budget = settings.chunk();
     long read = 0;
-    for (Running each : running) {
-      long part = Math.min(each.left, budget);
-      each.left -= part;
+    for (ActiveRequest each : running) {
+      long part = Math.min(each.promptTokensLeft, budget);
+      each.promptTokensLeft -= part;
       budget -= part;
       read += part;
     }
     double nanos =
-        terms.step().toNanos()
-            + (double) terms.stepPerPlace().toNanos() * running.size()
-            + read / terms.promptTokensPerMilli() * 1e6;
-    long born = incarnation;
-    time.afterNanos(
+        settings.step().toNanos()
+            + (double) settings.stepPerPlace().toNanos() * running.size()
+            + read / settings.promptTokensPerMilli() * 1e6;
+    long startedIn = incarnation;
+    time.scheduleNanos(
         Math.round(nanos),
         () -> {
-          if (born == incarnation) {
+          if (startedIn == incarnation) {
             endStep();
           }
         });
@@ -126,58 +126,62 @@
 
   private void endStep() {
     stepping = false;
-    for (Running each : List.copyOf(running)) {
-      if (each.left == 0 && running.contains(each)) {
-        generate(each);
+    for (ActiveRequest each : List.copyOf(running)) {
+      if (each.promptTokensLeft == 0 && running.contains(each)) {
+        generateToken(each);
       }
     }
-    step();
+    startStep();
   }
 
-  private void generate(Running each) {
-    each.generated++;
-    boolean last = each.generated >= each.request.outputTokens();
-    if (last || each.generated % terms.tokensPerEvent() == 0) {
+  private void generateToken(ActiveRequest each) {
+    each.generatedTokens++;
+    boolean last = each.generatedTokens >= each.request.outputTokens();
+    if (last || each.generatedTokens % settings.tokensPerEvent() == 0) {
       each.listener.onPart();
     }
     if (last && running.remove(each)) {
-      charge(each);
+      recordUsage(each);
       each.listener.onEnd();
     }
   }
 
-  private void charge(Running ended) {
-    if (!ended.counted) {
-      ended.counted = true;
-      boolean read = ended.left == 0 && ended.generated > 0;
-      meter.used(
-          ended.request.customer(), (read ? ended.request.inputTokens() : 0) + ended.generated);
+  private void recordUsage(ActiveRequest ended) {
+    if (!ended.usageRecorded) {
+      ended.usageRecorded = true;
+      boolean read = ended.promptTokensLeft == 0 && ended.generatedTokens > 0;
+      meter.usedTokens(
+          ended.request.customer(),
+          (read ? ended.request.inputTokens() : 0) + ended.generatedTokens);
     }
   }
 
-  /** What has to be read: all behind the first shared part that isn't cached. */
-  private long uncached(ModelRequest request) {
+  /**
+   * Returns the number of prompt tokens that have to be read: all from the first shared part on
+   * that isn't cached, and at least one. Also caches the request's shared parts.
+   */
+  private long uncachedTokens(ModelRequest request) {
     long tokens = request.inputTokens();
-    boolean held = true;
+    boolean prefixCached = true;
     List<PromptPart> parts = request.parts();
     for (PromptPart part : parts.subList(0, Math.max(0, parts.size() - 1))) {
-      held = held && cache.containsKey(part.id());
-      if (held) {
+      prefixCached = prefixCached && cache.containsKey(part.id());
+      if (prefixCached) {
         tokens -= part.tokens();
       } else {
-        readAgainTokens += part.tokens();
+        sharedTokensRead += part.tokens();
       }
-      keep(part);
+      cachePart(part);
     }
     return Math.max(1, tokens);
   }
 
-  private void keep(PromptPart part) {
+  private void cachePart(PromptPart part) {
     if (cache.put(part.id(), part.tokens()) == null) {
       cachedTokens += part.tokens();
     }
     var oldest = cache.entrySet().iterator();
-    while (cachedTokens > terms.cacheTokens() && oldest.hasNext()) {
+    while (cachedTokens > settings.cacheTokens() && oldest.hasNext()) {
       cachedTokens -= oldest.next().getValue();
       oldest.remove();
     }
--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelExchange.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelExchange.java
@@ -7,33 +7,34 @@
 import org.teaseldeal.net.HttpExchange;
 import org.teaseldeal.net.ResponseStream;
 
-/** One attempt of a caller at one instance, and how its answer comes back. */
+/** One attempt of a caller at one instance, which passes the answer on to the caller. */
 final class ModelExchange implements HttpExchange {
-  /** Hears what the instance answers, in order. */
-  interface Answers {
-    void onWhole(int status, Map<String, String> headers);
+  /** Receives the instance's answer, in order. */
+  interface ResponseListener {
+    void onResponse(int status, Map<String, String> headers);
 
     void onPart();
 
     void onEnd();
 
-    /** The connection is closed without a whole answer. */
-    void onBroken();
+    /** Called when the connection closes before the answer is complete. */
+    void onConnectionLost();
   }
 
   private final String attemptId;
   private final ModelRequest request;
   private final Duration timeLeft;
-  private final Answers answers;
-  private Runnable callerGone = () -> {};
-  private boolean answered;
-  private boolean over;
+  private final ResponseListener listener;
+  private Runnable onCallerGoneAction = () -> {};
+  private boolean responseStarted;
+  private boolean ended;
 
-  ModelExchange(String attemptId, ModelRequest request, Duration timeLeft, Answers answers) {
+  ModelExchange(
+      String attemptId, ModelRequest request, Duration timeLeft, ResponseListener listener) {
     this.attemptId = attemptId;
     this.request = request;
     this.timeLeft = timeLeft;
-    this.answers = answers;
+    this.listener = listener;
   }
 
   String attemptId() {
@@ -48,24 +49,24 @@
     return timeLeft;
   }
 
-  /** Whether its answer has ended. */
-  boolean over() {
-    return over;
+  /** Returns whether the answer is complete or the connection is closed. */
+  boolean ended() {
+    return ended;
   }
 
-  /** The caller closes its connection. */
-  void leave() {
-    if (!over) {
-      over = true;
-      callerGone.run();
+  /** Closes the connection on the caller's side. */
+  void closeByCaller() {
+    if (!ended) {
+      ended = true;
+      onCallerGoneAction.run();
     }
   }
 
-  /** The instance's process is gone. */
-  void lose() {
-    if (!over) {
-      over = true;
-      answers.onBroken();
+  /** Closes the connection on the instance's side, for example because its process ended. */
+  void breakConnection() {
+    if (!ended) {
+      ended = true;
+      listener.onConnectionLost();
     }
   }
 
@@ -106,41 +107,41 @@
 
   @Override
   public void respond(int status, Map<String, String> headers, byte[] body) {
-    begin();
-    if (!over) {
-      over = true;
-      answers.onWhole(status, headers);
+    startResponse();
+    if (!ended) {
+      ended = true;
+      listener.onResponse(status, headers);
     }
   }
 
   @Override
   public ResponseStream startStream(int status, Map<String, String> headers) {
-    begin();
+    startResponse();
     return new Stream();
   }
 
-  private void begin() {
-    if (answered) {
-      throw new IllegalStateException("attempt %s is answered twice".formatted(attemptId));
+  private void startResponse() {
+    if (responseStarted) {
+      throw new IllegalStateException("attempt %s was answered twice".formatted(attemptId));
     }
-    answered = true;
+    responseStarted = true;
   }
 
   @Override
   public void abort() {
-    lose();
+    breakConnection();
   }
 
   @Override
   public void onCallerGone(Runnable action) {
-    callerGone = action;
+    onCallerGoneAction = action;
   }
 
   private final class Stream implements ResponseStream {
     @Override
     public void write(byte[] part) {
-      if (!over && part.length > 0) {
-        answers.onPart();
+      if (!ended && part.length > 0) {
+        listener.onPart();
       }
     }
 
@@ -151,15 +152,15 @@
 
     @Override
     public void finish() {
-      if (!over) {
-        over = true;
-        answers.onEnd();
+      if (!ended) {
+        ended = true;
+        listener.onEnd();
       }
     }
 
     @Override
     public void abort() {
-      lose();
+      breakConnection();
     }
   }
 }
--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelFleet.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelFleet.java
@@ -26,30 +26,31 @@
 import org.teaseldeal.gateway.plan.WeightedService;
 
 /**
- * Plays a scenario: a fleet of instances with callers, backend servers and the shared log, on one
- * thread and one virtual clock. The same scenario, size, seed and mechanisms give the same play.
+ * Simulates a scenario: a fleet of instances with callers, backend servers and the shared log, on
+ * one thread and one virtual clock. The same scenario, size, seed and mechanisms give the same
+ * result.
  */
 public final class ModelFleet {
-  static final String ENGINES = "models";
-  static final String SERVICES = "desk";
+  static final String ENGINE_SERVICE = "models";
+  static final String PLAIN_SERVICE = "desk";
 
-  /** From the start of the instances until callers come. */
-  private static final Duration LEAD = Duration.ofSeconds(3);
+  /** Time between the start of the instances and the first request. */
+  private static final Duration WARM_UP = Duration.ofSeconds(3);
 
-  /** Answers that are under way at the end of the load are awaited. */
-  private static final Duration TAIL = Duration.ofSeconds(4);
+  /** Time after the end of the load in which requests in flight can complete. */
+  private static final Duration DRAIN_TIME = Duration.ofSeconds(4);
 
-  /** Until an instance that ended, or a server that crashed, runs again. */
-  private static final Duration RESTART = Duration.ofMillis(1_500);
+  /** Time until an instance whose process ended starts again. */
+  private static final Duration RESTART_DELAY = Duration.ofMillis(1_500);
 
-  /** Until all instances have heard that a server is gone or there. */
-  private static final Duration LIST_DELAY = Duration.ofMillis(1_000);
+  /** Time until the instances' server lists show that a server went down or came up. */
+  private static final Duration LISTING_DELAY = Duration.ofMillis(1_000);
 
-  private static final Duration CONFIGURATION_DELAY = Duration.ofMillis(200);
+  private static final Duration MAX_CONFIGURATION_DELAY = Duration.ofMillis(200);
 
   private final Scenario scenario;
   private final long seed;
-  private final Set<Mechanism> mechanisms;
+  private final Set<Mechanism> enabledMechanisms;
   private final VirtualTime time = new VirtualTime();
   private final SplittableRandom random;
   private final ModelNetwork network;
@@ -58,81 +59,82 @@
   private final Map<String, ModelServer> servers = new LinkedHashMap<>();
   private final Map<String, Instant> serverStarts = new HashMap<>();
   private final Map<String, ModelInstance> instances = new TreeMap<>();
-  private final Map<String, Long> bootedAt = new HashMap<>();
+  private final Map<String, Long> steadyClockOffsetsNanos = new HashMap<>();
   private final Map<String, ModelRequest> attempts = new HashMap<>();
-  private final Map<String, Integer> runsOfOnce = new HashMap<>();
-  private final Map<String, PlanOrder> planOrders = new HashMap<>();
-  private final Map<String, PlayResult.Tally> tallies = new TreeMap<>();
+  private final Map<String, Integer> runsOfAtMostOnceAttempts = new HashMap<>();
+  private final Map<String, PlanOrderCheck> planOrders = new HashMap<>();
+  private final Map<String, SimulationResult.Tally> tallies = new TreeMap<>();
   private final Map<String, Long> refusals = new TreeMap<>();
-  private final List<String> broken = new ArrayList<>();
-  private final LoadSource load;
-  private final FaultPlayer faults;
-  private Set<String> names = Set.of();
-  private long epochs;
+  private final List<String> violations = new ArrayList<>();
+  private final LoadGenerator load;
+  private final FaultInjector faults;
+  private Set<String> memberNames = Set.of();
+  private long lastEpoch;
   private long planVersion = 1;
 
   private ModelFleet(Scenario scenario, long seed, Set<Mechanism> off) {
     this.scenario = scenario;
     this.seed = seed;
-    this.mechanisms = EnumSet.allOf(Mechanism.class);
-    this.mechanisms.removeAll(off);
+    this.enabledMechanisms = EnumSet.allOf(Mechanism.class);
+    this.enabledMechanisms.removeAll(off);
     this.random = new SplittableRandom(seed);
     this.network = new ModelNetwork(time, scenario.links(), random.split());
     this.log = new ModelLog(time, network, scenario.log());
-    this.load = new LoadSource(scenario, random.split());
-    this.faults = new FaultPlayer(this, load, random.split());
+    this.load = new LoadGenerator(scenario, random.split());
+    this.faults = new FaultInjector(this, load, random.split());
   }
 
   /**
-   * Plays {@code scenario} with {@code size} instances.
+   * Simulates {@code scenario} with {@code size} instances.
    *
    * @param off mechanisms that are switched off
    */
-  public static PlayResult play(Scenario scenario, int size, long seed, Set<Mechanism> off) {
+  public static SimulationResult simulate(
+      Scenario scenario, int size, long seed, Set<Mechanism> off) {
     Scenario scaled = size == scenario.instances() ? scenario : scenario.scaledTo(size);
-    return new ModelFleet(scaled, seed, off).play();
+    return new ModelFleet(scaled, seed, off).simulate();
   }
 
-  private PlayResult play() {
+  private SimulationResult simulate() {
     for (int i = 0; i < scenario.engines().count(); i++) {
-      add(new ModelEngine("engine-" + i, time, scenario.engines(), meter));
+      addServer(new ModelEngine("engine-" + i, time, scenario.engines(), meter));
     }
     for (int i = 0; i < scenario.services().count(); i++) {
-      add(new ModelService("desk-" + i, time, scenario.services()));
+      addServer(new ModelService("desk-" + i, time, scenario.services()));
     }
     List<String> all = new ArrayList<>();
     for (int i = 0; i < scenario.instances(); i++) {
       all.add("front-%03d".formatted(i));
     }
-    names = Set.copyOf(all);
-    all.forEach(network::addInstance);
-    all.forEach(this::start);
-    time.after(LEAD, this::nextArrival);
+    memberNames = Set.copyOf(all);
+    all.forEach(network::addLink);
+    all.forEach(this::startInstance);
+    time.schedule(WARM_UP, this::scheduleNextRequest);
     scenario
         .faults()
-        .forEach(fault -> time.after(LEAD.plus(fault.at()), () -> faults.begin(fault)));
-    Duration end = LEAD.plus(scenario.duration());
+        .forEach(fault -> time.schedule(WARM_UP.plus(fault.at()), () -> faults.inject(fault)));
+    Duration end = WARM_UP.plus(scenario.duration());
     time.runUntil(end);
-    load.end();
-    time.runUntil(end.plus(TAIL));
-    checkTotals();
+    load.stop();
+    time.runUntil(end.plus(DRAIN_TIME));
+    checkPrepaidTotals();
     return result();
   }
 
-  private void add(ModelServer server) {
+  private void addServer(ModelServer server) {
     servers.put(server.name(), server);
     serverStarts.put(server.name(), time.instant());
   }
 
-  private void start(String name) {
-    bootedAt.putIfAbsent(name, 0L);
-    ModelInstance instance = new ModelInstance(name, this, ++epochs);
+  private void startInstance(String name) {
+    steadyClockOffsetsNanos.putIfAbsent(name, 0L);
+    ModelInstance instance = new ModelInstance(name, this, ++lastEpoch);
     instances.put(name, instance);
-    time.after(CONFIGURATION_DELAY, () -> instance.configure(plan()));
+    time.schedule(MAX_CONFIGURATION_DELAY, () -> instance.configure(plan()));
     planOrders.remove(name);
   }
 
-  // What instances work with.
+  // Accessors for instances, callers and the fault injector.
 
   VirtualTime time() {
     return time;
@@ -146,20 +148,20 @@
     return log;
   }
 
-  Set<String> names() {
-    return names;
+  Set<String> memberNames() {
+    return memberNames;
   }
 
-  boolean has(Mechanism mechanism) {
-    return mechanisms.contains(mechanism);
+  boolean isEnabled(Mechanism mechanism) {
+    return enabledMechanisms.contains(mechanism);
   }
 
   long nextSeed() {
     return random.nextLong();
   }
 
-  List<ModelServer> servers() {
-    return servers.values().stream().filter(server -> !server.down()).toList();
+  List<ModelServer> runningServers() {
+    return servers.values().stream().filter(server -> !server.isDown()).toList();
   }
 
   ModelServer server(String name) {
@@ -170,7 +172,7 @@
     return server;
   }
 
-  Instant startOf(ModelServer server) {
+  Instant startTimeOf(ModelServer server) {
     return serverStarts.getOrDefault(server.name(), Instant.EPOCH);
   }
 
@@ -178,26 +180,27 @@
     return engine ? scenario.engines().places() : scenario.services().places();
   }
 
-  /** All instances' names, in order. */
+  /** Returns the names of all instances, in ascending order. */
   List<String> instanceNames() {
     return List.copyOf(instances.keySet());
   }
 
-  /** All servers' names, in order. */
+  /** Returns the names of all servers, in the order of their creation. */
   List<String> serverNames() {
     return List.copyOf(servers.keySet());
   }
 
-  Optional<ModelInstance> running(String name) {
+  Optional<ModelInstance> runningInstance(String name) {
     return Optional.ofNullable(instances.get(name)).filter(ModelInstance::alive);
   }
 
-  ClockReading machineClock(String name) {
+  ClockReading clockReading(String name) {
     return new ClockReading(
-        time.nanos() + bootedAt.getOrDefault(name, 0L), time.instant().toEpochMilli());
+        time.elapsedNanos() + steadyClockOffsetsNanos.getOrDefault(name, 0L),
+        time.instant().toEpochMilli());
   }
 
-  static byte[] event(int number) {
+  static byte[] eventFrame(int number) {
     return "id: %d\ndata: x\n\n".formatted(number).getBytes(StandardCharsets.UTF_8);
   }
 
@@ -218,7 +221,9 @@
                         kind.pauseAim(),
                         0,
                         kind.answer() == Scenario.Answer.REPEATABLE ? 2 : 1,
-                        List.of(new WeightedService(kind.streamed() ? ENGINES : SERVICES, 1))))
+                        List.of(
+                            new WeightedService(
+                                kind.streamed() ? ENGINE_SERVICE : PLAIN_SERVICE, 1))))
             .toList();
     List<PrepaidCustomer> customers = new ArrayList<>();
     for (String customer : load.customers()) {
@@ -233,8 +238,8 @@
         planVersion,
         routes,
         List.of(
-            new PlannedService(ENGINES, 1_000, scenario.engines().tokensPerEvent()),
-            new PlannedService(SERVICES, 1_000, 0)),
+            new PlannedService(ENGINE_SERVICE, 1_000, scenario.engines().tokensPerEvent()),
+            new PlannedService(PLAIN_SERVICE, 1_000, 0)),
         customers,
         CallerLimits.untilPublished());
   }
@@ -249,36 +254,36 @@
 
   // Callers.
 
-  private void nextArrival() {
-    load.nextPause()
+  private void scheduleNextRequest() {
+    load.nextInterarrivalTime()
         .ifPresent(
             pause -> {
-              time.after(pause, this::nextArrival);
-              new ModelCaller(this, load.next()).send();
+              time.schedule(pause, this::scheduleNextRequest);
+              new ModelCaller(this, load.nextRequest()).send();
             });
   }
 
-  /** An instance that is ready, any. */
-  Optional<ModelInstance> balance() {
+  /** Returns a random instance among those that are ready, as a load balancer would. */
+  Optional<ModelInstance> randomReadyInstance() {
     List<ModelInstance> ready = instances.values().stream().filter(ModelInstance::ready).toList();
     return ready.isEmpty()
         ? Optional.empty()
         : Optional.of(ready.get(random.nextInt(ready.size())));
   }
 
-  void onAttempt(String id, ModelRequest request) {
+  void registerAttempt(String id, ModelRequest request) {
     attempts.put(id, request);
   }
 
   ModelRequest requestOf(String attempt) {
     ModelRequest request = attempts.get(attempt);
     if (request == null) {
-      throw new IllegalArgumentException("no attempt is named " + attempt);
+      throw new IllegalArgumentException("no attempt has the id " + attempt);
     }
     return request;
   }
 
-  void onDecided(ModelRequest request, ModelCaller.Outcome outcome) {
+  void onRequestCompleted(ModelRequest request, ModelCaller.Outcome outcome) {
     Scenario.Kind kind = request.kind();
     double worth =
         switch (outcome) {
@@ -288,7 +293,7 @@
         };
     tallies.merge(
         kind.name(),
-        new PlayResult.Tally(
+        new SimulationResult.Tally(
             1,
             outcome == ModelCaller.Outcome.IN_TIME ? 1 : 0,
             outcome == ModelCaller.Outcome.LATE ? 1 : 0,
@@ -296,17 +301,17 @@
             outcome == ModelCaller.Outcome.FAILED ? 1 : 0,
             worth,
             kind.worth()),
-        PlayResult.Tally::plus);
+        SimulationResult.Tally::plus);
   }
 
-  // Promises.
+  // Invariants.
 
-  /** A server begins to run an attempt. */
-  void onRun(String attempt) {
+  /** Records that a server starts to run an attempt, and checks for one that is run twice. */
+  void onAttemptStarted(String attempt) {
     ModelRequest request = requestOf(attempt);
     if (request.kind().answer() == Scenario.Answer.ONCE
-        && runsOfOnce.merge(attempt, 1, Integer::sum) > 1) {
-      broken.add("attempt %s ran twice".formatted(attempt));
+        && runsOfAtMostOnceAttempts.merge(attempt, 1, Integer::sum) > 1) {
+      violations.add("attempt %s ran twice".formatted(attempt));
     }
   }
 
@@ -316,98 +321,107 @@
         refusals.merge(ended.outcome(), 1L, Long::sum);
       }
       if (ended.plan() > planVersion) {
-        broken.add("%s answered under plan %d, which isn't out".formatted(instance, ended.plan()));
+        violations.add(
+            "%s answered under plan %d, which isn't published yet"
+                .formatted(instance, ended.plan()));
       }
-      long began = time.nanos() - ended.took().toNanos();
+      long began = time.elapsedNanos() - ended.took().toNanos();
       if (ended.plan() > 0 && !planOrder(instance).add(began, ended.plan())) {
-        broken.add("%s went back to plan %d".formatted(instance, ended.plan()));
+        violations.add("%s went back to plan %d".formatted(instance, ended.plan()));
       }
     }
   }
 
-  private PlanOrder planOrder(String instance) {
-    return planOrders.computeIfAbsent(instance, name -> new PlanOrder());
+  private PlanOrderCheck planOrder(String instance) {
+    return planOrders.computeIfAbsent(instance, name -> new PlanOrderCheck());
   }
 
-  private void checkTotals() {
+  private void checkPrepaidTotals() {
     long prepaid = scenario.customers().prepaid();
     for (String customer : load.customers()) {
-      long used = meter.of(customer);
+      long used = meter.tokensOf(customer);
       if (used > prepaid) {
-        broken.add("%s used %d tokens of %d".formatted(customer, used, prepaid));
+        violations.add("%s used %d tokens of %d".formatted(customer, used, prepaid));
       }
     }
   }
 
-  // What happens to it.
+  // Faults.
 
-  /** An instance loses power, and starts again. */
-  void power(String name) {
-    running(name).ifPresent(ModelInstance::kill);
-    bootedAt.merge(name, 1_000_000_000_000L, Long::sum);
-    time.after(RESTART, () -> start(name));
+  /**
+   * Ends an instance as by a loss of power, and starts it again. Its steady clock jumps by 1000 s,
+   * since such a clock starts anew with each boot.
+   */
+  void losePower(String name) {
+    runningInstance(name).ifPresent(ModelInstance::kill);
+    steadyClockOffsetsNanos.merge(name, 1_000_000_000_000L, Long::sum);
+    time.schedule(RESTART_DELAY, () -> startInstance(name));
   }
 
-  /** An instance has stopped as it was told. */
-  void onStopped(String name) {
-    time.after(RESTART, () -> start(name));
+  /** Starts an instance again after an orderly stop. */
+  void restartAfterStop(String name) {
+    time.schedule(RESTART_DELAY, () -> startInstance(name));
   }
 
-  /** A server crashes, and starts again with nothing. */
-  void crash(ModelServer server, Duration lasting) {
-    server.crash(true);
-    time.after(LIST_DELAY, () -> list(server, false));
-    time.after(
+  /** Crashes a server, which starts again without requests and cache after {@code lasting}. */
+  void crashServer(ModelServer server, Duration lasting) {
+    server.setDown(true);
+    time.schedule(LISTING_DELAY, () -> updateListings(server, false));
+    time.schedule(
         lasting,
         () -> {
-          server.crash(false);
+          server.setDown(false);
           serverStarts.put(server.name(), time.instant());
-          time.after(LIST_DELAY, () -> list(server, true));
+          time.schedule(LISTING_DELAY, () -> updateListings(server, true));
         });
   }
 
-  private void list(ModelServer server, boolean present) {
-    if (present != server.down()) {
+  private void updateListings(ModelServer server, boolean present) {
+    if (present != server.isDown()) {
       instances.values().stream()
           .filter(ModelInstance::alive)
-          .forEach(instance -> instance.list(server, present));
+          .forEach(instance -> instance.updateListing(server, present));
     }
   }
 
-  /** A configuration with the next version comes out. */
-  void publish() {
+  /** Publishes a configuration with the next version, which each instance gets after a delay. */
+  void publishConfiguration() {
     planVersion++;
     GatewayPlan next = plan();
     for (ModelInstance instance : instances.values()) {
-      long delay = random.nextLong(CONFIGURATION_DELAY.toNanos());
-      time.afterNanos(delay, () -> instance.configure(next));
+      long delay = random.nextLong(MAX_CONFIGURATION_DELAY.toNanos());
+      time.scheduleNanos(delay, () -> instance.configure(next));
     }
   }
 
   // Result.
 
-  private PlayResult result() {
-    double seconds = scenario.duration().plus(LEAD).plus(TAIL).toMillis() / 1e3;
-    double all = scenario.instances() * seconds;
+  private SimulationResult result() {
+    double seconds = scenario.duration().plus(WARM_UP).plus(DRAIN_TIME).toMillis() / 1e3;
+    double instanceSeconds = scenario.instances() * seconds;
     double messages = 0;
-    double octets = 0;
-    for (String name : names) {
-      messages += network.control(name).messages;
-      octets += network.control(name).octets;
+    double bytes = 0;
+    for (String name : memberNames) {
+      messages += network.trafficOf(name).messages;
+      bytes += network.trafficOf(name).bytes;
     }
-    long shared =
+    long sharedTokensRead =
         servers.values().stream()
             .filter(ModelEngine.class::isInstance)
             .mapToLong(server -> ((ModelEngine) server).sharedTokensRead())
             .sum();
-    return new PlayResult(
+    return new SimulationResult(
         scenario.name(),
         scenario.instances(),
         seed,
         tallies,
         refusals,
-        new PlayResult.Cost(
-            messages / all, octets / all, log.appends() / all, log.reads() / all, shared),
-        broken);
+        new SimulationResult.Cost(
+            messages / instanceSeconds,
+            bytes / instanceSeconds,
+            log.appends() / instanceSeconds,
+            log.reads() / instanceSeconds,
+            sharedTokensRead),
+        violations);
   }
 }
--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelInstance.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelInstance.java
@@ -39,35 +39,35 @@
 import org.teaseldeal.net.HttpFailure;
 import org.teaseldeal.net.HttpListener;
 
-/** One process of an instance: the gateway's parts, on the model's network. */
+/** One process of an instance: the gateway's components, connected to the simulated network. */
 final class ModelInstance {
-  private static final Duration TICK = Duration.ofMillis(20);
-  private static final Duration IDLE_READ = Duration.ofMillis(300);
+  private static final Duration TICK_INTERVAL = Duration.ofMillis(20);
+  private static final Duration IDLE_READ_INTERVAL = Duration.ofMillis(300);
 
-  /** Until a connection that nobody answers counts as failed. */
+  /** Time after which a connection attempt without an answer counts as failed. */
   private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(250);
 
-  /** Beyond its patience, for a call between instances. */
-  private static final Duration WAY = Duration.ofMillis(150);
+  /** Time that a call between instances may take in addition to the wait that it asks for. */
+  private static final Duration CALL_OVERHEAD_TIMEOUT = Duration.ofMillis(150);
 
-  private static final Duration GRACE = Duration.ofSeconds(8);
-  private static final int CALL_OCTETS = 250;
-  private static final int EVENT_OCTETS = 60;
+  private static final Duration SHUTDOWN_GRACE = Duration.ofSeconds(8);
+  private static final int CALL_BYTES = 250;
+  private static final int EVENT_BYTES = 60;
   private static final GatewayLimits LIMITS = new GatewayLimits(0.2, 100, Duration.ofSeconds(10));
 
   private final String name;
   private final ModelFleet fleet;
   private final VirtualTime time;
   private final ServerDirectory servers = new ServerDirectory();
-  private final CachedPrompts cached = new CachedPrompts();
+  private final CachedPrompts cachedPrompts = new CachedPrompts();
   private final AccountBook accounts;
-  private final HolderAnswers holderAnswers;
+  private final HolderAnswers holderService;
   private final FleetLog accountLog;
-  private final TokenRequests tokens;
-  private final TokenDraws draws;
-  private final LoadExchange loads;
-  private final RequestDesk desk;
-  private final Set<ModelExchange> open = new LinkedHashSet<>();
+  private final TokenRequests tokenRequests;
+  private final TokenDraws tokenDraws;
+  private final LoadExchange loadExchange;
+  private final RequestDesk dispatcher;
+  private final Set<ModelExchange> openExchanges = new LinkedHashSet<>();
   private @Nullable GatewayPlan plan;
   private @Nullable DrainPhases drain;
   private DrainPhases.Phase phase = DrainPhases.Phase.ACCEPTING;
@@ -77,7 +77,7 @@
     this.name = name;
     this.fleet = fleet;
     this.time = fleet.time();
-    TokenHolders holders = new TokenHolders(name, fleet::names);
+    TokenHolders holders = new TokenHolders(name, fleet::memberNames);
     accounts =
         new AccountBook(
             name,
@@ -85,43 +85,47 @@
             holders,
             this::onEvent,
             time,
-            fleet.machineClock(name),
-            () -> fleet.machineClock(name),
+            fleet.clockReading(name),
+            () -> fleet.clockReading(name),
             () -> Optional.of(heartbeats()));
-    holderAnswers = new HolderAnswers(accounts, time);
-    tokens =
-        new TokenRequests(accounts, holders, new Holders(), this::othersHeard, this::onEvent, time);
-    draws = new TokenDraws(accounts, this::draw, this::onEvent, time, new Random(fleet.nextSeed()));
+    holderService = new HolderAnswers(accounts, time);
+    tokenRequests =
+        new TokenRequests(
+            accounts, holders, new RemoteHolders(), this::peersReachable, this::onEvent, time);
+    tokenDraws =
+        new TokenDraws(
+            accounts, this::drawTokens, this::onEvent, time, new Random(fleet.nextSeed()));
     accountLog =
-        new FleetLog(fleet.log().port(name), name, epoch, time, IDLE_READ, List.of(accounts));
-    loads =
+        new FleetLog(
+            fleet.log().clientOf(name), name, epoch, time, IDLE_READ_INTERVAL, List.of(accounts));
+    loadExchange =
         new LoadExchange(
             name,
             servers,
-            fleet.has(Mechanism.CACHES) ? cached : new CachedPrompts(),
-            fleet::names,
+            fleet.isEnabled(Mechanism.CACHES) ? cachedPrompts : new CachedPrompts(),
+            fleet::memberNames,
             Optional::of,
             this::sendDatagram,
             time);
-    desk =
+    dispatcher =
         new RequestDesk(
             new GatewayParts(
                 () -> plan,
                 servers,
-                tokens,
+                tokenRequests,
                 new RequestQuarantine(name, servers::lists, this::onEvent, time),
                 new ModelDialect(),
-                this::send,
-                fleet.has(Mechanism.LOADS) ? loads::others : () -> FleetLoad.NONE,
-                cached,
-                () -> fleet.names().size(),
+                this::sendToServer,
+                fleet.isEnabled(Mechanism.LOADS) ? loadExchange::others : () -> FleetLoad.NONE,
+                cachedPrompts,
+                () -> fleet.memberNames().size(),
                 LIMITS,
                 this::onEvent,
                 time,
                 new Random(fleet.nextSeed())));
-    fleet.servers().forEach(server -> list(server, true));
-    long phaseNanos = new Random(fleet.nextSeed()).nextLong(TICK.toNanos());
-    time.afterNanos(phaseNanos, this::tick);
+    fleet.runningServers().forEach(server -> updateListing(server, true));
+    long phaseNanos = new Random(fleet.nextSeed()).nextLong(TICK_INTERVAL.toNanos());
+    time.scheduleNanos(phaseNanos, this::tick);
   }
 
   String name() {
@@ -132,20 +136,20 @@
     return alive;
   }
 
-  /** Whether the balancer gives it requests. */
+  /** Returns whether the load balancer sends requests to this instance. */
   boolean ready() {
     return alive && drain == null && plan != null && accountLog.ready();
   }
 
-  /** Takes in a configuration. */
+  /** Puts a configuration in force unless its version is in force already or out of date. */
   void configure(GatewayPlan next) {
     if (plan == null || plan.version() < next.version()) {
       plan = next;
     }
   }
 
-  /** Hears that a server is there, or gone. */
-  void list(ModelServer server, boolean present) {
+  /** Adds a backend server to this instance's list, or removes it. */
+  void updateListing(ModelServer server, boolean present) {
     BackendServerId id = new BackendServerId(server.name());
     if (!present) {
       servers.remove(id);
@@ -155,32 +159,32 @@
     servers.put(
         new ServerListing(
             id,
-            engine ? ModelFleet.ENGINES : ModelFleet.SERVICES,
+            engine ? ModelFleet.ENGINE_SERVICE : ModelFleet.PLAIN_SERVICE,
             server.name(),
             "",
             fleet.places(engine),
             false,
-            Optional.of(fleet.startOf(server))));
+            Optional.of(fleet.startTimeOf(server))));
   }
 
-  /** Takes a caller's attempt in. */
-  void take(ModelExchange exchange) {
-    open.add(exchange);
-    desk.handle(exchange);
+  /** Accepts a caller's attempt. */
+  void accept(ModelExchange exchange) {
+    openExchanges.add(exchange);
+    dispatcher.handle(exchange);
   }
 
-  /** Ends at once, as by a loss of power. */
+  /** Ends this process at once, as a loss of power does; open exchanges are broken off. */
   void kill() {
     alive = false;
-    List<ModelExchange> lost = new ArrayList<>(open);
-    open.clear();
-    lost.forEach(ModelExchange::lose);
+    List<ModelExchange> lost = new ArrayList<>(openExchanges);
+    openExchanges.clear();
+    lost.forEach(ModelExchange::breakConnection);
   }
 
-  /** Begins to stop. */
+  /** Starts an orderly stop: drains requests and returns tokens. */
   void stop() {
-    drain = new DrainPhases(time.instant(), GRACE);
-    desk.drain(drain.admission());
+    drain = new DrainPhases(time.instant(), SHUTDOWN_GRACE);
+    dispatcher.drain(drain.admission());
     accounts.close();
   }
 
@@ -190,17 +194,17 @@
     }
     accountLog.tick();
     accounts.logReachable(!accountLog.troubled());
-    loads.tick();
+    loadExchange.tick();
     accounts.tick();
-    tokens.tick();
-    if (fleet.has(Mechanism.DRAWS)) {
-      draws.tick();
+    tokenRequests.tick();
+    if (fleet.isEnabled(Mechanism.DRAWS)) {
+      tokenDraws.tick();
     }
-    desk.tick();
-    open.removeIf(ModelExchange::over);
+    dispatcher.tick();
+    openExchanges.removeIf(ModelExchange::ended);
     stepDrain();
     if (alive) {
-      time.after(TICK, this::tick);
+      time.schedule(TICK_INTERVAL, this::tick);
     }
   }
 
@@ -210,24 +214,25 @@
       return;
     }
     DrainPhases.Phase next =
-        phases.next(time.instant(), new DrainPhases.Left(open.size(), accounts.allReturned()));
+        phases.next(
+            time.instant(), new DrainPhases.Left(openExchanges.size(), accounts.allReturned()));
     if (next == phase) {
       return;
     }
     phase = next;
     switch (next) {
       case ACCEPTING, SHORT_ONLY, CLOSING, LEAVING -> {}
-      case REFUSING -> desk.refuseAll();
-      case BREAKING_OFF -> desk.breakOffAll();
+      case REFUSING -> dispatcher.refuseAll();
+      case BREAKING_OFF -> dispatcher.breakOffAll();
       case DONE -> {
         kill();
-        fleet.onStopped(name);
+        fleet.restartAfterStop(name);
       }
     }
   }
 
-  private boolean othersHeard() {
-    return !fleet.has(Mechanism.ISOLATION) || loads.othersHeard();
+  private boolean peersReachable() {
+    return !fleet.isEnabled(Mechanism.ISOLATION) || loadExchange.othersHeard();
   }
 
   private void onEvent(GatewayEvent event) {
@@ -235,56 +240,66 @@
   }
 
   private OptionalLong prepaid(String customer) {
-    GatewayPlan known = plan;
-    return known == null
+    GatewayPlan current = plan;
+    return current == null
         ? OptionalLong.empty()
-        : known.customer(customer).map(PrepaidCustomer::prepaid).orElse(OptionalLong.empty());
+        : current.customer(customer).map(PrepaidCustomer::prepaid).orElse(OptionalLong.empty());
   }
 
   private HeartbeatCount heartbeats() {
-    return new HeartbeatCount(time.nanos() / 50_000_000, 20);
+    // One heartbeat per 50 ms, which is 20 per second.
+    return new HeartbeatCount(time.elapsedNanos() / 50_000_000, 20);
   }
 
   private void sendDatagram(String to, byte[] message) {
     fleet
         .network()
-        .datagram(
+        .sendDatagram(
             name,
             to,
             message.length,
-            () -> fleet.running(to).ifPresent(other -> other.hear(message)));
+            () -> fleet.runningInstance(to).ifPresent(other -> other.receiveDatagram(message)));
   }
 
-  private void hear(byte[] message) {
-    loads.receive(message);
+  private void receiveDatagram(byte[] message) {
+    loadExchange.receive(message);
   }
 
-  /** Asks another instance, which answers by {@code reply}; nothing comes back if it is away. */
-  private <T> void call(
+  /**
+   * Calls another instance and passes its answer to {@code answer}, or {@code otherwise} if none
+   * arrives in time.
+   *
+   * @param maxWait the time that the other instance may take to answer
+   * @param asked runs at the other instance and passes its answer to the consumer given
+   */
+  private <T> void callPeer(
       String to,
-      Duration patience,
+      Duration maxWait,
       T otherwise,
       Consumer<T> answer,
       BiConsumer<ModelInstance, Consumer<T>> asked) {
-    boolean[] over = new boolean[1];
+    boolean[] completed = new boolean[1];
     Consumer<T> once =
         result -> {
-          if (!over[0] && alive) {
-            over[0] = true;
+          if (!completed[0] && alive) {
+            completed[0] = true;
             answer.accept(result);
           }
         };
-    boolean reached = fleet.network().connected(name, to) && fleet.running(to).isPresent();
-    time.after(reached ? patience.plus(WAY) : CONNECT_TIMEOUT, () -> once.accept(otherwise));
+    boolean reached =
+        fleet.network().isConnected(name, to) && fleet.runningInstance(to).isPresent();
+    time.schedule(
+        reached ? maxWait.plus(CALL_OVERHEAD_TIMEOUT) : CONNECT_TIMEOUT,
+        () -> once.accept(otherwise));
     fleet
         .network()
-        .control(
+        .sendOnConnection(
             name,
             to,
-            CALL_OCTETS,
+            CALL_BYTES,
             () ->
                 fleet
-                    .running(to)
+                    .runningInstance(to)
                     .ifPresent(
                         other ->
                             asked.accept(
@@ -292,126 +307,128 @@
                                 result ->
                                     fleet
                                         .network()
-                                        .control(
-                                            to, name, CALL_OCTETS, () -> once.accept(result)))));
+                                        .sendOnConnection(
+                                            to, name, CALL_BYTES, () -> once.accept(result)))));
   }
 
-  private void draw(String from, String customer, long wanted, Consumer<OptionalLong> given) {
-    call(
+  private void drawTokens(
+      String from, String customer, long wanted, Consumer<OptionalLong> answer) {
+    callPeer(
         from,
-        WAY,
+        CALL_OVERHEAD_TIMEOUT,
         OptionalLong.empty(),
-        given,
+        answer,
         (other, reply) -> reply.accept(OptionalLong.of(other.accounts.give(customer, wanted))));
   }
 
-  /** Holders are asked over the network, as the product's own calls do. */
-  private final class Holders implements HolderPort {
+  /** Calls token holders over the simulated network, as the gateway's peer calls do. */
+  private final class RemoteHolders implements HolderPort {
     @Override
     public void ask(String holder, Ask ask, Consumer<Answer> answer) {
-      call(
+      callPeer(
           holder,
           ask.patience(),
           new Answer.Unreachable("no answer"),
           answer,
-          (other, reply) -> other.reserveFor(ask, reply));
+          (other, reply) -> other.reserveForPeer(ask, reply));
     }
 
     @Override
     public void giveBack(String holder, String customer, long unused) {
       fleet
           .network()
-          .control(
+          .sendOnConnection(
               name,
               holder,
-              CALL_OCTETS,
+              CALL_BYTES,
               () ->
                   fleet
-                      .running(holder)
+                      .runningInstance(holder)
                       .ifPresent(other -> other.accounts.takeBack(customer, unused)));
     }
   }
 
-  private void reserveFor(HolderPort.Ask ask, Consumer<HolderPort.Answer> reply) {
+  private void reserveForPeer(HolderPort.Ask ask, Consumer<HolderPort.Answer> reply) {
     if (!accounts.servesOthers(ask.customer())) {
-      reply.accept(new HolderPort.Answer.Unreachable("it doesn't serve others"));
+      reply.accept(new HolderPort.Answer.Unreachable("the holder doesn't reserve for peers"));
       return;
     }
-    holderAnswers.answer(ask, reply);
+    holderService.answer(ask, reply);
   }
 
-  /** Sends a request to a backend server. */
-  private HttpCall send(HttpCallRequest sent, HttpListener listener) {
-    ServerCall call = new ServerCall(sent, listener);
+  /** Sends a request to a backend server; the returned call cancels it. */
+  private HttpCall sendToServer(HttpCallRequest request, HttpListener listener) {
+    ServerCall call = new ServerCall(request, listener);
     call.start();
     return call;
   }
 
   private final class ServerCall implements HttpCall, ModelServer.Listener {
-    private final HttpCallRequest sent;
+    private final HttpCallRequest request;
     private final HttpListener listener;
     private final ModelServer server;
-    private HttpCall atServer = () -> {};
+    private HttpCall serverRun = () -> {};
     private boolean headSent;
-    private int parts;
-    private boolean over;
+    private int partCount;
+    private boolean ended;
 
-    ServerCall(HttpCallRequest sent, HttpListener listener) {
-      this.sent = sent;
+    ServerCall(HttpCallRequest request, HttpListener listener) {
+      this.request = request;
       this.listener = listener;
-      this.server = fleet.server(sent.address());
+      this.server = fleet.server(request.address());
     }
 
     void start() {
-      if (server.down()) {
-        time.after(fleet.network().delay().multipliedBy(2), () -> fail(HttpFailure.NOT_SENT));
+      if (server.isDown()) {
+        time.schedule(
+            fleet.network().oneWayDelay().multipliedBy(2), () -> fail(HttpFailure.NOT_SENT));
         return;
       }
-      time.after(
-          sent.timeout(),
+      time.schedule(
+          request.timeout(),
           () -> {
-            if (!over) {
-              atServer.cancel();
+            if (!ended) {
+              serverRun.cancel();
               fail(HttpFailure.NO_ANSWER);
             }
           });
       fleet
           .network()
-          .carry(
+          .transmit(
               name,
               server.name(),
-              CALL_OCTETS,
+              CALL_BYTES,
               () -> {
-                if (!over && !server.down()) {
-                  String id = String.valueOf(sent.headers().get(ModelDialect.REQUEST));
-                  fleet.onRun(id);
-                  atServer = server.run(fleet.requestOf(id), this);
+                if (!ended && !server.isDown()) {
+                  String id = String.valueOf(request.headers().get(ModelDialect.ATTEMPT_ID_HEADER));
+                  fleet.onAttemptStarted(id);
+                  serverRun = server.run(fleet.requestOf(id), this);
                 }
               });
     }
 
     private void fail(HttpFailure failure) {
-      if (!over && alive) {
-        over = true;
+      if (!ended && alive) {
+        ended = true;
         listener.onFailure(failure, "model");
       }
     }
 
     @Override
     public void cancel() {
-      over = true;
-      fleet.network().carry(name, server.name(), EVENT_OCTETS, () -> atServer.cancel());
+      ended = true;
+      fleet.network().transmit(name, server.name(), EVENT_BYTES, () -> serverRun.cancel());
     }
 
-    private void back(Runnable action) {
+    private void deliver(Runnable action) {
       fleet
           .network()
-          .carry(
+          .transmit(
               server.name(),
               name,
-              EVENT_OCTETS,
+              EVENT_BYTES,
               () -> {
-                if (!over && alive) {
+                if (!ended && alive) {
                   action.run();
                 }
               });
@@ -419,15 +436,15 @@
 
     @Override
     public void onPart() {
-      int part = ++parts;
-      back(
+      int part = ++partCount;
+      deliver(
           () -> {
-            head(Map.of());
-            listener.onPart(ModelFleet.event(part));
+            deliverHead(Map.of());
+            listener.onPart(ModelFleet.eventFrame(part));
           });
     }
 
-    private void head(Map<String, String> headers) {
+    private void deliverHead(Map<String, String> headers) {
       if (!headSent) {
         headSent = true;
         listener.onHead(headers.isEmpty() ? 200 : 503, headers);
@@ -436,26 +453,26 @@
 
     @Override
     public void onEnd() {
-      back(
+      deliver(
           () -> {
-            over = true;
+            ended = true;
             listener.onEnd();
           });
     }
 
     @Override
-    public void onFull() {
-      back(
+    public void onQueueFull() {
+      deliver(
           () -> {
-            head(Map.of(ModelDialect.FULL, "1"));
-            over = true;
+            deliverHead(Map.of(ModelDialect.NOT_RUN_HEADER, "1"));
+            ended = true;
             listener.onEnd();
           });
     }
 
     @Override
-    public void onBroken() {
-      back(() -> fail(headSent ? HttpFailure.BROKEN_ANSWER : HttpFailure.NO_ANSWER));
+    public void onCrash() {
+      deliver(() -> fail(headSent ? HttpFailure.BROKEN_ANSWER : HttpFailure.NO_ANSWER));
     }
   }
 }
--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelLog.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelLog.java
@@ -12,44 +12,47 @@
 import org.teaseldeal.gateway.log.PositionedRecord;
 import org.teaseldeal.gateway.log.SharedLog;
 
-/** The shared log: takes appends one after the other, and keeps a history of some seconds. */
+/**
+ * The simulated shared log, which applies appends one after the other and serves records up to the
+ * age that the scenario sets.
+ */
 final class ModelLog {
-  /** The node of the log in the network. */
+  /** Name of the log's node in the network. */
   static final String NODE = "log";
 
-  /** Until a call without an answer counts as failed. */
-  private static final Duration TIMEOUT = Duration.ofMillis(1_000);
+  /** Time after which a call without an answer counts as failed. */
+  private static final Duration CALL_TIMEOUT = Duration.ofMillis(1_000);
 
-  private static final int REQUEST_OCTETS = 200;
-  private static final int ANSWER_OCTETS = 100;
+  private static final int REQUEST_OVERHEAD_BYTES = 200;
+  private static final int RESPONSE_OVERHEAD_BYTES = 100;
 
-  private static final class Writer {
+  private static final class ProducerState {
     private long epoch = -1;
     private long sequence = -1;
     private long lastOffset;
   }
 
-  private record Kept(PositionedRecord record, long atNanos) {}
+  private record StoredRecord(PositionedRecord record, long atNanos) {}
 
   private final VirtualTime time;
   private final ModelNetwork network;
-  private final Scenario.Log terms;
-  private final List<Kept> records = new ArrayList<>();
-  private final Map<String, PositionedRecord> newest = new LinkedHashMap<>();
-  private final Map<String, Writer> writers = new HashMap<>();
-  private long busyUntil;
+  private final Scenario.Log settings;
+  private final List<StoredRecord> records = new ArrayList<>();
+  private final Map<String, PositionedRecord> newestByKey = new LinkedHashMap<>();
+  private final Map<String, ProducerState> producers = new HashMap<>();
+  private long busyUntilNanos;
   private boolean down;
   private long appends;
   private long reads;
 
-  ModelLog(VirtualTime time, ModelNetwork network, Scenario.Log terms) {
+  ModelLog(VirtualTime time, ModelNetwork network, Scenario.Log settings) {
     this.time = time;
     this.network = network;
-    this.terms = terms;
+    this.settings = settings;
   }
 
-  void down(boolean isDown) {
-    down = isDown;
+  void setDown(boolean newDown) {
+    down = newDown;
   }
 
   long appends() {
@@ -60,15 +63,15 @@
     return reads;
   }
 
-  /** The log as one instance sees it. */
-  SharedLog port(String instance) {
-    return new Port(instance);
+  /** Returns the log client of one instance. */
+  SharedLog clientOf(String instance) {
+    return new Client(instance);
   }
 
-  private final class Port implements SharedLog {
+  private final class Client implements SharedLog {
     private final String instance;
 
-    Port(String instance) {
+    Client(String instance) {
       this.instance = instance;
     }
 
@@ -76,49 +79,54 @@
     public void append(
         long epoch, long sequence, List<KeyedRecord> batch, Consumer<AppendOutcome> outcome) {
       Call<AppendOutcome> call =
-          new Call<>(outcome, new AppendOutcome.Unknown("no answer within " + TIMEOUT));
-      int octets = batch.stream().mapToInt(each -> each.key().length() + each.value().length).sum();
-      network.control(
+          new Call<>(outcome, new AppendOutcome.Unknown("no answer within " + CALL_TIMEOUT));
+      int bytes = batch.stream().mapToInt(each -> each.key().length() + each.value().length).sum();
+      network.sendOnConnection(
           instance,
           NODE,
-          REQUEST_OCTETS + octets,
-          () -> inTurn(() -> answer(call, appendNow(instance, epoch, sequence, batch), 0)));
+          REQUEST_OVERHEAD_BYTES + bytes,
+          () ->
+              scheduleAppend(() -> answer(call, applyAppend(instance, epoch, sequence, batch), 0)));
     }
 
     @Override
     public void read(long offset, Consumer<ReadOutcome> outcome) {
-      read(() -> readNow(offset), outcome);
+      read(() -> recordsFrom(offset), outcome);
     }
 
     @Override
     public void readNewest(Consumer<ReadOutcome> outcome) {
-      read(() -> new ReadOutcome.Records(List.copyOf(newest.values()), records.size()), outcome);
+      read(
+          () -> new ReadOutcome.Records(List.copyOf(newestByKey.values()), records.size()),
+          outcome);
     }
 
     private void read(Supplier<ReadOutcome> reading, Consumer<ReadOutcome> outcome) {
       reads++;
       Call<ReadOutcome> call =
-          new Call<>(outcome, new ReadOutcome.Failed("no answer within " + TIMEOUT));
-      network.control(
+          new Call<>(outcome, new ReadOutcome.Failed("no answer within " + CALL_TIMEOUT));
+      network.sendOnConnection(
           instance,
           NODE,
-          REQUEST_OCTETS,
+          REQUEST_OVERHEAD_BYTES,
           () -> {
             if (!down) {
               ReadOutcome result = reading.get();
-              answer(call, result, octetsOf(result));
+              answer(call, result, payloadBytes(result));
             }
           });
     }
 
-    private <T> void answer(Call<T> call, T result, int octets) {
-      time.after(
-          terms.answer(),
-          () -> network.control(NODE, instance, ANSWER_OCTETS + octets, () -> call.answer(result)));
+    private <T> void answer(Call<T> call, T result, int bytes) {
+      time.schedule(
+          settings.answer(),
+          () ->
+              network.sendOnConnection(
+                  NODE, instance, RESPONSE_OVERHEAD_BYTES + bytes, () -> call.complete(result)));
     }
   }
 
-  private static int octetsOf(SharedLog.ReadOutcome outcome) {
+  private static int payloadBytes(SharedLog.ReadOutcome outcome) {
     return outcome instanceof SharedLog.ReadOutcome.Records records
         ? records.records().stream()
             .mapToInt(each -> each.record().key().length() + each.record().value().length)
@@ -126,35 +134,35 @@
         : 0;
   }
 
-  /** A call that is answered once, by the log or by its timeout. */
+  /** A call that is completed once, by the log's answer or by its timeout. */
   private final class Call<T> {
     private final Consumer<T> outcome;
-    private boolean over;
+    private boolean ended;
 
     Call(Consumer<T> outcome, T otherwise) {
       this.outcome = outcome;
-      time.after(TIMEOUT, () -> answer(otherwise));
+      time.schedule(CALL_TIMEOUT, () -> complete(otherwise));
     }
 
-    void answer(T result) {
-      if (!over) {
-        over = true;
+    void complete(T result) {
+      if (!ended) {
+        ended = true;
         outcome.accept(result);
       }
     }
   }
 
-  private void inTurn(Runnable append) {
+  private void scheduleAppend(Runnable append) {
     if (down) {
       return;
     }
-    busyUntil = Math.max(busyUntil, time.nanos()) + terms.append().toNanos();
-    time.afterNanos(busyUntil - time.nanos(), append);
+    busyUntilNanos = Math.max(busyUntilNanos, time.elapsedNanos()) + settings.append().toNanos();
+    time.scheduleNanos(busyUntilNanos - time.elapsedNanos(), append);
   }
 
-  private SharedLog.AppendOutcome appendNow(
+  private SharedLog.AppendOutcome applyAppend(
       String producer, long epoch, long sequence, List<KeyedRecord> batch) {
-    Writer writer = writers.computeIfAbsent(producer, name -> new Writer());
+    ProducerState writer = producers.computeIfAbsent(producer, name -> new ProducerState());
     if (epoch < writer.epoch) {
       return new SharedLog.AppendOutcome.Superseded();
     }
@@ -166,23 +174,24 @@
     writer.lastOffset = records.size();
     for (KeyedRecord record : batch) {
       PositionedRecord positioned = new PositionedRecord(records.size(), record);
-      records.add(new Kept(positioned, time.nanos()));
-      newest.put(record.key(), positioned);
+      records.add(new StoredRecord(positioned, time.elapsedNanos()));
+      newestByKey.put(record.key(), positioned);
     }
     appends += batch.isEmpty() ? 0 : 1;
     return new SharedLog.AppendOutcome.Appended(writer.lastOffset);
   }
 
-  private SharedLog.ReadOutcome readNow(long offset) {
+  private SharedLog.ReadOutcome recordsFrom(long offset) {
     boolean kept =
         offset >= records.size()
-            || records.get((int) offset).atNanos() >= time.nanos() - terms.history().toNanos();
+            || records.get((int) offset).atNanos()
+                >= time.elapsedNanos() - settings.history().toNanos();
     if (!kept) {
       return new SharedLog.ReadOutcome.Expired();
     }
     return new SharedLog.ReadOutcome.Records(
         records.subList((int) Math.min(offset, records.size()), records.size()).stream()
-            .map(Kept::record)
+            .map(StoredRecord::record)
             .toList(),
         records.size());
   }
--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelNetwork.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelNetwork.java
@@ -7,23 +7,26 @@
 import java.util.Set;
 import java.util.random.RandomGenerator;
 
-/** Carries messages between named nodes; instances have links with a rate, all others are fast. */
+/**
+ * The simulated network between named nodes. Instances have links of limited rate; the links of
+ * other nodes add no transmission time.
+ */
 final class ModelNetwork {
-  /** What an instance has exchanged. */
+  /** Messages and bytes that an instance has sent and received. */
   static final class Traffic {
     long messages;
-    long octets;
+    long bytes;
   }
 
-  /** Octets of a packet's headers. */
-  private static final int HEADERS = 60;
+  /** Size of the headers that each message adds on a link. */
+  private static final int PACKET_HEADER_BYTES = 60;
 
   private final VirtualTime time;
   private final Scenario.Links links;
   private final RandomGenerator random;
-  private final Map<String, Long> linkFreeAt = new HashMap<>();
-  private final Map<String, Traffic> control = new HashMap<>();
-  private final Set<String> cut = new HashSet<>();
+  private final Map<String, Long> linkFreeAtNanos = new HashMap<>();
+  private final Map<String, Traffic> traffic = new HashMap<>();
+  private final Set<String> partitioned = new HashSet<>();
   private final Set<String> isolated = new HashSet<>();
 
   ModelNetwork(VirtualTime time, Scenario.Links links, RandomGenerator random) {
@@ -32,98 +35,101 @@
     this.random = random;
   }
 
-  /** Gives an instance a link. */
-  void addInstance(String name) {
-    linkFreeAt.put(name, 0L);
-    control.put(name, new Traffic());
+  /** Adds a link of limited rate for an instance. */
+  void addLink(String name) {
+    linkFreeAtNanos.put(name, 0L);
+    traffic.put(name, new Traffic());
   }
 
-  /** Cuts an instance off from the other instances and the log, or connects it again. */
-  void cut(String instance, boolean off) {
-    if (off) {
-      cut.add(instance);
+  /** Partitions an instance from its peers and the log, or connects it again. */
+  void setPartitioned(String instance, boolean apart) {
+    if (apart) {
+      partitioned.add(instance);
     } else {
-      cut.remove(instance);
+      partitioned.remove(instance);
     }
   }
 
-  /** Cuts an instance off from the other instances only, or connects it again. */
-  void isolate(String instance, boolean off) {
-    if (off) {
+  /** Isolates an instance from its peers but not from the log, or connects it again. */
+  void setIsolated(String instance, boolean apart) {
+    if (apart) {
       isolated.add(instance);
     } else {
       isolated.remove(instance);
     }
   }
 
-  /** Whether an instance reaches another one, or the log. */
-  boolean connected(String from, String to) {
+  /** Returns whether messages pass between two nodes, each an instance or the log. */
+  boolean isConnected(String from, String to) {
     boolean withLog = from.equals(ModelLog.NODE) || to.equals(ModelLog.NODE);
     boolean apart = !withLog && (isolated.contains(from) || isolated.contains(to));
-    return !apart && !cut.contains(from) && !cut.contains(to);
+    return !apart && !partitioned.contains(from) && !partitioned.contains(to);
   }
 
-  /** What an instance has exchanged with other instances and the log. */
-  Traffic control(String instance) {
-    return control.getOrDefault(instance, new Traffic());
+  /** Returns an instance's traffic with its peers and the log; backend servers don't count. */
+  Traffic trafficOf(String instance) {
+    return traffic.getOrDefault(instance, new Traffic());
   }
 
-  /** A message to another instance that may be lost. */
-  void datagram(String from, String to, int octets, Runnable arrival) {
+  /** Sends a datagram to another instance, which is lost with the scenario's probability. */
+  void sendDatagram(String from, String to, int bytes, Runnable arrival) {
     if (random.nextDouble() >= links.loss()) {
-      control(from, to, octets, arrival);
+      sendOnConnection(from, to, bytes, arrival);
     } else {
-      count(from, octets);
+      countMessage(from, bytes);
     }
   }
 
-  /** A message of a connection between an instance and another one, or the log. */
-  void control(String from, String to, int octets, Runnable arrival) {
-    count(from, octets);
-    if (!connected(from, to)) {
+  /**
+   * Sends a message on a connection between an instance and a peer or the log. It is dropped if the
+   * two aren't connected when it is sent or when it arrives.
+   */
+  void sendOnConnection(String from, String to, int bytes, Runnable arrival) {
+    countMessage(from, bytes);
+    if (!isConnected(from, to)) {
       return;
     }
-    carry(
+    transmit(
         from,
         to,
-        octets,
+        bytes,
         () -> {
-          if (connected(from, to)) {
-            count(to, octets);
+          if (isConnected(from, to)) {
+            countMessage(to, bytes);
             arrival.run();
           }
         });
   }
 
-  private void count(String node, int octets) {
-    Traffic traffic = control.get(node);
-    if (traffic != null) {
-      traffic.messages++;
-      traffic.octets += octets;
+  private void countMessage(String node, int bytes) {
+    Traffic counted = traffic.get(node);
+    if (counted != null) {
+      counted.messages++;
+      counted.bytes += bytes;
     }
   }
 
-  /** Carries a message between an instance and a backend server. */
-  void carry(String from, String to, int octets, Runnable arrival) {
-    long nanos = links.delay().toNanos() + onLink(from, octets) + onLink(to, octets);
-    time.afterNanos(nanos, arrival);
+  /** Transmits a message over the links of both nodes, without counting it as traffic. */
+  void transmit(String from, String to, int bytes, Runnable arrival) {
+    long nanos = links.delay().toNanos() + occupyLink(from, bytes) + occupyLink(to, bytes);
+    time.scheduleNanos(nanos, arrival);
   }
 
-  /** The time until a link has carried a message behind those before it. */
-  private long onLink(String node, int octets) {
-    Long free = linkFreeAt.get(node);
-    if (free == null) {
+  /** Returns the nanoseconds until a link has transmitted a message and those queued before it. */
+  private long occupyLink(String node, int bytes) {
+    Long freeAt = linkFreeAtNanos.get(node);
+    if (freeAt == null) {
       return 0;
     }
-    long now = time.nanos();
-    long takes = Math.round((octets + HEADERS) * 8 * 1_000 / links.rateMbit());
-    long done = Math.max(now, free) + takes;
-    linkFreeAt.put(node, done);
+    long now = time.elapsedNanos();
+    long takes = Math.round((bytes + PACKET_HEADER_BYTES) * 8 * 1_000 / links.rateMbit());
+    long done = Math.max(now, freeAt) + takes;
+    linkFreeAtNanos.put(node, done);
     return done - now;
   }
 
-  /** The delay of one way. */
-  Duration delay() {
+  /** Returns the network delay in one direction. */
+  Duration oneWayDelay() {
     return links.delay();
   }
 }
--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelRequest.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelRequest.java
@@ -4,11 +4,12 @@
 import org.teaseldeal.gateway.flow.PromptPart;
 
 /**
- * A caller's request, the same for each attempt.
+ * A caller's request, which is the same for each of its attempts.
  *
- * @param parts of its prompt, the last one its own; none for a plain request
- * @param outputTokens that its answer has; it allows for more
- * @param workNanos of a plain request
+ * @param parts the parts of the prompt, of which the last is unique to the request; empty for a
+ *     plain request
+ * @param outputTokens the tokens that the answer has, fewer than the request's limit
+ * @param workNanos the service time of a plain request
  */
 record ModelRequest(
     long number,
@@ -18,7 +19,7 @@
     long inputTokens,
     long outputTokens,
     long workNanos) {
-  /** The most that it may generate. */
+  /** Returns the limit for output tokens that the request states. */
   long maxOutputTokens() {
     return 2 * outputTokens;
   }
--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelServer.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelServer.java
@@ -2,30 +2,30 @@
 
 import org.teaseldeal.net.HttpCall;
 
-/** A backend server. */
+/** A simulated backend server. */
 interface ModelServer {
-  /** Its name in the network, its address and its id. */
+  /** Returns the name that serves as network node, address and server id. */
   String name();
 
-  /** How what a server makes of a request comes back to the instance that sent it. */
+  /** Receives a request's answer for the instance that sent the request. */
   interface Listener {
-    /** An event of a stream, or the whole answer of a plain request. */
+    /** Called for an event of a stream, or for the whole answer of a plain request. */
     void onPart();
 
     void onEnd();
 
-    /** It was not run: there is no room. */
-    void onFull();
+    /** Called if the request is not run because the server's queue is full. */
+    void onQueueFull();
 
-    /** The server crashed. */
-    void onBroken();
+    /** Called if the server crashes before the answer is complete. */
+    void onCrash();
   }
 
-  /** Runs a request; the call closes its connection, which ends it. */
+  /** Runs a request; the returned call closes the request's connection, which cancels it. */
   HttpCall run(ModelRequest request, Listener listener);
 
-  /** Ends all that runs, or starts again with nothing. */
-  void crash(boolean down);
+  /** Crashes the server, or starts it again; either way its requests and its cache are lost. */
+  void setDown(boolean down);
 
-  boolean down();
+  boolean isDown();
 }
--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelService.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelService.java
@@ -6,14 +6,14 @@
 import java.util.List;
 import org.teaseldeal.net.HttpCall;
 
-/** A server of the plain service, with a few places and a short queue. */
+/** A simulated server of the plain service, with few concurrent requests and a short queue. */
 final class ModelService implements ModelServer {
-  private static final class Running {
+  private static final class ActiveRequest {
     private final ModelRequest request;
     private final Listener listener;
-    private boolean over;
+    private boolean ended;
 
-    Running(ModelRequest request, Listener listener) {
+    ActiveRequest(ModelRequest request, Listener listener) {
       this.request = request;
       this.listener = listener;
     }
@@ -21,15 +21,15 @@
 
   private final String name;
   private final VirtualTime time;
-  private final Scenario.Services terms;
-  private final Deque<Running> waiting = new ArrayDeque<>();
-  private final List<Running> running = new ArrayList<>();
+  private final Scenario.Services settings;
+  private final Deque<ActiveRequest> waiting = new ArrayDeque<>();
+  private final List<ActiveRequest> running = new ArrayList<>();
   private boolean down;
 
-  ModelService(String name, VirtualTime time, Scenario.Services terms) {
+  ModelService(String name, VirtualTime time, Scenario.Services settings) {
     this.name = name;
     this.time = time;
-    this.terms = terms;
+    this.settings = settings;
   }
 
   @Override
@@ -38,54 +38,54 @@
   }
 
   @Override
-  public boolean down() {
+  public boolean isDown() {
     return down;
   }
 
   @Override
   public HttpCall run(ModelRequest request, Listener listener) {
-    Running entry = new Running(request, listener);
-    if (running.size() >= terms.places() && waiting.size() >= terms.queue()) {
-      listener.onFull();
+    ActiveRequest entry = new ActiveRequest(request, listener);
+    if (running.size() >= settings.places() && waiting.size() >= settings.queue()) {
+      listener.onQueueFull();
       return () -> {};
     }
     waiting.add(entry);
     startNext();
     return () -> {
-      entry.over = true;
+      entry.ended = true;
       waiting.remove(entry);
     };
   }
 
   @Override
-  public void crash(boolean isDown) {
-    down = isDown;
-    List<Running> lost = new ArrayList<>(running);
+  public void setDown(boolean newDown) {
+    down = newDown;
+    List<ActiveRequest> lost = new ArrayList<>(running);
     lost.addAll(waiting);
     running.clear();
     waiting.clear();
-    for (Running each : lost) {
-      if (!each.over) {
-        each.over = true;
-        each.listener.onBroken();
+    for (ActiveRequest each : lost) {
+      if (!each.ended) {
+        each.ended = true;
+        each.listener.onCrash();
       }
     }
   }
 
   private void startNext() {
-    while (running.size() < terms.places() && !waiting.isEmpty()) {
-      Running next = waiting.remove();
+    while (running.size() < settings.places() && !waiting.isEmpty()) {
+      ActiveRequest next = waiting.remove();
       running.add(next);
-      time.afterNanos(next.request.workNanos(), () -> end(next));
+      time.scheduleNanos(next.request.workNanos(), () -> complete(next));
     }
   }
 
-  private void end(Running ended) {
+  private void complete(ActiveRequest ended) {
     if (!running.remove(ended)) {
       return;
     }
-    if (!ended.over) {
-      ended.over = true;
+    if (!ended.ended) {
+      ended.ended = true;
       ended.listener.onPart();
       ended.listener.onEnd();
     }
--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/PairedDifference.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/PairedDifference.java
@@ -3,13 +3,14 @@
 import java.util.List;
 import org.teaseldeal.api.Preconditions;
 
-/** The mean of differences of pairs, and its standard error. */
+/** The mean of the differences within pairs of values, and its standard error. */
 record PairedDifference(double meanBefore, double meanAfter, double mean, double standardError) {
-  /** Compares values at the same places of two lists. */
+  /** Compares the values of two lists that have the same index. */
   static PairedDifference of(List<Double> before, List<Double> after) {
     Preconditions.require(
         !before.isEmpty() && before.size() == after.size(),
-        "pairs were %d and %d, expected as many of both".formatted(before.size(), after.size()));
+        "lists had %d and %d values, expected the same number and at least one"
+            .formatted(before.size(), after.size()));
     int count = before.size();
     double sum = 0;
     double squares = 0;
--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/PlayCommand.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/PlayCommand.java
@@ -12,15 +12,17 @@
 import org.teaseldeal.cli.ExitStatus;
 
 @Parameters(
-    commandDescription = "Play a scenario once in virtual time, and check what was promised")
+    commandDescription = "Simulate a scenario once in virtual time and check the invariants")
 final class PlayCommand extends Command {
   @Parameter(description = "SCENARIO.toml ...", required = true)
   private List<Path> scenarios = new ArrayList<>();
 
-  @Parameter(names = "--size", description = "Instances; 0 for as many as the scenario has")
+  @Parameter(
+      names = "--size",
+      description = "Fleet size in instances; 0 for the scenario's own size")
   private int size;
 
-  @Parameter(names = "--seed", description = "Seed of all that is drawn")
+  @Parameter(names = "--seed", description = "Seed of all random decisions")
   private long seed = 1;
 
   @Parameter(
@@ -30,16 +32,16 @@
 
   @Override
   protected ExitStatus run(PrintStream out, PrintStream err) throws CommandException {
-    boolean kept = true;
+    boolean allInvariantsHeld = true;
     for (Path file : scenarios) {
       Scenario scenario = ScenarioFiles.read(file);
       EnumSet<Mechanism> off = EnumSet.noneOf(Mechanism.class);
       off.addAll(without);
-      PlayResult result =
-          ModelFleet.play(scenario, size == 0 ? scenario.instances() : size, seed, off);
+      SimulationResult result =
+          ModelFleet.simulate(scenario, size == 0 ? scenario.instances() : size, seed, off);
       out.print(result.text());
-      kept &= result.broken().isEmpty();
+      allInvariantsHeld &= result.violations().isEmpty();
     }
-    return kept ? ExitStatus.OK : ExitStatus.REFUSED;
+    return allInvariantsHeld ? ExitStatus.OK : ExitStatus.REFUSED;
   }
 }
--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/Scenario.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/Scenario.java
@@ -5,12 +5,14 @@
 import org.teaseldeal.api.Preconditions;
 
 /**
- * A load on a fleet, and what happens to the fleet meanwhile.
+ * A load on a fleet, and the faults that occur meanwhile.
  *
- * @param name of the load pattern
- * @param instances of the fleet as described; engines, services and load grow with a larger one
- * @param dataCentres that the instances are spread over
- * @param duration of the load
+ * @param name the name of the load pattern
+ * @param title a one-line description
+ * @param instances the number of instances that the scenario describes; engines, services and load
+ *     are scaled in proportion for another size
+ * @param dataCentres the number of data centres that the instances are spread over
+ * @param duration how long the load lasts
  */
 public record Scenario(
     String name,
@@ -26,38 +28,42 @@
     List<Kind> kinds,
     List<Fault> faults) {
   /**
-   * Who is served.
+   * The customers.
    *
-   * @param prepaid tokens of each
-   * @param skew exponent by which the load falls from one customer to the next; 0 for equal loads
+   * @param prepaid the tokens that each customer has paid for
+   * @param skew the exponent by which the load decreases with the customer's rank; 0 for equal
+   *     loads
    */
   public record Customers(int count, long prepaid, double skew) {}
 
   /**
    * The shared log.
    *
-   * @param append time of one; appends are carried out one after the other
-   * @param answer time on the way there and back
-   * @param history how long records are kept
+   * @param append the time that one append takes; appends are applied one after the other
+   * @param answer the time that the log adds before it answers a call
+   * @param history the age up to which records can be read
    */
   public record Log(Duration append, Duration answer, Duration history) {}
 
   /**
-   * The instances' links.
+   * The instances' network links.
    *
-   * @param rateMbit of each, in each direction
-   * @param delay one way
-   * @param loss share of datagrams that are lost
+   * @param rateMbit the rate of each link in Mbit/s, shared by both directions
+   * @param delay the delay in one direction
+   * @param loss the share of datagrams that are lost
    */
   public record Links(double rateMbit, Duration delay, double loss) {}
 
   /**
-   * The model engines.
+   * The inference engines.
    *
-   * @param places requests that each runs at once
-   * @param step time in which each running request gets a token, and what each of them adds
-   * @param chunk prompt tokens that are read within one step at most
-   * @param cacheTokens of prompts' shared parts that each keeps
+   * @param places the number of requests that each engine runs at once
+   * @param step the basic duration of a step, in which each running request gets a token
+   * @param stepPerPlace the time that each running request adds to a step
+   * @param promptTokensPerMilli the prompt tokens read per millisecond
+   * @param chunk the maximum number of prompt tokens read within one step
+   * @param cacheTokens the capacity of each engine's cache for shared prompt parts
+   * @param tokensPerEvent the tokens that one event of a stream carries
    */
   public record Engines(
       int count,
@@ -69,10 +75,16 @@
       long cacheTokens,
       int tokensPerEvent) {}
 
-  /** The servers of the plain service; what doesn't fit into places and queue is turned away. */
+  /**
+   * The servers of the plain service, which refuse requests beyond their places and queue.
+   *
+   * @param places the number of requests that each server runs at once
+   * @param queue the number of further requests that wait at each server
+   * @param work the mean service time of a request
+   */
   public record Services(int count, int places, int queue, Duration work) {}
 
-  /** How the answers of a kind of request are given. */
+  /** How a kind of request is answered, and whether it may be run again. */
   public enum Answer {
     STREAM,
     ONCE,
@@ -82,10 +94,16 @@
   /**
    * A kind of request.
    *
-   * @param perSecond over the whole fleet as described
-   * @param subjects of which requests share a beginning of {@code sharedTokens}
-   * @param ownTokens of the prompt that no other request has; on average
-   * @param events of an answer; on average
+   * @param perSecond the requests per second, over the whole fleet that the scenario describes
+   * @param aim the target for the time until the first part of the answer
+   * @param pauseAim the target for the longest pause between parts of a stream
+   * @param deadline the time after which the caller gives up
+   * @param worth the worth of an answer that meets its targets
+   * @param lateWorth the worth of an answer that misses one
+   * @param subjects the number of subjects; prompts of the same subject share a prefix
+   * @param sharedTokens the length of that prefix in tokens
+   * @param ownTokens the mean number of prompt tokens that no other request has
+   * @param events the mean number of events of an answer
    */
   public record Kind(
       String name,
@@ -105,40 +123,40 @@
     }
   }
 
-  /** What happens to the fleet. */
+  /** The kinds of faults and changes of load. */
   public enum FaultKind {
-    /** Instances reach neither each other nor the log. */
+    /** Instances reach neither their peers nor the log. */
     CUT,
-    /** Instances reach the log and no other instance. */
+    /** Instances reach the log but none of their peers. */
     ISOLATED,
-    /** The shared log answers nobody. */
+    /** The shared log answers no call. */
     LOG_DOWN,
     /** Instances lose power. */
     POWER,
-    /** Instances are told to stop, one after the other, and start again. */
+    /** Instances stop in an orderly way, one after the other, and start again. */
     STOP,
-    /** Engines crash and come back with empty caches. */
+    /** Engines crash and start again with empty caches. */
     ENGINE_CRASH,
-    /** All load grows. */
+    /** The load of all customers increases. */
     BURST,
-    /** One customer sends several times its usual. */
+    /** The weight of the largest customer in the load is multiplied; the total stays the same. */
     HOT_CUSTOMER,
-    /** Half of all requests share one beginning. */
+    /** Half of the prompts of each kind share one prefix. */
     HOT_BEGINNING,
-    /** Configurations come one after the other. */
+    /** Configurations are published one after the other. */
     CONFIGURATIONS,
-    /** The instances that hold the first customer's total lose power, one after the other. */
+    /** The instances that hold the largest customer's total lose power, one after the other. */
     HOLDER_LOST
   }
 
   /**
-   * One fault.
+   * One fault or change of load.
    *
-   * @param at since the load began
-   * @param lasting how long it lasts
-   * @param share of the instances or engines that it concerns
-   * @param factor by which load grows, or how many configurations come
-   * @param gap between one and the next
+   * @param at the start, counted from the start of the load
+   * @param lasting the duration
+   * @param share the share of the instances or engines that are affected
+   * @param factor the factor by which the load is multiplied, or the number of configurations
+   * @param gap the time between consecutive stops, losses of power or configurations
    */
   public record Fault(
       FaultKind kind, Duration at, Duration lasting, double share, double factor, Duration gap) {}
@@ -146,12 +164,12 @@
   public Scenario {
     Preconditions.requirePositive(instances, "instances");
     Preconditions.requirePositive(dataCentres, "data centres");
-    Preconditions.require(!kinds.isEmpty(), "kinds of request were none, expected one");
+    Preconditions.require(!kinds.isEmpty(), "kinds of request were empty, expected at least one");
     kinds = List.copyOf(kinds);
     faults = List.copyOf(faults);
   }
 
-  /** The same load for each instance, in a fleet of another size. */
+  /** Returns this scenario for a fleet of another size, with the same load per instance. */
   Scenario scaledTo(int size) {
     double scale = (double) size / instances;
     return new Scenario(
--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/ScenarioFiles.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/ScenarioFiles.java
@@ -8,7 +8,7 @@
 import org.teaseldeal.cli.ExitStatus;
 import org.teaseldeal.settings.SettingsParser.Parsed;
 
-/** Reads scenario files for commands. */
+/** Reads the scenario files that a command line names. */
 final class ScenarioFiles {
   private ScenarioFiles() {}
 
--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/PlayResult.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/SimulationResult.java
@@ -6,23 +6,29 @@
 import java.util.TreeMap;
 
 /**
- * What came of a play.
+ * The result of one simulation.
  *
- * @param broken promises that were not kept; none if all were
- * @param refusals by the label of their reason
- * @param cost of coordination, means over the instances and seconds
+ * @param byKind the tallies of requests by kind
+ * @param refusals the number of refused attempts by the label of their reason
+ * @param cost the cost of coordination
+ * @param violations descriptions of invariants that were violated; empty if all held
  */
-public record PlayResult(
+public record SimulationResult(
     String scenario,
     int instances,
     long seed,
     Map<String, Tally> byKind,
     Map<String, Long> refusals,
     Cost cost,
-    List<String> broken) {
-  /** How the requests of a kind came out. */
+    List<String> violations) {
+  /**
+   * The outcomes of the requests of one kind.
+   *
+   * @param worth the sum of the worth of requests that were answered
+   * @param maxWorth the sum that answering every request in time would give
+   */
   public record Tally(
-      long sent, long inTime, long late, long refused, long failed, double worth, double owed) {
+      long sent, long inTime, long late, long refused, long failed, double worth, double maxWorth) {
     Tally plus(Tally other) {
       return new Tally(
           sent + other.sent,
@@ -31,35 +37,40 @@
           refused + other.refused,
           failed + other.failed,
           worth + other.worth,
-          owed + other.owed);
+          maxWorth + other.maxWorth);
     }
   }
 
-  /** What an instance exchanges in a second, with other instances and the log. */
+  /**
+   * The traffic of an instance with its peers and the log, as a mean per instance and second.
+   *
+   * @param sharedTokensRead tokens of shared prompt parts that the engines read uncached, in total
+   */
   public record Cost(
-      double messages, double octets, double appends, double reads, long sharedTokensRead) {}
+      double messages, double bytes, double appends, double reads, long sharedTokensRead) {}
 
-  public PlayResult {
+  public SimulationResult {
     byKind = Map.copyOf(byKind);
     refusals = Map.copyOf(refusals);
-    broken = List.copyOf(broken);
+    violations = List.copyOf(violations);
   }
 
-  /** All kinds together. */
-  public Tally all() {
+  /** Returns the sum of the tallies of all kinds. */
+  public Tally total() {
     return byKind.values().stream().reduce(new Tally(0, 0, 0, 0, 0, 0, 0), Tally::plus);
   }
 
-  /** The part of the worth owed that was earned. */
-  public double worth() {
-    Tally all = all();
-    return all.owed() == 0 ? 1 : all.worth() / all.owed();
+  /** Returns the worth of the answered requests as a share of the maximum; 1 if that is 0. */
+  public double relativeWorth() {
+    Tally total = total();
+    return total.maxWorth() == 0 ? 1 : total.worth() / total.maxWorth();
   }
 
-  /** The same text for the same play. */
+  /** Returns a report, which is the same text for the same result. */
   public String text() {
     StringBuilder text = new StringBuilder();
-    text.append(line("%s, %d instances, seed %d: worth %.4f", scenario, instances, seed, worth()));
+    text.append(
+        line("%s, %d instances, seed %d: worth %.4f", scenario, instances, seed, relativeWorth()));
     new TreeMap<>(byKind)
         .forEach(
             (kind, tally) ->
@@ -77,8 +88,8 @@
         line(
             "  an instance a second: messages %.1f octets %.0f appends %.2f reads %.2f;"
                 + " shared tokens read %d",
-            cost.messages(), cost.octets(), cost.appends(), cost.reads(), cost.sharedTokensRead()));
-    broken.forEach(promise -> text.append(line("  BROKEN: %s", promise)));
+            cost.messages(), cost.bytes(), cost.appends(), cost.reads(), cost.sharedTokensRead()));
+    violations.forEach(violation -> text.append(line("  BROKEN: %s", violation)));
     return text.toString();
   }
 
--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/TokenMeter.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/TokenMeter.java
@@ -3,15 +3,15 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Counts the tokens that engines have spent on each customer's requests. */
+/** Counts the tokens that the engines have used for each customer's requests. */
 final class TokenMeter {
-  private final Map<String, Long> used = new TreeMap<>();
+  private final Map<String, Long> usedTokens = new TreeMap<>();
 
-  void used(String customer, long tokens) {
-    used.merge(customer, tokens, Long::sum);
+  void usedTokens(String customer, long tokens) {
+    usedTokens.merge(customer, tokens, Long::sum);
   }
 
-  long of(String customer) {
-    return used.getOrDefault(customer, 0L);
+  long tokensOf(String customer) {
+    return usedTokens.getOrDefault(customer, 0L);
   }
 }
--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/VirtualTime.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/VirtualTime.java
@@ -5,11 +5,15 @@
 import java.time.InstantSource;
 import java.util.PriorityQueue;
 
-/** A clock that moves from one planned event to the next; events of a moment keep their order. */
+/**
+ * A clock that advances from one scheduled event to the next. Events of the same time run in the
+ * order in which they were scheduled.
+ */
 final class VirtualTime implements InstantSource {
-  private record Event(long atNanos, long order, Runnable action) implements Comparable<Event> {
+  private record ScheduledEvent(long atNanos, long order, Runnable action)
+      implements Comparable<ScheduledEvent> {
     @Override
-    public int compareTo(Event other) {
+    public int compareTo(ScheduledEvent other) {
       return atNanos != other.atNanos
           ? Long.compare(atNanos, other.atNanos)
           : Long.compare(order, other.order);
@@ -18,33 +22,33 @@
 
   private static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
 
-  private final PriorityQueue<Event> events = new PriorityQueue<>();
+  private final PriorityQueue<ScheduledEvent> events = new PriorityQueue<>();
   private long nowNanos;
-  private long order;
+  private long nextOrder;
 
   @Override
   public Instant instant() {
     return START.plusNanos(nowNanos);
   }
 
-  /** Nanoseconds since the start. */
-  long nanos() {
+  /** Returns the nanoseconds since the start of the simulation. */
+  long elapsedNanos() {
     return nowNanos;
   }
 
-  /** Runs {@code action} after {@code delay}. */
-  void after(Duration delay, Runnable action) {
-    afterNanos(delay.toNanos(), action);
+  /** Schedules {@code action} to run after {@code delay}. */
+  void schedule(Duration delay, Runnable action) {
+    scheduleNanos(delay.toNanos(), action);
   }
 
-  void afterNanos(long delay, Runnable action) {
-    events.add(new Event(nowNanos + Math.max(0, delay), order++, action));
+  void scheduleNanos(long delay, Runnable action) {
+    events.add(new ScheduledEvent(nowNanos + Math.max(0, delay), nextOrder++, action));
   }
 
-  /** Runs all events up to {@code end} since the start. */
+  /** Runs all events that are due up to {@code end}, counted from the start of the simulation. */
   void runUntil(Duration end) {
     while (!events.isEmpty() && events.peek().atNanos() <= end.toNanos()) {
-      Event next = events.remove();
+      ScheduledEvent next = events.remove();
       nowNanos = next.atNanos();
       next.action().run();
     }
--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/package-info.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/package-info.java
@@ -1,6 +1,6 @@
 /**
- * A model of the whole system in virtual time: the gateway's real parts, with callers, backend
- * servers, the shared log and the network played by hand-written stand-ins.
+ * A simulation of the whole system in virtual time: the gateway's production code, with simulated
+ * callers, backend servers, shared log and network.
  */
 @NullMarked
 package org.teaseldeal.model;
--- a/teaseldeal-model/src/test/java/org/teaseldeal/model/ModelPromiseTests.java
+++ b/teaseldeal-model/src/test/java/org/teaseldeal/model/ModelInvariantTests.java
@@ -18,14 +18,14 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.teaseldeal.settings.SettingsParser.Parsed;
 
-/** Each scenario keeps what callers were promised, whatever it does to the fleet. */
+/** The invariants that callers rely on hold in each scenario, whichever faults it injects. */
 @Execution(ExecutionMode.CONCURRENT)
-class ModelPromiseTests {
+class ModelInvariantTests {
   private static final Path SCENARIOS = Path.of("scenarios");
-  private static final int LARGE = 95;
+  private static final int LARGE_FLEET_INSTANCES = 95;
   private static final int SEEDS = 5;
 
-  static Stream<Arguments> plays() throws IOException {
+  static Stream<Arguments> scenariosAndSeeds() throws IOException {
     try (Stream<Path> files = Files.list(SCENARIOS)) {
       return files.sorted().toList().stream()
           .flatMap(
@@ -35,22 +35,29 @@
     }
   }
 
-  /** Guards against totals that are overspent, requests that run twice, and plans that go back. */
+  /**
+   * Guards against customers that use more than their prepaid total, at-most-once requests that run
+   * twice, and instances that return to an earlier plan.
+   */
   @ParameterizedTest(name = "{0}, seed {1}")
-  @MethodSource("plays")
-  void keepsItsPromises(String file, long seed) throws IOException {
-    PlayResult result = ModelFleet.play(scenario(file), LARGE, seed, Set.of());
-    assertEquals(List.of(), result.broken());
-    assertTrue(result.all().sent() > 0, result.text());
+  @MethodSource("scenariosAndSeeds")
+  void keepsAllInvariants(String file, long seed) throws IOException {
+    SimulationResult result =
+        ModelFleet.simulate(scenario(file), LARGE_FLEET_INSTANCES, seed, Set.of());
+    assertEquals(List.of(), result.violations());
+    assertTrue(result.total().sent() > 0, result.text());
   }
 
-  /** Guards against plays that can't be repeated, so that pairs of them compare nothing. */
+  /**
+   * Guards against simulations that depend on more than the seed: a comparison of two of them would
+   * show chance rather than the mechanism that was switched off.
+   */
   @Test
-  void playsTheSameTwice() throws IOException {
+  void repeatsASimulationExactlyForTheSameSeed() throws IOException {
     Scenario scenario = scenario("power-of-some.toml");
     assertEquals(
-        ModelFleet.play(scenario, 20, 7, Set.of()).text(),
-        ModelFleet.play(scenario, 20, 7, Set.of()).text());
+        ModelFleet.simulate(scenario, 20, 7, Set.of()).text(),
+        ModelFleet.simulate(scenario, 20, 7, Set.of()).text());
   }
 
   private static Scenario scenario(String file) throws IOException {
--- a/teaseldeal-model/src/test/java/org/teaseldeal/model/PairedDifferenceTests.java
+++ b/teaseldeal-model/src/test/java/org/teaseldeal/model/PairedDifferenceTests.java
@@ -8,7 +8,7 @@
 
 class PairedDifferenceTests {
   @Test
-  void givesMeanAndItsStandardError() {
+  void computesMeanAndStandardError() {
     PairedDifference difference =
         PairedDifference.of(List.of(1.0, 2.0, 3.0), List.of(2.0, 4.0, 6.0));
     assertEquals(2, difference.meanBefore());
@@ -17,7 +17,7 @@
   }
 
   @Test
-  void refusesListsThatAreNoPairs() {
+  void rejectsListsOfDifferentLength() {
     assertThrows(
         IllegalArgumentException.class, () -> PairedDifference.of(List.of(1.0), List.of()));
   }
--- a/teaseldeal-model/src/test/java/org/teaseldeal/model/ScenarioParserTests.java
+++ b/teaseldeal-model/src/test/java/org/teaseldeal/model/ScenarioParserTests.java
@@ -10,7 +10,7 @@
 import org.teaseldeal.settings.SettingsParser.Parsed;
 
 class ScenarioParserTests {
-  private static final String LEAST =
+  private static final String MINIMAL_SCENARIO =
       """
       name = "quiet"
       title = "A quiet load"
@@ -20,13 +20,13 @@
       """;
 
   @Test
-  void fillsInWhatIsNotSaid() {
+  void usesDefaultsForAbsentKeys() {
     Parsed.Valid<Scenario> valid =
-        assertInstanceOf(Parsed.Valid.class, ScenarioParser.parse(LEAST));
+        assertInstanceOf(Parsed.Valid.class, ScenarioParser.parse(MINIMAL_SCENARIO));
     assertEquals(9, valid.settings().instances());
   }
 
-  /** Guards against a scenario that is played as something else than its file says. */
+  /** Guards against wrong keys or values that are ignored, so that another scenario is run. */
   @ParameterizedTest
   @CsvSource({
     "instances = 0, instances",
@@ -35,9 +35,10 @@
     "links.loss = 2.0, loss",
     "faults.one.kind = \"rain\", kind"
   })
-  void saysWhatIsWrongAndWhere(String line, String field) {
+  void reportsFieldAndLineOfAProblem(String line, String field) {
     Parsed.Invalid<Scenario> invalid =
-        assertInstanceOf(Parsed.Invalid.class, ScenarioParser.parse(line + "\n" + LEAST));
+        assertInstanceOf(
+            Parsed.Invalid.class, ScenarioParser.parse(line + "\n" + MINIMAL_SCENARIO));
     String problem = String.valueOf(invalid.problems().getFirst());
     assertTrue(problem.contains(field), problem);
     assertEquals(1, invalid.problems().getFirst().line(), problem);
