--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/BackendServerCommand.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/BackendServerCommand.java
@@ -3,17 +3,19 @@
 import com.beust.jcommander.Parameter;
 import org.jspecify.annotations.Nullable;
 
-/** Options of the stand-ins that register with the platform. */
+/** The options of the stand-ins that register with the platform as backend servers. */
 abstract class BackendServerCommand extends StandinCommand {
-  @Parameter(names = "--platform", description = "host:port of the platform to register with")
+  @Parameter(
+      names = "--platform",
+      description = "Address (host:port) of the platform to register with")
   @Nullable String platform;
 
-  @Parameter(names = "--id", description = "Name in the platform's list")
+  @Parameter(names = "--id", description = "Id in the platform's instance list")
   @Nullable String id;
 
   @Parameter(names = "--pool", description = "Pool that the server belongs to")
   @Nullable String pool;
 
-  @Parameter(names = "--data-centre", description = "Data centre that the server stands in")
+  @Parameter(names = "--data-centre", description = "Data centre of the server")
   @Nullable String dataCentre;
 }
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/EngineCommand.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/EngineCommand.java
@@ -9,27 +9,27 @@
 import org.teaseldeal.standin.engine.EngineFaults;
 import org.teaseldeal.standin.engine.EngineHandler;
 import org.teaseldeal.standin.engine.EngineSettings;
-import org.teaseldeal.standin.fault.FaultSwitch;
+import org.teaseldeal.standin.fault.ActiveFaults;
 import org.teaseldeal.standin.runtime.Scheduler;
 import org.teaseldeal.standin.settings.ListenSettings;
 import org.teaseldeal.standin.settings.RegistrationSettings;
 import org.teaseldeal.standin.settings.SettingsException;
 
-@Parameters(commandDescription = "A model engine")
+@Parameters(commandDescription = "Start an inference engine")
 final class EngineCommand extends BackendServerCommand {
-  private static final int CRASHED = 70;
+  private static final int CRASH_EXIT_STATUS = 70;
 
   @Override
-  StandinParts parts(InstantSource clock, Scheduler scheduler) throws SettingsException {
-    EngineSettings settings = read(EngineSettings::read);
-    ListenSettings listen = settings.listen().with(host, port, adminPort);
+  StandinComponents components(InstantSource clock, Scheduler scheduler) throws SettingsException {
+    EngineSettings settings = readSettings(EngineSettings::read);
+    ListenSettings listen = settings.listen().withOverrides(host, port, adminPort);
     RegistrationSettings registration =
-        settings.registration().with(platform, id, pool, dataCentre);
-    FaultSwitch<EngineFaults> faults = new FaultSwitch<>(settings.faults(), EngineFaults::read);
-    History history = new History(clock, HISTORY_LINES);
+        settings.registration().withOverrides(platform, id, pool, dataCentre);
+    ActiveFaults<EngineFaults> faults = new ActiveFaults<>(settings.faults(), EngineFaults::read);
+    History history = new History(clock, MAX_HISTORY_LINES);
     EngineHandler handler =
         new EngineHandler(clock, scheduler, settings, faults, history, EngineCommand::crash);
-    return new StandinParts(
+    return new StandinComponents(
         "engine",
         listen,
         handler,
@@ -39,6 +39,6 @@
   }
 
   private static void crash() {
-    Runtime.getRuntime().halt(CRASHED);
+    Runtime.getRuntime().halt(CRASH_EXIT_STATUS);
   }
 }
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/Main.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/Main.java
@@ -5,11 +5,14 @@
 import org.teaseldeal.cli.ExitStatus;
 import org.teaseldeal.cli.Program;
 
-/** Starts one stand-in: {@code platform}, {@code engine} or {@code service}. */
+/**
+ * Entry point of the command line, which starts one stand-in: {@code platform}, {@code engine} or
+ * {@code service}.
+ */
 public final class Main {
   private Main() {}
 
-  /** Starts a stand-in, which then runs until the process is ended. */
+  /** Starts a stand-in, which runs until the process is terminated. */
   public static void main(String[] args) {
     ExitStatus status = program().run(System.out, System.err, args);
     if (status != ExitStatus.OK) {
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/PlatformCommand.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/PlatformCommand.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import org.teaseldeal.standin.admin.AdminHandler;
 import org.teaseldeal.standin.admin.History;
-import org.teaseldeal.standin.fault.FaultSwitch;
+import org.teaseldeal.standin.fault.ActiveFaults;
 import org.teaseldeal.standin.platform.PlatformFaults;
 import org.teaseldeal.standin.platform.PlatformHandler;
 import org.teaseldeal.standin.platform.PlatformSettings;
@@ -14,16 +14,17 @@
 import org.teaseldeal.standin.settings.ListenSettings;
 import org.teaseldeal.standin.settings.SettingsException;
 
-@Parameters(commandDescription = "The platform: log, instance list, weight store")
+@Parameters(commandDescription = "Start the platform: log, instance list, weight store")
 final class PlatformCommand extends StandinCommand {
   @Override
-  StandinParts parts(InstantSource clock, Scheduler scheduler) throws SettingsException {
-    PlatformSettings settings = read(PlatformSettings::read);
-    ListenSettings listen = settings.listen().with(host, port, adminPort);
-    FaultSwitch<PlatformFaults> faults = new FaultSwitch<>(settings.faults(), PlatformFaults::read);
-    History history = new History(clock, HISTORY_LINES);
+  StandinComponents components(InstantSource clock, Scheduler scheduler) throws SettingsException {
+    PlatformSettings settings = readSettings(PlatformSettings::read);
+    ListenSettings listen = settings.listen().withOverrides(host, port, adminPort);
+    ActiveFaults<PlatformFaults> faults =
+        new ActiveFaults<>(settings.faults(), PlatformFaults::read);
+    History history = new History(clock, MAX_HISTORY_LINES);
     PlatformHandler handler = new PlatformHandler(clock, scheduler, settings, faults, history);
-    return new StandinParts(
+    return new StandinComponents(
         "platform",
         listen,
         handler,
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/ServiceCommand.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/ServiceCommand.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import org.teaseldeal.standin.admin.AdminHandler;
 import org.teaseldeal.standin.admin.History;
-import org.teaseldeal.standin.fault.FaultSwitch;
+import org.teaseldeal.standin.fault.ActiveFaults;
 import org.teaseldeal.standin.runtime.Scheduler;
 import org.teaseldeal.standin.service.PlainServiceHandler;
 import org.teaseldeal.standin.service.PlainServiceSettings;
@@ -15,18 +15,18 @@
 import org.teaseldeal.standin.settings.RegistrationSettings;
 import org.teaseldeal.standin.settings.SettingsException;
 
-@Parameters(commandDescription = "A plain service whose calls may not be repeated")
+@Parameters(commandDescription = "Start a plain service whose calls must not be repeated")
 final class ServiceCommand extends BackendServerCommand {
   @Override
-  StandinParts parts(InstantSource clock, Scheduler scheduler) throws SettingsException {
-    PlainServiceSettings settings = read(PlainServiceSettings::read);
-    ListenSettings listen = settings.listen().with(host, port, adminPort);
+  StandinComponents components(InstantSource clock, Scheduler scheduler) throws SettingsException {
+    PlainServiceSettings settings = readSettings(PlainServiceSettings::read);
+    ListenSettings listen = settings.listen().withOverrides(host, port, adminPort);
     RegistrationSettings registration =
-        settings.registration().with(platform, id, pool, dataCentre);
-    FaultSwitch<ServiceFaults> faults = new FaultSwitch<>(settings.faults(), ServiceFaults::read);
-    History history = new History(clock, HISTORY_LINES);
+        settings.registration().withOverrides(platform, id, pool, dataCentre);
+    ActiveFaults<ServiceFaults> faults = new ActiveFaults<>(settings.faults(), ServiceFaults::read);
+    History history = new History(clock, MAX_HISTORY_LINES);
     PlainServiceHandler handler = new PlainServiceHandler(scheduler, settings, faults, history);
-    return new StandinParts(
+    return new StandinComponents(
         "service",
         listen,
         handler,
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/StandinCommand.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/StandinCommand.java
@@ -15,20 +15,24 @@
 import org.teaseldeal.standin.settings.SettingsException;
 import org.teaseldeal.standin.settings.SettingsFile;
 
-/** Options that every command has; they go before the settings file. */
+/** The options of every command; they override the settings file. */
 abstract class StandinCommand extends Command {
-  static final int HISTORY_LINES = 100_000;
+  static final int MAX_HISTORY_LINES = 100_000;
 
-  @Parameter(names = "--settings", description = "TOML file; defaults hold where it says nothing")
+  @Parameter(
+      names = "--settings",
+      description = "TOML file; keys that it lacks have their defaults")
   @Nullable Path settings;
 
-  @Parameter(names = "--host", description = "IP number to listen on")
+  @Parameter(names = "--host", description = "IP address to listen on")
   @Nullable String host;
 
   @Parameter(names = "--port", description = "Port to listen on; 0 lets the system choose")
   @Nullable Integer port;
 
-  @Parameter(names = "--admin-port", description = "Port for faults, history and counters")
+  @Parameter(
+      names = "--admin-port",
+      description = "Port of the admin address: faults, history, counters")
   @Nullable Integer adminPort;
 
   @Override
@@ -45,10 +49,11 @@
     }
   }
 
-  /** Reads the settings and builds the stand-in's parts. */
-  abstract StandinParts parts(InstantSource clock, Scheduler scheduler) throws SettingsException;
+  /** Reads the settings and creates the stand-in's components. */
+  abstract StandinComponents components(InstantSource clock, Scheduler scheduler)
+      throws SettingsException;
 
-  final <T> T read(Function<TomlReader, T> body) throws SettingsException {
-    return settings == null ? SettingsFile.defaults(body) : SettingsFile.read(settings, body);
+  final <T> T readSettings(Function<TomlReader, T> reader) throws SettingsException {
+    return settings == null ? SettingsFile.defaults(reader) : SettingsFile.read(settings, reader);
   }
 }
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/StandinProcess.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/StandinProcess.java
@@ -21,74 +21,75 @@
 import org.teaseldeal.net.HttpServer;
 import org.teaseldeal.net.HttpServerConfig;
 import org.teaseldeal.standin.registration.Registration;
-import org.teaseldeal.standin.runtime.EventThread;
+import org.teaseldeal.standin.runtime.EventLoop;
 import org.teaseldeal.standin.runtime.Json;
 import org.teaseldeal.standin.settings.RegistrationSettings;
 import org.teaseldeal.standin.settings.SettingsException;
 
 /**
- * A stand-in with its listeners, its place in the platform's list and its orderly end.
+ * A running stand-in with its network listeners, its registration with the platform and its orderly
+ * shutdown.
  *
- * <p>On SIGTERM it is marked as leaving, stays until the lagging list has told everyone and its
- * requests in flight are done, and ends with status 0.
+ * <p>On SIGTERM the stand-in is listed as leaving. It keeps serving until the lagged list shows
+ * this to all clients and its requests in flight have completed, and then exits with status 0.
  */
 final class StandinProcess {
   private static final Logger LOGGER = LoggerFactory.getLogger(StandinProcess.class);
-  private static final Duration POLL = Duration.ofMillis(20);
+  private static final Duration DRAIN_POLL_INTERVAL = Duration.ofMillis(20);
 
-  /** Lets the last answers leave the sockets. */
-  private static final Duration FLUSH = Duration.ofMillis(200);
+  /** Time before the exit in which the sockets can send the last answers. */
+  private static final Duration FLUSH_TIME = Duration.ofMillis(200);
 
-  private static final long ANSWER_SECONDS = 2;
+  private static final long ANSWER_TIMEOUT_SECONDS = 2;
 
-  private final EventThread thread;
-  private final StandinParts parts;
+  private final EventLoop eventLoop;
+  private final StandinComponents components;
   private final HttpServer server;
   private final HttpServer admin;
   private final Optional<Registration> registration;
 
-  private StandinProcess(EventThread thread, StandinParts parts) throws IOException {
-    this.thread = thread;
-    this.parts = parts;
-    server = listen(parts.listen().port(), parts.handler());
-    admin = listen(parts.listen().adminPort(), parts.admin());
+  private StandinProcess(EventLoop eventLoop, StandinComponents components) throws IOException {
+    this.eventLoop = eventLoop;
+    this.components = components;
+    server = listen(components.listen().port(), components.handler());
+    admin = listen(components.listen().adminPort(), components.adminHandler());
     registration =
-        parts
+        components
             .registration()
             .filter(settings -> settings.platform().isPresent())
             .map(this::createRegistration);
   }
 
-  /** Starts and prints the addresses as one JSON line. */
+  /** Starts the stand-in and prints its addresses as one JSON line. */
   static StandinProcess start(StandinCommand command, PrintStream out)
       throws SettingsException, IOException {
-    EventThread thread = new EventThread("standin");
+    EventLoop eventLoop = new EventLoop("standin");
     try {
       StandinProcess process =
-          new StandinProcess(thread, command.parts(InstantSource.system(), thread));
+          new StandinProcess(eventLoop, command.components(InstantSource.system(), eventLoop));
       process.announce(out);
       return process;
     } catch (SettingsException | IOException | RuntimeException e) {
-      thread.close();
+      eventLoop.close();
       throw e;
     }
   }
 
   String address() {
-    return text(server.address());
+    return hostAndPort(server.address());
   }
 
   String adminAddress() {
-    return text(admin.address());
+    return hostAndPort(admin.address());
   }
 
   private void announce(PrintStream out) {
-    registration.ifPresent(registered -> thread.execute(registered::start));
-    Runtime.getRuntime().addShutdownHook(new Thread(this::leaveAndEnd, "leave"));
+    registration.ifPresent(registered -> eventLoop.execute(registered::start));
+    Runtime.getRuntime().addShutdownHook(new Thread(this::leaveAndExit, "leave"));
     out.println(
         Json.object()
             .put("event", "listening")
-            .put("role", parts.role())
+            .put("role", components.role())
             .put("address", address())
             .put("admin_address", adminAddress()));
     out.flush();
@@ -96,57 +97,57 @@
 
   private HttpServer listen(int port, HttpHandler handler) throws IOException {
     return HttpServer.start(
-        HttpServerConfig.defaults(parts.listen().host(), port),
-        exchange -> thread.execute(() -> handler.handle(exchange)));
+        HttpServerConfig.defaults(components.listen().host(), port),
+        exchange -> eventLoop.execute(() -> handler.handle(exchange)));
   }
 
   private Registration createRegistration(RegistrationSettings settings) {
-    String id = settings.id().orElse(parts.role() + "-" + server.address().getPort());
+    String id = settings.id().orElse(components.role() + "-" + server.address().getPort());
     String run = UUID.randomUUID().toString().substring(0, 8).toLowerCase(Locale.ROOT);
     return new Registration(
         new HttpClient(HttpClientConfig.defaults()),
-        thread,
+        eventLoop,
         settings,
         id,
         id + "-" + run,
-        parts.role(),
+        components.role(),
         address());
   }
 
-  // Status 0 needs halt: after SIGTERM, the virtual machine itself would end with 143.
-  private void leaveAndEnd() {
+  // Exiting with status 0 takes halt(): after SIGTERM the virtual machine itself exits with 143.
+  private void leaveAndExit() {
     try {
       if (registration.isPresent()) {
-        leave(registration.get(), parts.registration().orElseThrow());
+        drainAndDeregister(registration.get(), components.registration().orElseThrow());
       }
       server.stopAccepting();
-      Thread.sleep(FLUSH);
+      Thread.sleep(FLUSH_TIME);
     } catch (InterruptedException | ExecutionException | TimeoutException e) {
-      LOGGER.warn("Leaving was cut short: {}", e.toString());
+      LOGGER.warn("Orderly shutdown was cut short, exiting now: {}", e.toString());
     } finally {
       Runtime.getRuntime().halt(ExitStatus.OK.code());
     }
   }
 
-  private void leave(Registration registered, RegistrationSettings settings)
+  private void drainAndDeregister(Registration registered, RegistrationSettings settings)
       throws InterruptedException, ExecutionException, TimeoutException {
-    thread.execute(registered::leave);
+    eventLoop.execute(registered::markAsLeaving);
     Thread.sleep(settings.leaveTime());
     long end = System.nanoTime() + settings.drainLimit().toNanos();
     while (inFlight() > 0 && System.nanoTime() < end) {
-      Thread.sleep(POLL);
+      Thread.sleep(DRAIN_POLL_INTERVAL);
     }
-    CompletableFuture.supplyAsync(registered::remove, thread)
+    CompletableFuture.supplyAsync(registered::remove, eventLoop)
         .thenCompose(removal -> removal)
-        .get(ANSWER_SECONDS, TimeUnit.SECONDS);
+        .get(ANSWER_TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
   private int inFlight() throws InterruptedException, ExecutionException, TimeoutException {
-    return CompletableFuture.supplyAsync(() -> parts.inFlight().getAsInt(), thread)
-        .get(ANSWER_SECONDS, TimeUnit.SECONDS);
+    return CompletableFuture.supplyAsync(() -> components.inFlight().getAsInt(), eventLoop)
+        .get(ANSWER_TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
-  private static String text(InetSocketAddress address) {
+  private static String hostAndPort(InetSocketAddress address) {
     return address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 }
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/admin/AdminHandler.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/admin/AdminHandler.java
@@ -5,33 +5,36 @@
 import java.util.function.Consumer;
 import org.teaseldeal.net.HttpExchange;
 import org.teaseldeal.net.HttpHandler;
+import org.teaseldeal.standin.fault.ActiveFaults;
 import org.teaseldeal.standin.fault.FaultSettings;
-import org.teaseldeal.standin.fault.FaultSwitch;
 import org.teaseldeal.standin.runtime.Json;
 import org.teaseldeal.standin.runtime.RequestTarget;
 
-/** The admin address: {@code /faults}, {@code /history}, {@code /stats}, {@code /live}. */
+/**
+ * Serves the admin address with its resources {@code /faults}, {@code /history}, {@code /stats} and
+ * {@code /live}.
+ */
 public final class AdminHandler<F extends Record & FaultSettings> implements HttpHandler {
-  private final FaultSwitch<F> faults;
+  private final ActiveFaults<F> faults;
   private final History history;
   private final Consumer<ObjectNode> describeState;
-  private final Map<String, Consumer<ObjectNode>> further;
+  private final Map<String, Consumer<ObjectNode>> extraResources;
 
   /**
    * Creates the handler.
    *
-   * @param describeState fills in what {@code /stats} says beside the counts
-   * @param further resources of one kind of stand-in only, by path
+   * @param describeState adds the fields of {@code /stats} other than the counts
+   * @param extraResources resources that only one kind of stand-in has, by path
    */
   public AdminHandler(
-      FaultSwitch<F> faults,
+      ActiveFaults<F> faults,
       History history,
       Consumer<ObjectNode> describeState,
-      Map<String, Consumer<ObjectNode>> further) {
+      Map<String, Consumer<ObjectNode>> extraResources) {
     this.faults = faults;
     this.history = history;
     this.describeState = describeState;
-    this.further = Map.copyOf(further);
+    this.extraResources = Map.copyOf(extraResources);
   }
 
   @Override
@@ -63,12 +66,12 @@
           exchange.respond(200, Map.of("Content-Type", "application/jsonl"), history.jsonLines());
       case "stats" -> respondWith(exchange, this::describeStats);
       case "live" -> Json.respond(exchange, 200, Json.object().put("live", true));
-      default -> getFurther(exchange, resource);
+      default -> getExtraResource(exchange, resource);
     }
   }
 
-  private void getFurther(HttpExchange exchange, String resource) {
-    Consumer<ObjectNode> description = further.get(resource);
+  private void getExtraResource(HttpExchange exchange, String resource) {
+    Consumer<ObjectNode> description = extraResources.get(resource);
     if (description == null) {
       Json.respondError(exchange, 404, "no such resource: /" + resource);
       return;
@@ -76,11 +79,11 @@
     respondWith(exchange, description);
   }
 
-  // Keys that aren't given stay as they are, so that one fault can be set beside another.
+  // Keys that the body lacks keep their values, so that a fault can be added to those in force.
   private void putFaults(HttpExchange exchange) {
-    ObjectNode given = Json.readObject(exchange.body());
-    faults.update(given);
-    history.add("faults", line -> line.set("set", given));
+    ObjectNode changes = Json.readObject(exchange.body());
+    faults.update(changes);
+    history.add("faults", line -> line.set("set", changes));
     Json.respond(exchange, 200, Json.MAPPER.valueToTree(faults.current()));
   }
 
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/admin/History.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/admin/History.java
@@ -11,9 +11,10 @@
 import org.teaseldeal.standin.runtime.Json;
 
 /**
- * What a stand-in saw, in order, up to a limit, and a count by kind without one.
+ * The latest events of a stand-in in order, and a count of all its events by kind.
  *
- * <p>The oldest lines are dropped beyond the limit; the counts tell that there were more.
+ * <p>The oldest lines are dropped beyond a limit. The counts have no limit, so they show whether
+ * lines were dropped.
  */
 public final class History {
   private final InstantSource clock;
@@ -27,7 +28,7 @@
     this.maxLines = maxLines;
   }
 
-  /** Adds a line of a kind whose further fields {@code details} fills in. */
+  /** Adds an event of {@code kind}, whose further fields {@code details} fills in. */
   public void add(String kind, Consumer<ObjectNode> details) {
     ObjectNode line = Json.object();
     line.put("seq", sequence).put("at", clock.instant().toString()).put("kind", kind);
@@ -40,7 +41,7 @@
     }
   }
 
-  /** All lines kept, each ended by a line feed. */
+  /** Returns all retained lines, each terminated by a line feed. */
   public byte[] jsonLines() {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     for (byte[] line : lines) {
@@ -50,7 +51,7 @@
     return out.toByteArray();
   }
 
-  /** How often each kind was added since the start. */
+  /** Returns the number of events of each kind since the start. */
   public Map<String, Long> counts() {
     return new TreeMap<>(counts);
   }
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/admin/package-info.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/admin/package-info.java
@@ -1,4 +1,4 @@
-/** The admin address: faults, history of what was seen, counters. */
+/** The admin address of a stand-in: faults, history of events, counters. */
 @NullMarked
 package org.teaseldeal.standin.admin;
 
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/AnswerText.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/AnswerText.java
@@ -3,11 +3,12 @@
 import org.teaseldeal.api.Sha256;
 
 /**
- * The text of an answer, which follows from request id and prompt alone.
+ * Generates the text of an answer, which is determined by request id and prompt alone.
  *
  * <p>Frame {@code n} is {@code <d><p>:<n>} and a space, where {@code d} and {@code p} are the first
- * eight hexadecimal digits of the SHA-256 of the request id and of the prompt. So whoever knows
- * either can tell whether an answer is its own, and whether it is whole and in order.
+ * eight hexadecimal digits of the SHA-256 of the request id and of the prompt. A client that knows
+ * the request id or the prompt can therefore check that an answer belongs to its request and is
+ * complete and in order.
  */
 final class AnswerText {
   private static final int DIGITS = 8;
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/CacheEvent.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/CacheEvent.java
@@ -2,5 +2,5 @@
 
 import java.time.Instant;
 
-/** A block that was stored or removed, and when it may be told. */
+/** The event that a block was stored or removed, which can be read from {@code visibleAt} on. */
 record CacheEvent(long seq, boolean stored, long block, Instant visibleAt) {}
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/CacheEventLog.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/CacheEventLog.java
@@ -8,7 +8,10 @@
 import java.util.List;
 import org.teaseldeal.standin.fault.SeededChance;
 
-/** Events of the prefix cache, told late and with gaps where one was lost. */
+/**
+ * A log of the prefix cache's events. Events become readable after a lag, and lost events leave
+ * gaps in the sequence numbers.
+ */
 final class CacheEventLog implements PrefixCache.Listener {
   private static final int MAX_EVENTS = 100_000;
 
@@ -27,16 +30,16 @@
   }
 
   @Override
-  public void stored(long block) {
+  public void onStored(long block) {
     add(true, block);
   }
 
   @Override
-  public void removed(long block) {
+  public void onRemoved(long block) {
     add(false, block);
   }
 
-  /** Events from {@code from} on that are late enough to be told. */
+  /** Returns the events from sequence number {@code from} on whose lag has passed. */
   List<CacheEvent> read(long from) {
     Instant now = clock.instant();
     return events.stream()
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/ChatRequest.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/ChatRequest.java
@@ -5,9 +5,19 @@
 import java.util.Optional;
 import java.util.StringJoiner;
 
-/** What an engine reads from the body of a chat completion request. */
+/**
+ * The fields of a chat completion request that an engine uses.
+ *
+ * @param maxTokens the limit for the answer's tokens
+ * @param outputTokens the length of the answer before that limit; empty for a length that follows
+ *     from the request id
+ */
 record ChatRequest(String model, String prompt, int maxTokens, Optional<Integer> outputTokens) {
-  /** Reads a body; throws {@link IllegalArgumentException} with what is wrong. */
+  /**
+   * Reads the body of a request.
+   *
+   * @throws IllegalArgumentException if a field is absent or has an invalid value
+   */
   static ChatRequest read(ObjectNode body) {
     return new ChatRequest(
         body.path("model").asText(""),
@@ -16,8 +26,11 @@
         number(body, "x_output_tokens"));
   }
 
-  /** How long the answer gets if nothing cuts it; without a wish it follows from the request id. */
-  int wantedTokens(String requestId, EngineSettings.Answers answers) {
+  /**
+   * Returns the length of the answer before the request's limit: the requested length, or one
+   * within the engine's settings that is derived from the request id.
+   */
+  int requestedTokens(String requestId, EngineSettings.Answers answers) {
     int span = answers.maxTokens() - answers.minTokens() + 1;
     return outputTokens.orElseGet(
         () -> answers.minTokens() + Math.floorMod(requestId.hashCode(), span));
@@ -35,7 +48,7 @@
     return prompt.toString();
   }
 
-  // Content is a string or, for clients that mix media, a list of parts.
+  // Content is a string, or a list of parts if a client mixes media.
   private static String content(JsonNode content) {
     if (!content.isArray()) {
       return content.asText("");
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/ChunkWriter.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/ChunkWriter.java
@@ -6,8 +6,8 @@
 /**
  * Writes the chunks of one attempt as server-sent events.
  *
- * <p>Most of a chunk is the same in all of an answer, so it is made once: an engine that spent its
- * time on JSON would be slower than the routers that are measured against it.
+ * <p>The part that all chunks of an answer share is serialized once. If the engine serialized each
+ * chunk, it would be slower than the instances in front of it and limit their measured throughput.
  */
 final class ChunkWriter {
   private final String prefix;
@@ -24,7 +24,12 @@
     prefix = "data: " + head.substring(0, head.length() - 1) + ",\"position\":";
   }
 
-  /** A frame; {@code text} and {@code finishReason} have no character that JSON escapes. */
+  /**
+   * Returns the chunk of a frame.
+   *
+   * @param text the frame's text, without characters that JSON escapes
+   * @param finishReason likewise; empty if the frame isn't the last
+   */
   byte[] frame(int position, String text, String finishReason) {
     String reason = finishReason.isEmpty() ? "null" : '"' + finishReason + '"';
     return event(
@@ -36,7 +41,7 @@
             + "}]}");
   }
 
-  /** The last chunk, which has the usage. */
+  /** Returns the last chunk of an answer, which carries the usage. */
   byte[] usage(int frames, EngineUsage usage) {
     String tokens =
         Json.object()
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/CrashMode.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/CrashMode.java
@@ -2,16 +2,16 @@
 
 import java.util.Locale;
 
-/** What a request that crashes the engine does to it. */
+/** The effect of a request that crashes the engine. */
 public enum CrashMode {
-  /** Nothing. */
+  /** The request has no effect on the engine. */
   OFF,
-  /** The process ends. */
+  /** The process exits. */
   EXIT,
-  /** All connections close and all requests and the cache are forgotten. */
+  /** The engine closes all connections and drops all requests and its cache. */
   FORGET;
 
-  /** As in settings and in JSON. */
+  /** Returns the name that settings and JSON use. */
   @Override
   public String toString() {
     return name().toLowerCase(Locale.ROOT);
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/OrderBook.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/EngineConfiguration.java
@@ -6,28 +6,29 @@
 import org.teaseldeal.standin.runtime.Json;
 
 /**
- * Models, adapters and role as orders have left them.
+ * The loaded models, the loaded adapters and the role of an engine, which orders change.
  *
- * <p>An engine that checks fencing refuses an order below the highest number that it has seen; one
- * that doesn't takes any, so that an old order undoes a newer one.
+ * <p>An engine that checks fencing rejects an order whose fencing token is lower than the highest
+ * that it has seen. An engine that doesn't applies every order, so an outdated order can undo a
+ * newer one.
  */
-final class OrderBook {
+final class EngineConfiguration {
   private final boolean checksFencing;
   private final Map<String, String> models = new TreeMap<>();
   private final Map<String, String> adapters = new TreeMap<>();
   private String role = "mixed";
-  private long highest = -1;
+  private long highestFencing = -1;
 
-  OrderBook(boolean checksFencing) {
+  EngineConfiguration(boolean checksFencing) {
     this.checksFencing = checksFencing;
   }
 
-  /** Carries out an order; false if its fencing number is too low. */
-  boolean take(long fencing, OrderKind kind, String target, String version) {
-    if (checksFencing && fencing < highest) {
+  /** Applies an order; returns false if it is rejected because its fencing token is too low. */
+  boolean apply(long fencing, OrderKind kind, String target, String version) {
+    if (checksFencing && fencing < highestFencing) {
       return false;
     }
-    highest = Math.max(highest, fencing);
+    highestFencing = Math.max(highestFencing, fencing);
     switch (kind) {
       case LOAD_MODEL -> models.put(target, version);
       case UNLOAD_MODEL -> models.remove(target);
@@ -37,8 +38,8 @@
     return true;
   }
 
-  long highest() {
-    return highest;
+  long highestFencing() {
+    return highestFencing;
   }
 
   ObjectNode toJson() {
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/EngineFaults.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/EngineFaults.java
@@ -4,23 +4,25 @@
 import org.teaseldeal.standin.fault.FaultSettings;
 
 /**
- * Faults of an engine.
+ * The faults of an engine.
  *
- * @param seed of the random source that decides by the shares
- * @param slowFactor by which every iteration takes longer
- * @param refuseShare of requests that are answered by 503 and not run
- * @param silentRequestShare of requests that vanish: not run, never answered
- * @param silentAnswerShare of requests that are run while their connection stays silent
- * @param silentStreamShare of answers that stop in the middle without the connection closing
- * @param silentAfterFrames how many frames such an answer gives first
- * @param silentStreams every answer under way goes silent for good, and each new one
- * @param silentLoad the load report is never answered
- * @param crossedFrameShare of frames before which a frame of another attempt comes
- * @param lateFrameShare of frames after which the frame before comes once more
- * @param brokenStreamShare of frames after which the connection closes; the request runs on
- * @param crashMarker a prompt that contains it crashes the engine
- * @param crashMode what the crash does; off for nothing
- * @param crashAfterFrames how many frames such a request makes first
+ * @param seed the seed of the random source that decides which cases a share affects
+ * @param slowFactor the factor by which the duration of each iteration is multiplied
+ * @param refuseShare the share of requests that are not run and answered with 503
+ * @param silentRequestShare the share of requests that are not run and never answered
+ * @param silentAnswerShare the share of requests that are run and never answered
+ * @param silentStreamShare the share of answers that stop midway while their connection stays open
+ * @param silentAfterFrames the number of frames that such an answer sends first
+ * @param silentStreams whether all answers, those in progress and new ones, stop for good while
+ *     their connections stay open
+ * @param silentLoad whether requests for the load report are never answered
+ * @param crossedFrameShare the share of frames before which a frame of another attempt is sent
+ * @param lateFrameShare the share of frames after which the previous frame is sent once more
+ * @param brokenStreamShare the share of frames after which the connection is closed; the request
+ *     keeps running
+ * @param crashMarker the text in a prompt that crashes the engine
+ * @param crashMode the effect of such a crash
+ * @param crashAfterFrames the number of frames that such a request generates before the crash
  */
 public record EngineFaults(
     long seed,
@@ -46,27 +48,27 @@
       new EngineFaults(
           1, 1, 0, 0, 0, 0, 3, false, false, 0, 0, 0, "crash-the-engine", CrashMode.OFF, 0);
 
-  /** Reads the keys that {@code table} has; others are as in {@code byDefault}. */
-  public static EngineFaults read(TomlReader table, EngineFaults byDefault) {
+  /** Reads fault settings; keys that {@code table} lacks have their value in {@code defaults}. */
+  public static EngineFaults read(TomlReader table, EngineFaults defaults) {
     return new EngineFaults(
-        table.integer("seed", byDefault.seed, 0, Long.MAX_VALUE),
-        table.fraction("slow_factor", byDefault.slowFactor, 0.001, 100_000),
-        table.fraction("refuse_share", byDefault.refuseShare, 0, 1),
-        table.fraction("silent_request_share", byDefault.silentRequestShare, 0, 1),
-        table.fraction("silent_answer_share", byDefault.silentAnswerShare, 0, 1),
-        table.fraction("silent_stream_share", byDefault.silentStreamShare, 0, 1),
-        table.smallInteger("silent_after_frames", byDefault.silentAfterFrames, 0, MAX_FRAMES),
-        table.bool("silent_streams", byDefault.silentStreams),
-        table.bool("silent_load", byDefault.silentLoad),
-        table.fraction("crossed_frame_share", byDefault.crossedFrameShare, 0, 1),
-        table.fraction("late_frame_share", byDefault.lateFrameShare, 0, 1),
-        table.fraction("broken_stream_share", byDefault.brokenStreamShare, 0, 1),
-        table.text("crash_marker", byDefault.crashMarker),
-        table.oneOf("crash_mode", byDefault.crashMode),
-        table.smallInteger("crash_after_frames", byDefault.crashAfterFrames, 0, MAX_FRAMES));
+        table.integer("seed", defaults.seed, 0, Long.MAX_VALUE),
+        table.fraction("slow_factor", defaults.slowFactor, 0.001, 100_000),
+        table.fraction("refuse_share", defaults.refuseShare, 0, 1),
+        table.fraction("silent_request_share", defaults.silentRequestShare, 0, 1),
+        table.fraction("silent_answer_share", defaults.silentAnswerShare, 0, 1),
+        table.fraction("silent_stream_share", defaults.silentStreamShare, 0, 1),
+        table.smallInteger("silent_after_frames", defaults.silentAfterFrames, 0, MAX_FRAMES),
+        table.bool("silent_streams", defaults.silentStreams),
+        table.bool("silent_load", defaults.silentLoad),
+        table.fraction("crossed_frame_share", defaults.crossedFrameShare, 0, 1),
+        table.fraction("late_frame_share", defaults.lateFrameShare, 0, 1),
+        table.fraction("broken_stream_share", defaults.brokenStreamShare, 0, 1),
+        table.text("crash_marker", defaults.crashMarker),
+        table.oneOf("crash_mode", defaults.crashMode),
+        table.smallInteger("crash_after_frames", defaults.crashAfterFrames, 0, MAX_FRAMES));
   }
 
-  /** Whether a request with this prompt crashes the engine. */
+  /** Returns whether a request with this prompt crashes the engine. */
   boolean crashes(String prompt) {
     return crashMode != CrashMode.OFF && prompt.contains(crashMarker);
   }
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/EngineHandler.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/EngineHandler.java
@@ -13,44 +13,45 @@
 import org.teaseldeal.net.HttpHandler;
 import org.teaseldeal.net.ResponseStream;
 import org.teaseldeal.standin.admin.History;
-import org.teaseldeal.standin.fault.FaultSwitch;
+import org.teaseldeal.standin.fault.ActiveFaults;
 import org.teaseldeal.standin.fault.SeededChance;
 import org.teaseldeal.standin.runtime.Json;
-import org.teaseldeal.standin.runtime.LaggingView;
+import org.teaseldeal.standin.runtime.LaggedValue;
 import org.teaseldeal.standin.runtime.RequestTarget;
 import org.teaseldeal.standin.runtime.Scheduler;
 
-/** An engine over HTTP: streams, usage, cancel, load, cache events and orders. */
+/** Serves an engine over HTTP: streams, usage, cancellation, load, cache events and orders. */
 public final class EngineHandler implements HttpHandler, InferenceEngine.Listener {
-  private static final Duration LONGEST_LAG = Duration.ofMinutes(10);
-  private static final Duration EVENT_POLL = Duration.ofMillis(20);
+  private static final Duration MAX_LAG = Duration.ofMinutes(10);
+  private static final Duration EVENT_POLL_INTERVAL = Duration.ofMillis(20);
   private static final long MAX_WAIT_MS = 60_000;
   private static final int DEFAULT_PRIORITY = 100;
-  private static final Map<String, String> EVENT_STREAM =
+  private static final Map<String, String> EVENT_STREAM_HEADERS =
       Map.of("Content-Type", "text/event-stream", "Cache-Control", "no-cache");
 
   private final InstantSource clock;
   private final Scheduler scheduler;
   private final EngineSettings settings;
-  private final FaultSwitch<EngineFaults> faults;
+  private final ActiveFaults<EngineFaults> faults;
   private final History history;
   private final Runnable exitProcess;
   private final CacheEventLog cacheEvents;
   private final PrefixCache cache;
   private final InferenceEngine engine;
-  private final OrderBook orders;
-  private final LaggingView<Load> load = new LaggingView<>(LONGEST_LAG, new Load(0, 0, 0));
+  private final EngineConfiguration configuration;
+  private final LaggedValue<LoadSnapshot> loadHistory =
+      new LaggedValue<>(MAX_LAG, new LoadSnapshot(0, 0, 0));
 
   /**
    * Creates the handler.
    *
-   * @param exitProcess what a request does that crashes the process; it need not return
+   * @param exitProcess ends the process after a request that crashes it; need not return
    */
   public EngineHandler(
       InstantSource clock,
       Scheduler scheduler,
       EngineSettings settings,
-      FaultSwitch<EngineFaults> faults,
+      ActiveFaults<EngineFaults> faults,
       History history,
       Runnable exitProcess) {
     this.clock = clock;
@@ -68,7 +69,7 @@
             new SeededChance(faults.current().seed()));
     cache = new PrefixCache(cacheSettings.blocks(), cacheSettings.blockTokens(), cacheEvents);
     engine = new InferenceEngine(clock, scheduler, settings, faults, cache, this);
-    orders = new OrderBook(settings.checksFencing());
+    configuration = new EngineConfiguration(settings.checksFencing());
   }
 
   @Override
@@ -80,22 +81,22 @@
     }
   }
 
-  /** Requests that wait or run. */
+  /** Returns the number of requests that are waiting or running. */
   public int inFlight() {
     return engine.runningCount() + engine.waitingCount();
   }
 
-  /** Fills in the state of batch and cache. */
+  /** Adds the state of batch and cache to {@code stats}. */
   public void describe(ObjectNode stats) {
     stats
         .put("running", engine.runningCount())
         .put("waiting", engine.waitingCount())
         .put("iterations", engine.iterations())
-        .put("cache_blocks", cache.used());
+        .put("cache_blocks", cache.blockCount());
   }
 
   @Override
-  public void started(Generation generation, int cachedTokens) {
+  public void onStarted(Generation generation, int cachedTokens) {
     history.add(
         "started",
         line ->
@@ -105,7 +106,7 @@
   }
 
   @Override
-  public void ended(Generation generation) {
+  public void onEnded(Generation generation) {
     history.add(
         generation.state().label(),
         line ->
@@ -115,59 +116,59 @@
   }
 
   @Override
-  public void crashed(Generation generation) {
+  public void onCrash(Generation generation) {
     history.add("crashed", line -> line.put("request", generation.request().requestId()));
     if (faults.current().crashMode() == CrashMode.EXIT) {
       exitProcess.run();
     }
-    engine.forgetAll();
+    engine.reset();
   }
 
   @Override
-  public void loadChanged(int running, int waiting) {
-    load.set(clock.instant(), new Load(running, waiting, cache.share()));
+  public void onLoadChanged(int running, int waiting) {
+    loadHistory.set(clock.instant(), new LoadSnapshot(running, waiting, cache.fillRatio()));
   }
 
   private void route(HttpExchange exchange, RequestTarget target) {
     String method = exchange.method();
     if (method.equals("POST") && target.matches("v1", "chat", "completions")) {
-      complete(exchange);
+      handleCompletion(exchange);
     } else if (method.equals("GET") && target.matches("v1", "requests", "*", "stream")) {
-      resume(exchange, target);
+      handleResume(exchange, target);
     } else if (target.matches("v1", "requests", "*")) {
-      request(exchange, target.segments().get(2));
+      handleRequestResource(exchange, target.segments().get(2));
     } else if (method.equals("GET") && target.matches("load")) {
       answerLoad(exchange);
     } else if (method.equals("GET") && target.matches("cache-events")) {
       awaitCacheEvents(exchange, target);
     } else if (method.equals("POST") && target.matches("orders")) {
-      order(exchange);
+      handleOrder(exchange);
     } else if (method.equals("GET") && target.matches("orders", "state")) {
-      Json.respond(exchange, 200, orders.toJson());
+      Json.respond(exchange, 200, configuration.toJson());
     } else {
       Json.respondError(exchange, 404, "no such resource: " + method + " " + exchange.path());
     }
   }
 
-  private void complete(HttpExchange exchange) {
+  private void handleCompletion(HttpExchange exchange) {
     String requestId = required(exchange, "Request-Id");
     String attemptId = required(exchange, "Attempt-Id");
-    if (faults.strikes(faults.current().silentRequestShare())) {
+    if (faults.shouldInject(faults.current().silentRequestShare())) {
       history.add("silent-request", line -> line.put("request", requestId));
       return;
     }
-    Optional<Generation> known = engine.find(requestId);
-    if (known.isPresent()) {
+    Optional<Generation> existing = engine.find(requestId);
+    if (existing.isPresent()) {
       history.add("attached", line -> line.put("request", requestId).put("attempt", attemptId));
-      stream(exchange, known.get(), attemptId, 0);
+      streamAnswer(exchange, existing.get(), attemptId, 0);
       return;
     }
-    if (refused(exchange, requestId)) {
+    if (rejected(exchange, requestId)) {
       return;
     }
     ChatRequest chat = ChatRequest.read(Json.readObject(exchange.body()));
     Generation generation = submit(exchange, requestId, attemptId, chat);
-    stream(exchange, generation, attemptId, 0);
+    streamAnswer(exchange, generation, attemptId, 0);
   }
 
   private Generation submit(
@@ -180,16 +181,16 @@
             chat.prompt(),
             priority(exchange),
             chat.maxTokens(),
-            chat.wantedTokens(requestId, settings.answers())));
+            chat.requestedTokens(requestId, settings.answers())));
   }
 
-  private boolean refused(HttpExchange exchange, String requestId) {
-    if (faults.strikes(faults.current().refuseShare())) {
+  private boolean rejected(HttpExchange exchange, String requestId) {
+    if (faults.shouldInject(faults.current().refuseShare())) {
       history.add("refused", line -> line.put("request", requestId));
       Json.respondError(exchange, 503, "refused by a fault setting; not run");
       return true;
     }
-    if (!engine.hasRoom()) {
+    if (!engine.hasCapacity()) {
       history.add("full", line -> line.put("request", requestId));
       Json.respondError(exchange, 429, "as many requests wait as may; not run");
       return true;
@@ -197,65 +198,67 @@
     return false;
   }
 
-  private void resume(HttpExchange exchange, RequestTarget target) {
+  private void handleResume(HttpExchange exchange, RequestTarget target) {
     String attemptId = required(exchange, "Attempt-Id");
     String requestId = target.segments().get(2);
     long from = target.number("from", 0);
-    Optional<Generation> known = engine.find(requestId);
-    if (known.isEmpty()) {
+    Optional<Generation> existing = engine.find(requestId);
+    if (existing.isEmpty()) {
       Json.respondError(exchange, 404, "no such request: " + requestId);
       return;
     }
-    if (from > known.get().request().frames()) {
+    if (from > existing.get().request().frames()) {
       throw new IllegalArgumentException(
-          "from was %d, expected up to %d".formatted(from, known.get().request().frames()));
+          "from was %d, expected up to %d".formatted(from, existing.get().request().frames()));
     }
     history.add(
         "resumed",
         line -> line.put("request", requestId).put("attempt", attemptId).put("from", from));
-    stream(exchange, known.get(), attemptId, (int) from);
+    streamAnswer(exchange, existing.get(), attemptId, (int) from);
   }
 
-  private void stream(HttpExchange exchange, Generation generation, String attemptId, int from) {
-    if (faults.strikes(faults.current().silentAnswerShare())) {
+  private void streamAnswer(
+      HttpExchange exchange, Generation generation, String attemptId, int from) {
+    if (faults.shouldInject(faults.current().silentAnswerShare())) {
       history.add("silent-answer", line -> line.put("request", generation.request().requestId()));
       return;
     }
-    ResponseStream stream = exchange.startStream(200, EVENT_STREAM);
+    ResponseStream stream = exchange.startStream(200, EVENT_STREAM_HEADERS);
     GenerationRequest request = generation.request();
-    SseSink.AnswerHead head =
-        new SseSink.AnswerHead(
+    SseSink.AnswerMetadata metadata =
+        new SseSink.AnswerMetadata(
             request.requestId(),
             attemptId,
             request.model(),
             clock.instant().getEpochSecond(),
-            request.cutByLimit() ? "length" : "stop");
-    SseSink sink = new SseSink(stream, head, faults, this::noteFault);
+            request.truncated() ? "length" : "stop");
+    SseSink sink = new SseSink(stream, metadata, faults, this::recordFault);
     generation.attach(sink, from);
-    // The request runs on without a reader, so that it can be resumed through another instance.
+    // The request keeps running without a reader, so that another instance can resume its stream.
     exchange.onCallerGone(() -> scheduler.schedule(Duration.ZERO, () -> generation.detach(sink)));
   }
 
-  private void noteFault(String fault, SseSink.AnswerHead head) {
+  private void recordFault(String fault, SseSink.AnswerMetadata metadata) {
     history.add(
-        fault, line -> line.put("request", head.requestId()).put("attempt", head.attemptId()));
+        fault,
+        line -> line.put("request", metadata.requestId()).put("attempt", metadata.attemptId()));
   }
 
-  private void request(HttpExchange exchange, String requestId) {
+  private void handleRequestResource(HttpExchange exchange, String requestId) {
     boolean cancel = exchange.method().equals("DELETE");
     if (!cancel && !exchange.method().equals("GET")) {
       Json.respondError(exchange, 405, "expected GET or DELETE");
       return;
     }
-    Optional<Generation> known = engine.find(requestId);
-    if (known.isEmpty()) {
+    Optional<Generation> existing = engine.find(requestId);
+    if (existing.isEmpty()) {
       Json.respondError(exchange, 404, "no such request: " + requestId);
       return;
     }
     if (cancel) {
-      engine.cancel(known.get());
+      engine.cancel(existing.get());
     }
-    Json.respond(exchange, 200, stateJson(known.get()));
+    Json.respond(exchange, 200, stateJson(existing.get()));
   }
 
   private static ObjectNode stateJson(Generation generation) {
@@ -273,14 +276,14 @@
       return;
     }
     Instant asOf = clock.instant().minus(settings.loadLag());
-    Load then = load.at(asOf);
+    LoadSnapshot reported = loadHistory.at(asOf);
     Json.respond(
         exchange,
         200,
         Json.object()
-            .put("running", then.running())
-            .put("waiting", then.waiting())
-            .put("cache_use", then.cacheUse())
+            .put("running", reported.running())
+            .put("waiting", reported.waiting())
+            .put("cache_use", reported.cacheUse())
             .put("as_of", asOf.toString()));
   }
 
@@ -293,7 +296,7 @@
   private void pollCacheEvents(HttpExchange exchange, long from, Instant deadline) {
     List<CacheEvent> events = cacheEvents.read(from);
     if (events.isEmpty() && clock.instant().isBefore(deadline)) {
-      scheduler.schedule(EVENT_POLL, () -> pollCacheEvents(exchange, from, deadline));
+      scheduler.schedule(EVENT_POLL_INTERVAL, () -> pollCacheEvents(exchange, from, deadline));
       return;
     }
     ObjectNode answer = Json.object();
@@ -310,17 +313,18 @@
         .put("block", HexFormat.of().toHexDigits(event.block()));
   }
 
-  private void order(HttpExchange exchange) {
+  private void handleOrder(HttpExchange exchange) {
     ObjectNode body = Json.readObject(exchange.body());
     long fencing = body.path("fencing").asLong(-1);
     OrderKind kind = OrderKind.parse(body.path("kind").asText(""));
     String orderTarget = body.path("target").asText("");
-    boolean taken = orders.take(fencing, kind, orderTarget, body.path("version").asText(""));
-    history.add(taken ? "order" : "order-refused", line -> line.set("order", body));
-    if (taken) {
-      Json.respond(exchange, 200, orders.toJson());
+    boolean applied =
+        configuration.apply(fencing, kind, orderTarget, body.path("version").asText(""));
+    history.add(applied ? "order" : "order-refused", line -> line.set("order", body));
+    if (applied) {
+      Json.respond(exchange, 200, configuration.toJson());
     } else {
-      Json.respond(exchange, 409, Json.object().put("highest", orders.highest()));
+      Json.respond(exchange, 409, Json.object().put("highest", configuration.highestFencing()));
     }
   }
 
@@ -343,5 +347,5 @@
         .orElseThrow(() -> new IllegalArgumentException("header %s was absent".formatted(header)));
   }
 
-  private record Load(int running, int waiting, double cacheUse) {}
+  private record LoadSnapshot(int running, int waiting, double cacheUse) {}
 }
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/EngineSettings.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/EngineSettings.java
@@ -6,10 +6,13 @@
 import org.teaseldeal.standin.settings.RegistrationSettings;
 
 /**
- * Settings of an engine stand-in.
+ * The settings of an engine stand-in.
  *
- * <p>Where a file says nothing: a small engine at about 50 tokens a second for each of up to 32
- * requests.
+ * <p>The defaults describe a small engine that generates about 50 tokens per second for each of up
+ * to 32 concurrent requests.
+ *
+ * @param loadLag the age of the load that the engine reports
+ * @param checksFencing whether the engine rejects orders with an outdated fencing token
  */
 public record EngineSettings(
     ListenSettings listen,
@@ -20,9 +23,9 @@
     Duration loadLag,
     boolean checksFencing,
     EngineFaults faults) {
-  private static final Duration LONGEST_LAG = Duration.ofMinutes(10);
+  private static final Duration MAX_LAG = Duration.ofMinutes(10);
 
-  /** Reads a file's root table. */
+  /** Reads the settings from a file's root table. */
   public static EngineSettings read(TomlReader root) {
     return new EngineSettings(
         ListenSettings.read(root),
@@ -30,19 +33,21 @@
         Batch.read(root.table("batch")),
         Cache.read(root.table("cache")),
         Answers.read(root.table("answers")),
-        root.duration("load_lag", Duration.ofMillis(200), Duration.ZERO, LONGEST_LAG),
+        root.duration("load_lag", Duration.ofMillis(200), Duration.ZERO, MAX_LAG),
         root.bool("checks_fencing", true),
         EngineFaults.read(root.table("faults"), EngineFaults.NONE));
   }
 
   /**
-   * How requests share iterations.
+   * The settings of continuous batching.
    *
-   * @param maxRunning requests that make a token in each iteration
-   * @param maxWaiting further requests that are taken; beyond them, 429
-   * @param iterationMicros what an iteration takes with nothing in it
-   * @param perRequestMicros what each running request adds to an iteration
-   * @param prefillTokenMicros what each prompt token that isn't cached adds to the first one
+   * @param maxRunning the maximum number of requests that get a token in each iteration
+   * @param maxWaiting the maximum number of waiting requests; further ones are answered with 429
+   * @param iterationMicros the basic duration of an iteration in microseconds
+   * @param perRequestMicros the time that each running request adds to an iteration, in
+   *     microseconds
+   * @param prefillTokenMicros the time that each uncached prompt token adds to the request's first
+   *     iteration, in microseconds
    */
   public record Batch(
       int maxRunning,
@@ -63,38 +68,38 @@
   }
 
   /**
-   * The prefix cache.
+   * The settings of the prefix cache.
    *
-   * @param blocks how many fit into memory
-   * @param blockTokens tokens of a block
-   * @param eventLag how late its events are
-   * @param eventLossShare the share of its events that are lost
+   * @param blocks the capacity in blocks
+   * @param blockTokens the number of tokens per block
+   * @param eventLag the time after which an event can be read
+   * @param eventLossShare the share of events that are lost
    */
   public record Cache(int blocks, int blockTokens, Duration eventLag, double eventLossShare) {
     static Cache read(TomlReader table) {
       return new Cache(
           table.smallInteger("blocks", 4_096, 1, 10_000_000),
           table.smallInteger("block_tokens", 16, 1, 4_096),
-          table.duration("event_lag", Duration.ofMillis(200), Duration.ZERO, LONGEST_LAG),
+          table.duration("event_lag", Duration.ofMillis(200), Duration.ZERO, MAX_LAG),
           table.fraction("event_loss_share", 0.01, 0, 1));
     }
   }
 
   /**
-   * Answers.
+   * The settings of answers.
    *
-   * @param minTokens the shortest answer where the request says nothing
-   * @param maxTokens the longest
-   * @param keepFor how long a finished request can be attached to and asked for
+   * @param minTokens the minimum length of an answer whose length the request doesn't state
+   * @param maxTokens the maximum length of such an answer
+   * @param keepFor how long the answer and usage of an ended request can be read
    */
   public record Answers(int minTokens, int maxTokens, Duration keepFor) {
-    private static final int LONGEST = 1_000_000;
+    private static final int MAX_ANSWER_TOKENS = 1_000_000;
 
     static Answers read(TomlReader table) {
-      int minTokens = table.smallInteger("min_tokens", 8, 1, LONGEST);
+      int minTokens = table.smallInteger("min_tokens", 8, 1, MAX_ANSWER_TOKENS);
       return new Answers(
           minTokens,
-          table.smallInteger("max_tokens", Math.max(64, minTokens), minTokens, LONGEST),
+          table.smallInteger("max_tokens", Math.max(64, minTokens), minTokens, MAX_ANSWER_TOKENS),
           table.duration("keep_for", Duration.ofMinutes(10), Duration.ZERO, Duration.ofDays(1)));
     }
   }
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/FrameSink.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/FrameSink.java
@@ -1,13 +1,13 @@
 package org.teaseldeal.standin.engine;
 
-/** Takes the frames of a generation from some position on. */
+/** Receives the frames of a generation from a given position on. */
 interface FrameSink {
-  /** The next frame. */
-  void frame(int position, String text, boolean last);
+  /** Called for each frame, in order. */
+  void onFrame(int position, String text, boolean last);
 
-  /** All frames have been given. */
-  void finished(EngineUsage usage, int frames);
+  /** Called after the last frame. */
+  void onFinished(EngineUsage usage, int frames);
 
-  /** No more frames will come, though the answer isn't whole. */
-  void broken();
+  /** Called if no more frames will follow although the answer is incomplete. */
+  void onBroken();
 }
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/Generation.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/Generation.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request that the engine knows, its frames so far and who is reading them. */
+/** The generation of one request's answer: its state, its frames so far and their readers. */
 final class Generation {
   private final GenerationRequest request;
   private final long arrival;
@@ -41,7 +41,7 @@
     return frames;
   }
 
-  /** What was used so far; nothing while it waits, as the prompt hasn't been read. */
+  /** Returns the usage so far, which is zero until the generation starts to read the prompt. */
   EngineUsage usage() {
     return started ? new EngineUsage(promptTokens.size(), frames) : EngineUsage.NONE;
   }
@@ -51,13 +51,13 @@
     state = State.RUNNING;
   }
 
-  /** Makes one more frame; returns whether it was the last. */
-  boolean step() {
+  /** Generates the next frame and passes it to all readers; returns whether it was the last. */
+  boolean generateFrame() {
     int position = frames;
     frames++;
     boolean last = frames >= request.frames();
     for (FrameSink sink : List.copyOf(sinks)) {
-      sink.frame(position, text.frame(position), last);
+      sink.onFrame(position, text.frame(position), last);
     }
     if (last) {
       end(State.FINISHED);
@@ -69,13 +69,16 @@
     end(State.CANCELLED);
   }
 
-  /** Gives {@code sink} the frames from {@code from} on, those made already at once. */
+  /**
+   * Passes the frames from {@code from} on to {@code sink}: existing frames at once, and later ones
+   * when they are generated.
+   */
   void attach(FrameSink sink, int from) {
     for (int position = from; position < frames; position++) {
-      sink.frame(position, text.frame(position), position + 1 >= request.frames());
+      sink.onFrame(position, text.frame(position), position + 1 >= request.frames());
     }
     if (state.ended()) {
-      tellEnd(sink);
+      notifyEnd(sink);
       return;
     }
     sinks.add(sink);
@@ -87,20 +90,20 @@
 
   private void end(State ended) {
     state = ended;
-    List<FrameSink> told = List.copyOf(sinks);
+    List<FrameSink> readers = List.copyOf(sinks);
     sinks.clear();
-    told.forEach(this::tellEnd);
+    readers.forEach(this::notifyEnd);
   }
 
-  private void tellEnd(FrameSink sink) {
+  private void notifyEnd(FrameSink sink) {
     if (state == State.FINISHED) {
-      sink.finished(usage(), frames);
+      sink.onFinished(usage(), frames);
     } else {
-      sink.broken();
+      sink.onBroken();
     }
   }
 
-  /** Where a generation stands. */
+  /** The state of a generation; the label is the name that answers and the history use. */
   enum State {
     WAITING("running", false),
     RUNNING("running", false),
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/InferenceEngine.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/InferenceEngine.java
@@ -12,40 +12,41 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.PriorityQueue;
-import org.teaseldeal.standin.fault.FaultSwitch;
+import org.teaseldeal.standin.fault.ActiveFaults;
 import org.teaseldeal.standin.runtime.Scheduler;
 
 /**
- * Continuous batching: in each iteration every running request makes one frame, and waiting ones
- * join as soon as there is room, by priority and then by arrival.
+ * Simulates an inference engine with continuous batching. Each iteration generates one frame for
+ * every running request. Waiting requests are admitted between iterations while the batch has
+ * capacity, ordered by priority and then by arrival.
  *
- * <p>An iteration takes longer the more requests are in it, and longer again for each prompt token
- * of newcomers that the cache doesn't have.
+ * <p>The duration of an iteration grows with the number of running requests and with the number of
+ * uncached prompt tokens of the requests that were just admitted.
  */
 final class InferenceEngine {
-  private static final Comparator<Generation> ORDER =
+  private static final Comparator<Generation> SCHEDULING_ORDER =
       Comparator.comparingInt((Generation generation) -> generation.request().priority())
           .thenComparingLong(Generation::arrival);
 
   private final InstantSource clock;
   private final Scheduler scheduler;
   private final EngineSettings settings;
-  private final FaultSwitch<EngineFaults> faults;
+  private final ActiveFaults<EngineFaults> faults;
   private final PrefixCache cache;
   private final Listener listener;
-  private final Map<String, Generation> known = new HashMap<>();
-  private final PriorityQueue<Generation> waiting = new PriorityQueue<>(ORDER);
+  private final Map<String, Generation> generations = new HashMap<>();
+  private final PriorityQueue<Generation> waiting = new PriorityQueue<>(SCHEDULING_ORDER);
   private final List<Generation> running = new ArrayList<>();
-  private final Deque<Ended> ended = new ArrayDeque<>();
-  private long arrivals;
+  private final Deque<EndedGeneration> recentlyEnded = new ArrayDeque<>();
+  private long arrivalCount;
   private boolean iterating;
-  private long iteration;
+  private long iterationCount;
 
   InferenceEngine(
       InstantSource clock,
       Scheduler scheduler,
       EngineSettings settings,
-      FaultSwitch<EngineFaults> faults,
+      ActiveFaults<EngineFaults> faults,
       PrefixCache cache,
       Listener listener) {
     this.clock = clock;
@@ -56,29 +57,29 @@
     this.listener = listener;
   }
 
-  /** Whether one more request is taken. */
-  boolean hasRoom() {
+  /** Returns whether one more request can be accepted. */
+  boolean hasCapacity() {
     EngineSettings.Batch batch = settings.batch();
     return running.size() + waiting.size() < batch.maxRunning() + batch.maxWaiting();
   }
 
-  /** Takes a request whose id isn't known yet. */
+  /** Accepts a request, whose id must be new to the engine. */
   Generation submit(GenerationRequest request) {
-    Generation generation = new Generation(request, arrivals);
-    arrivals++;
-    known.put(request.requestId(), generation);
+    Generation generation = new Generation(request, arrivalCount);
+    arrivalCount++;
+    generations.put(request.requestId(), generation);
     waiting.add(generation);
-    listener.loadChanged(running.size(), waiting.size());
+    listener.onLoadChanged(running.size(), waiting.size());
     beginIteration();
     return generation;
   }
 
   Optional<Generation> find(String requestId) {
-    forgetOld();
-    return Optional.ofNullable(known.get(requestId));
+    removeExpired();
+    return Optional.ofNullable(generations.get(requestId));
   }
 
-  /** Stops a request if it hasn't ended. */
+  /** Cancels a request; has no effect if it has ended. */
   void cancel(Generation generation) {
     if (generation.state().ended()) {
       return;
@@ -86,19 +87,19 @@
     waiting.remove(generation);
     running.remove(generation);
     generation.cancel();
-    noteEnd(generation);
+    recordEnd(generation);
   }
 
-  /** Loses all requests and the cache, as a crash does. */
-  void forgetAll() {
-    List<Generation> lost = List.copyOf(known.values());
-    known.clear();
+  /** Drops all requests and the cache, as a crash does. */
+  void reset() {
+    List<Generation> lost = List.copyOf(generations.values());
+    generations.clear();
     waiting.clear();
     running.clear();
-    ended.clear();
+    recentlyEnded.clear();
     cache.clear();
     lost.stream().filter(generation -> !generation.state().ended()).forEach(Generation::cancel);
-    listener.loadChanged(0, 0);
+    listener.onLoadChanged(0, 0);
   }
 
   int runningCount() {
@@ -110,7 +111,7 @@
   }
 
   long iterations() {
-    return iteration;
+    return iterationCount;
   }
 
   private void beginIteration() {
@@ -122,7 +123,7 @@
       return;
     }
     iterating = true;
-    scheduler.schedule(duration(uncached), this::endIteration);
+    scheduler.schedule(iterationTime(uncached), this::endIteration);
   }
 
   private int admit() {
@@ -131,15 +132,15 @@
       Generation generation = waiting.remove();
       running.add(generation);
       generation.start();
-      int cached = cache.use(generation.promptTokens());
+      int cached = cache.matchAndStore(generation.promptTokens());
       uncached += generation.promptTokens().size() - cached;
-      listener.started(generation, cached);
+      listener.onStarted(generation, cached);
     }
-    listener.loadChanged(running.size(), waiting.size());
+    listener.onLoadChanged(running.size(), waiting.size());
     return uncached;
   }
 
-  private Duration duration(int uncachedTokens) {
+  private Duration iterationTime(int uncachedTokens) {
     EngineSettings.Batch batch = settings.batch();
     double micros =
         batch.iterationMicros()
@@ -150,14 +151,14 @@
 
   private void endIteration() {
     iterating = false;
-    iteration++;
+    iterationCount++;
     for (Generation generation : List.copyOf(running)) {
-      // A crash in the middle of the iteration has taken the rest with it.
+      // A request whose frame crashes the engine also removes the rest of the batch.
       if (running.contains(generation)) {
         step(generation);
       }
     }
-    forgetOld();
+    removeExpired();
     beginIteration();
   }
 
@@ -165,39 +166,39 @@
     EngineFaults current = faults.current();
     if (current.crashes(generation.request().prompt())
         && generation.frames() >= current.crashAfterFrames()) {
-      listener.crashed(generation);
+      listener.onCrash(generation);
       return;
     }
-    if (generation.step()) {
+    if (generation.generateFrame()) {
       running.remove(generation);
-      noteEnd(generation);
+      recordEnd(generation);
     }
   }
 
-  private void noteEnd(Generation generation) {
-    ended.add(new Ended(clock.instant(), generation));
-    listener.ended(generation);
-    listener.loadChanged(running.size(), waiting.size());
+  private void recordEnd(Generation generation) {
+    recentlyEnded.add(new EndedGeneration(clock.instant(), generation));
+    listener.onEnded(generation);
+    listener.onLoadChanged(running.size(), waiting.size());
   }
 
-  private void forgetOld() {
+  private void removeExpired() {
     Instant limit = clock.instant().minus(settings.answers().keepFor());
-    while (!ended.isEmpty() && ended.element().at.isBefore(limit)) {
-      known.remove(ended.remove().generation.request().requestId());
+    while (!recentlyEnded.isEmpty() && recentlyEnded.element().at.isBefore(limit)) {
+      generations.remove(recentlyEnded.remove().generation.request().requestId());
     }
   }
 
-  private record Ended(Instant at, Generation generation) {}
+  private record EndedGeneration(Instant at, Generation generation) {}
 
-  /** Is told what happens to requests. */
+  /** Receives the events of the engine's requests. */
   interface Listener {
-    void started(Generation generation, int cachedTokens);
+    void onStarted(Generation generation, int cachedTokens);
 
-    void ended(Generation generation);
+    void onEnded(Generation generation);
 
-    /** The request crashes the engine; what that means is the listener's to carry out. */
-    void crashed(Generation generation);
+    /** Called if a request crashes the engine; the listener carries out the crash. */
+    void onCrash(Generation generation);
 
-    void loadChanged(int running, int waiting);
+    void onLoadChanged(int running, int waiting);
   }
 }
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/OrderKind.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/OrderKind.java
@@ -3,14 +3,18 @@
 import java.util.Arrays;
 import java.util.Locale;
 
-/** What an engine can be told to do. */
+/** The kinds of orders that an engine accepts. */
 enum OrderKind {
   LOAD_MODEL,
   UNLOAD_MODEL,
   LOAD_ADAPTER,
   SET_ROLE;
 
-  /** The kind of that name; throws {@link IllegalArgumentException} if there is none. */
+  /**
+   * Returns the kind with the given label.
+   *
+   * @throws IllegalArgumentException if there is none
+   */
   static OrderKind parse(String label) {
     return Arrays.stream(values())
         .filter(kind -> kind.label().equals(label))
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/PrefixCache.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/PrefixCache.java
@@ -9,17 +9,17 @@
 import java.util.SequencedSet;
 
 /**
- * Which prompt prefixes an engine still has in its memory, in blocks of tokens.
+ * A cache of prompt prefixes in blocks of tokens, with least-recently-used eviction.
  *
- * <p>A block's hash takes in the hash before it, so a block is found only behind the same prefix.
- * The block that has been unused for longest goes first.
+ * <p>The hash of a block includes the hash of the block before it, so a block is found only after
+ * the same prefix.
  */
 final class PrefixCache {
   private final int capacity;
   private final int blockTokens;
   private final Listener listener;
 
-  /** Least recently used first. */
+  /** The hashes of the cached blocks, least recently used first. */
   private final SequencedSet<Long> blocks = new LinkedHashSet<>();
 
   PrefixCache(int capacity, int blockTokens, Listener listener) {
@@ -28,26 +28,27 @@
     this.listener = listener;
   }
 
-  /** Uses the cache for a prompt, stores the prompt's whole blocks, returns the tokens found. */
-  int use(List<String> tokens) {
-    List<Long> chain = chain(tokens);
+  /** Returns the number of a prompt's tokens that are cached, and caches its complete blocks. */
+  int matchAndStore(List<String> tokens) {
+    List<Long> hashes = blockHashes(tokens);
     int found = 0;
-    while (found < chain.size() && blocks.contains(chain.get(found))) {
+    while (found < hashes.size() && blocks.contains(hashes.get(found))) {
       found++;
     }
-    // Last block first: a prefix must outlive what hangs on it, or the rest can't be found.
-    for (long block : chain.reversed()) {
+    // Blocks are touched from last to first, so that a prefix is evicted after the blocks that
+    // follow it. Without their prefix these couldn't be found any more.
+    for (long block : hashes.reversed()) {
       touch(block);
     }
     evict();
     return found * blockTokens;
   }
 
-  int used() {
+  int blockCount() {
     return blocks.size();
   }
 
-  double share() {
+  double fillRatio() {
     return (double) blocks.size() / capacity;
   }
 
@@ -57,7 +58,7 @@
 
   private void touch(long block) {
     if (!blocks.remove(block)) {
-      listener.stored(block);
+      listener.onStored(block);
     }
     blocks.addLast(block);
   }
@@ -66,26 +67,26 @@
     for (Iterator<Long> i = blocks.iterator(); blocks.size() > capacity; ) {
       long block = i.next();
       i.remove();
-      listener.removed(block);
+      listener.onRemoved(block);
     }
   }
 
-  private List<Long> chain(List<String> tokens) {
-    List<Long> chain = new ArrayList<>();
+  private List<Long> blockHashes(List<String> tokens) {
+    List<Long> hashes = new ArrayList<>();
     long previous = 0;
     for (int end = blockTokens; end <= tokens.size(); end += blockTokens) {
       HashStream64 stream = Hashing.komihash5_0().hashStream().putLong(previous);
       tokens.subList(end - blockTokens, end).forEach(stream::putString);
       previous = stream.getAsLong();
-      chain.add(previous);
+      hashes.add(previous);
     }
-    return chain;
+    return hashes;
   }
 
-  /** Is told of blocks that come and go. */
+  /** Receives an event for each block that is stored or evicted. */
   interface Listener {
-    void stored(long block);
+    void onStored(long block);
 
-    void removed(long block);
+    void onRemoved(long block);
   }
 }
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/SseSink.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/SseSink.java
@@ -2,108 +2,110 @@
 
 import java.nio.charset.StandardCharsets;
 import org.teaseldeal.net.ResponseStream;
-import org.teaseldeal.standin.fault.FaultSwitch;
+import org.teaseldeal.standin.fault.ActiveFaults;
 
-/** Sends frames as server-sent events, with the faults that strike answers under way. */
+/** Sends frames as server-sent events, and injects the faults that affect answers in progress. */
 final class SseSink implements FrameSink {
   private static final byte[] DONE = "data: [DONE]\n\n".getBytes(StandardCharsets.UTF_8);
 
   private final ResponseStream stream;
-  private final AnswerHead head;
+  private final AnswerMetadata metadata;
   private final ChunkWriter chunks;
-  private final FaultSwitch<EngineFaults> faults;
+  private final ActiveFaults<EngineFaults> faults;
   private final FaultListener listener;
-  private final boolean stopsInTheMiddle;
-  private int sent;
+  private final boolean stallsMidStream;
+  private int sentFrames;
   private String previousText = "";
   private boolean silent;
-  private boolean over;
+  private boolean ended;
 
   SseSink(
       ResponseStream stream,
-      AnswerHead head,
-      FaultSwitch<EngineFaults> faults,
+      AnswerMetadata metadata,
+      ActiveFaults<EngineFaults> faults,
       FaultListener listener) {
     this.stream = stream;
-    this.head = head;
-    this.chunks = head.chunks(head.attemptId());
+    this.metadata = metadata;
+    this.chunks = metadata.chunks(metadata.attemptId());
     this.faults = faults;
     this.listener = listener;
-    this.stopsInTheMiddle = faults.strikes(faults.current().silentStreamShare());
+    this.stallsMidStream = faults.shouldInject(faults.current().silentStreamShare());
   }
 
   @Override
-  public void frame(int position, String text, boolean last) {
-    if (over || goesSilent()) {
+  public void onFrame(int position, String text, boolean last) {
+    if (ended || updateSilence()) {
       return;
     }
     EngineFaults current = faults.current();
-    if (faults.strikes(current.crossedFrameShare())) {
-      sendCrossed(position);
+    if (faults.shouldInject(current.crossedFrameShare())) {
+      sendCrossedFrame(position);
     }
-    stream.write(chunks.frame(position, text, last ? head.finishReason() : ""));
-    if (sent > 0 && faults.strikes(current.lateFrameShare())) {
-      listener.struck("late-frame", head);
+    stream.write(chunks.frame(position, text, last ? metadata.finishReason() : ""));
+    if (sentFrames > 0 && faults.shouldInject(current.lateFrameShare())) {
+      listener.onFaultInjected("late-frame", metadata);
       stream.write(chunks.frame(position - 1, previousText, ""));
     }
     previousText = text;
-    sent++;
-    if (faults.strikes(current.brokenStreamShare())) {
-      listener.struck("broken-stream", head);
-      broken();
+    sentFrames++;
+    if (faults.shouldInject(current.brokenStreamShare())) {
+      listener.onFaultInjected("broken-stream", metadata);
+      onBroken();
     }
   }
 
   @Override
-  public void finished(EngineUsage usage, int frames) {
-    if (over || goesSilent()) {
+  public void onFinished(EngineUsage usage, int frames) {
+    if (ended || updateSilence()) {
       return;
     }
     stream.write(chunks.usage(frames, usage));
     stream.write(DONE);
     stream.finish();
-    over = true;
+    ended = true;
   }
 
   @Override
-  public void broken() {
-    if (over) {
+  public void onBroken() {
+    if (ended) {
       return;
     }
-    over = true;
+    ended = true;
     stream.abort();
   }
 
-  // Once silent, always silent: what lost track of a connection doesn't find it again.
-  private boolean goesSilent() {
+  // A silent stream stays silent even if the fault is switched off, like an engine that has lost
+  // track of a connection.
+  private boolean updateSilence() {
     if (silent) {
       return true;
     }
     EngineFaults current = faults.current();
-    silent = current.silentStreams() || (stopsInTheMiddle && sent >= current.silentAfterFrames());
+    silent =
+        current.silentStreams() || (stallsMidStream && sentFrames >= current.silentAfterFrames());
     if (silent) {
-      listener.struck("silent-stream", head);
+      listener.onFaultInjected("silent-stream", metadata);
     }
     return silent;
   }
 
-  private void sendCrossed(int position) {
-    listener.struck("crossed-frame", head);
-    String stray = new AnswerText("stray-" + head.requestId(), "").frame(position);
-    stream.write(head.chunks("stray-1").frame(position, stray, ""));
+  private void sendCrossedFrame(int position) {
+    listener.onFaultInjected("crossed-frame", metadata);
+    String stray = new AnswerText("stray-" + metadata.requestId(), "").frame(position);
+    stream.write(metadata.chunks("stray-1").frame(position, stray, ""));
   }
 
-  /** What every chunk of an answer repeats. */
-  record AnswerHead(
+  /** The fields that all chunks of an answer share. */
+  record AnswerMetadata(
       String requestId, String attemptId, String model, long createdSecond, String finishReason) {
     ChunkWriter chunks(String attempt) {
       return new ChunkWriter(requestId, attempt, model, createdSecond);
     }
   }
 
-  /** Is told of each fault that struck. */
+  /** Receives an event for each injected fault. */
   @FunctionalInterface
   interface FaultListener {
-    void struck(String fault, AnswerHead head);
+    void onFaultInjected(String fault, AnswerMetadata metadata);
   }
 }
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/Tokenizer.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/Tokenizer.java
@@ -7,8 +7,8 @@
 /**
  * Splits text into words and single punctuation marks.
  *
- * <p>Each token is at least one character and white space is none, so a text never has more tokens
- * than its UTF-8 form has bytes.
+ * <p>Each token has at least one character and white space is dropped, so a text never has more
+ * tokens than its UTF-8 form has bytes.
  */
 final class Tokenizer {
   private static final Pattern TOKEN =
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/package-info.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/package-info.java
@@ -1,4 +1,4 @@
-/** A model engine: batching, prefix cache, streams, orders. */
+/** A simulated inference engine: batching, prefix cache, streams, orders. */
 @NullMarked
 package org.teaseldeal.standin.engine;
 
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/fault/FaultSwitch.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/fault/ActiveFaults.java
@@ -8,36 +8,37 @@
 import org.teaseldeal.settings.toml.TomlDocument;
 import org.teaseldeal.standin.runtime.Json;
 
-/** The fault settings in force, which the admin address changes at run time. */
-public final class FaultSwitch<F extends Record & FaultSettings> {
+/** The fault settings in force, which can be changed at run time through the admin address. */
+public final class ActiveFaults<F extends Record & FaultSettings> {
   private final FaultReader<F> reader;
   private volatile F current;
   private volatile SeededChance chance;
 
-  public FaultSwitch(F initial, FaultReader<F> reader) {
+  public ActiveFaults(F initial, FaultReader<F> reader) {
     this.current = initial;
     this.chance = new SeededChance(initial.seed());
     this.reader = reader;
   }
 
-  /** The settings in force. */
+  /** Returns the settings in force. */
   public F current() {
     return current;
   }
 
-  /** Whether a fault strikes this time that strikes in {@code share} of all cases. */
-  public boolean strikes(double share) {
+  /** Decides at random whether to inject a fault that affects {@code share} of all cases. */
+  public boolean shouldInject(double share) {
     return chance.occurs(share);
   }
 
   /**
-   * Puts the keys of {@code given} in force; others stay as they are. A seed, also the same one,
-   * starts the draws anew. Throws {@link IllegalArgumentException} with all that is wrong, and then
-   * nothing is changed.
+   * Puts the keys of {@code changes} in force; all others keep their values. A seed restarts the
+   * random decisions, even if it is the seed in force.
+   *
+   * @throws IllegalArgumentException with all problems found; nothing is changed then
    */
-  public void update(ObjectNode given) {
-    switch (TomlDocument.read(toml(given), table -> reader.read(table, current))) {
-      case Parsed.Valid<F>(F faults) -> replace(faults, given.has("seed"));
+  public void update(ObjectNode changes) {
+    switch (TomlDocument.read(toml(changes), table -> reader.read(table, current))) {
+      case Parsed.Valid<F>(F faults) -> activate(faults, changes.has("seed"));
       case Parsed.Invalid<F> invalid ->
           throw new IllegalArgumentException(
               invalid.problems().stream()
@@ -46,16 +47,19 @@
     }
   }
 
-  private void replace(F faults, boolean reseeded) {
+  private void activate(F faults, boolean reseeded) {
     current = faults;
     if (reseeded) {
       chance = new SeededChance(faults.seed());
     }
   }
 
-  // The same reader checks files and requests: JSON's scalars are written the same way in TOML.
-  private static String toml(ObjectNode given) {
-    return given.properties().stream().map(FaultSwitch::tomlLine).collect(Collectors.joining("\n"));
+  // JSON and TOML write scalars the same way, so the reader of settings files can check requests
+  // too.
+  private static String toml(ObjectNode changes) {
+    return changes.properties().stream()
+        .map(ActiveFaults::tomlLine)
+        .collect(Collectors.joining("\n"));
   }
 
   private static String tomlLine(Map.Entry<String, JsonNode> field) {
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/fault/FaultSettings.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/fault/FaultSettings.java
@@ -1,7 +1,7 @@
 package org.teaseldeal.standin.fault;
 
-/** The faults of one kind of stand-in. */
+/** The fault settings of one kind of stand-in. */
 public interface FaultSettings {
-  /** Seeds the random source that decides by the shares. */
+  /** Returns the seed of the random source that decides which events a share of faults affects. */
   long seed();
 }
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/fault/SeededChance.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/fault/SeededChance.java
@@ -2,7 +2,7 @@
 
 import java.util.SplittableRandom;
 
-/** Decides by a seeded random source whether something happens this time. */
+/** Makes random decisions with given probabilities from a seeded source. */
 public final class SeededChance {
   private final SplittableRandom random;
 
@@ -10,7 +10,7 @@
     random = new SplittableRandom(seed);
   }
 
-  /** Whether something happens that happens in {@code share} of all cases. */
+  /** Returns true with probability {@code share}. */
   public boolean occurs(double share) {
     return share > 0 && random.nextDouble() < share;
   }
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/fault/package-info.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/fault/package-info.java
@@ -1,4 +1,4 @@
-/** The fault settings in force and the chance by which they strike. */
+/** The fault settings in force and the random decisions whether to inject a fault. */
 @NullMarked
 package org.teaseldeal.standin.fault;
 
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/package-info.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/package-info.java
@@ -1,4 +1,7 @@
-/** Command line of the stand-ins for the systems that the product is served by. */
+/**
+ * The command line and the processes of the stand-ins, which replace the platform and the backend
+ * servers that instances depend on.
+ */
 @NullMarked
 package org.teaseldeal.standin;
 
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/platform/InstanceHandler.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/platform/InstanceHandler.java
@@ -5,24 +5,24 @@
 import java.time.Duration;
 import org.teaseldeal.net.HttpExchange;
 import org.teaseldeal.standin.admin.History;
-import org.teaseldeal.standin.fault.FaultSwitch;
+import org.teaseldeal.standin.fault.ActiveFaults;
 import org.teaseldeal.standin.runtime.Json;
 import org.teaseldeal.standin.runtime.RequestTarget;
 import org.teaseldeal.standin.runtime.Scheduler;
 
-/** Registrations and the lagging list over HTTP. */
+/** Serves registrations and the lagged instance list over HTTP. */
 final class InstanceHandler {
   private final InstanceRegistry registry;
   private final Duration lag;
   private final Scheduler scheduler;
-  private final FaultSwitch<PlatformFaults> faults;
+  private final ActiveFaults<PlatformFaults> faults;
   private final History history;
 
   InstanceHandler(
       InstanceRegistry registry,
       Duration lag,
       Scheduler scheduler,
-      FaultSwitch<PlatformFaults> faults,
+      ActiveFaults<PlatformFaults> faults,
       History history) {
     this.registry = registry;
     this.lag = lag;
@@ -31,8 +31,8 @@
     this.history = history;
   }
 
-  void list(HttpExchange exchange) {
-    if (refusedByOutage(exchange)) {
+  void handleList(HttpExchange exchange) {
+    if (rejectedByOutage(exchange)) {
       return;
     }
     long latencyMs = faults.current().listLatencyMs();
@@ -43,8 +43,8 @@
     scheduler.schedule(Duration.ofMillis(latencyMs), () -> answerList(exchange));
   }
 
-  void one(HttpExchange exchange, RequestTarget target) {
-    if (refusedByOutage(exchange)) {
+  void handleInstance(HttpExchange exchange, RequestTarget target) {
+    if (rejectedByOutage(exchange)) {
       return;
     }
     String id = target.segments().get(1);
@@ -76,7 +76,7 @@
     Json.respond(exchange, 200, answer);
   }
 
-  private boolean refusedByOutage(HttpExchange exchange) {
+  private boolean rejectedByOutage(HttpExchange exchange) {
     if (!faults.current().listOutage()) {
       return false;
     }
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/platform/InstanceRegistry.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/platform/InstanceRegistry.java
@@ -8,81 +8,83 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
-import org.teaseldeal.standin.runtime.LaggingView;
+import org.teaseldeal.standin.runtime.LaggedValue;
 
 /**
- * Who is registered, as a list that lags behind by a set time.
+ * The registered instances, and past versions of their list so that it can be read with a lag.
  *
- * <p>An instance that isn't renewed in time drops out as though it had crashed. {@code leaving}
- * holds for the rest of an incarnation: a renewal that was sent before can't bring it back.
+ * <p>An instance whose registration isn't renewed in time is removed, as if it had crashed. The
+ * state {@code leaving} holds for the rest of an incarnation: a renewal that was sent before the
+ * instance began to leave and arrives afterwards doesn't reset the state to live.
  */
 final class InstanceRegistry {
-  private static final Duration LONGEST_LAG = Duration.ofHours(2);
+  private static final Duration MAX_LAG = Duration.ofHours(2);
 
   private final InstantSource clock;
   private final Duration expiry;
   private final Map<String, Registration> registrations = new TreeMap<>();
-  private final LaggingView<List<RegisteredInstance>> lists =
-      new LaggingView<>(LONGEST_LAG, List.of());
+  private final LaggedValue<List<RegisteredInstance>> listVersions =
+      new LaggedValue<>(MAX_LAG, List.of());
 
   InstanceRegistry(InstantSource clock, Duration expiry) {
     this.clock = clock;
     this.expiry = expiry;
   }
 
-  /** Registers or renews. */
+  /** Registers an instance or renews its registration. */
   void put(RegisteredInstance instance) {
-    expireUntil(clock.instant());
+    removeExpired(clock.instant());
     Registration old = registrations.get(instance.id());
-    RegisteredInstance kept = old == null ? instance : stickyLeaving(old.instance, instance);
-    registrations.put(instance.id(), new Registration(kept, clock.instant()));
-    if (old == null || !old.instance.equals(kept)) {
-      record(clock.instant());
+    RegisteredInstance current = old == null ? instance : retainLeaving(old.instance, instance);
+    registrations.put(instance.id(), new Registration(current, clock.instant()));
+    if (old == null || !old.instance.equals(current)) {
+      recordVersion(clock.instant());
     }
   }
 
-  /** Removes; false if there was none. */
+  /** Removes an instance; returns false if it wasn't registered. */
   boolean remove(String id) {
-    expireUntil(clock.instant());
+    removeExpired(clock.instant());
     if (registrations.remove(id) == null) {
       return false;
     }
-    record(clock.instant());
+    recordVersion(clock.instant());
     return true;
   }
 
-  /** The list as it was {@code lag} ago. */
+  /** Returns the list as of {@code lag} ago. */
   Version list(Duration lag) {
-    expireUntil(clock.instant());
+    removeExpired(clock.instant());
     Instant asOf = clock.instant().minus(lag);
-    return new Version(asOf, lists.at(asOf));
+    return new Version(asOf, listVersions.at(asOf));
   }
 
-  private static RegisteredInstance stickyLeaving(RegisteredInstance old, RegisteredInstance now) {
-    boolean sameIncarnation = old.incarnation().equals(now.incarnation());
-    return sameIncarnation && old.leaving() ? now.asLeaving() : now;
+  private static RegisteredInstance retainLeaving(
+      RegisteredInstance old, RegisteredInstance renewed) {
+    boolean sameIncarnation = old.incarnation().equals(renewed.incarnation());
+    return sameIncarnation && old.leaving() ? renewed.asLeaving() : renewed;
   }
 
-  private void expireUntil(Instant now) {
+  private void removeExpired(Instant now) {
     while (true) {
-      Optional<Registration> eldest =
+      Optional<Registration> oldest =
           registrations.values().stream()
               .min(Comparator.comparing((Registration registration) -> registration.renewedAt));
-      if (eldest.isEmpty() || eldest.get().renewedAt.plus(expiry).isAfter(now)) {
+      if (oldest.isEmpty() || oldest.get().renewedAt.plus(expiry).isAfter(now)) {
         return;
       }
-      registrations.remove(eldest.get().instance.id());
-      record(eldest.get().renewedAt.plus(expiry));
+      registrations.remove(oldest.get().instance.id());
+      recordVersion(oldest.get().renewedAt.plus(expiry));
     }
   }
 
-  private void record(Instant at) {
-    lists.set(at, registrations.values().stream().map(Registration::instance).toList());
+  private void recordVersion(Instant at) {
+    listVersions.set(at, registrations.values().stream().map(Registration::instance).toList());
   }
 
   private record Registration(RegisteredInstance instance, Instant renewedAt) {}
 
-  /** The list as of a time. */
+  /** The list as of the time {@code asOf}. */
   record Version(Instant asOf, List<RegisteredInstance> instances) {
     Version {
       instances = List.copyOf(instances);
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/platform/LogHandler.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/platform/LogHandler.java
@@ -7,13 +7,13 @@
 import java.util.Map;
 import org.teaseldeal.net.HttpExchange;
 import org.teaseldeal.standin.admin.History;
-import org.teaseldeal.standin.fault.FaultSwitch;
+import org.teaseldeal.standin.fault.ActiveFaults;
 import org.teaseldeal.standin.runtime.Cancellable;
 import org.teaseldeal.standin.runtime.Json;
 import org.teaseldeal.standin.runtime.RequestTarget;
 import org.teaseldeal.standin.runtime.Scheduler;
 
-/** Appends and reads over HTTP, with the faults that strike them. */
+/** Serves appends and reads of the log over HTTP, and injects the log's faults. */
 final class LogHandler {
   private static final long MAX_WAIT_MS = 60_000;
   private static final long DEFAULT_MAX_RECORDS = 1_000;
@@ -22,14 +22,14 @@
   private final LogService log;
   private final int maxRecordBytes;
   private final Scheduler scheduler;
-  private final FaultSwitch<PlatformFaults> faults;
+  private final ActiveFaults<PlatformFaults> faults;
   private final History history;
 
   LogHandler(
       LogService log,
       int maxRecordBytes,
       Scheduler scheduler,
-      FaultSwitch<PlatformFaults> faults,
+      ActiveFaults<PlatformFaults> faults,
       History history) {
     this.log = log;
     this.maxRecordBytes = maxRecordBytes;
@@ -49,8 +49,8 @@
       return;
     }
     switch (exchange.method()) {
-      case "POST" -> later(faults.current().appendLatencyMs(), () -> append(exchange, target));
-      case "GET" -> later(faults.current().readLatencyMs(), () -> read(exchange, target));
+      case "POST" -> runAfter(faults.current().appendLatencyMs(), () -> append(exchange, target));
+      case "GET" -> runAfter(faults.current().readLatencyMs(), () -> read(exchange, target));
       default -> Json.respondError(exchange, 405, "expected GET or POST");
     }
   }
@@ -65,7 +65,7 @@
           "record had %d octets, expected up to %d".formatted(length, maxRecordBytes));
       return;
     }
-    if (!log.takeAppend()) {
+    if (!log.tryAcquireAppend()) {
       history.add("append-refused", line -> line.put("stream", stream));
       respondOverRate(exchange);
       return;
@@ -74,14 +74,15 @@
     answerAppend(exchange, stream, offset);
   }
 
-  // Stored first: the answer that gets lost is one to a write that took effect.
+  // Faults that lose the answer are injected after the record was stored, so the client gets no
+  // answer to an append that took effect.
   private void answerAppend(HttpExchange exchange, String stream, long offset) {
-    if (faults.strikes(faults.current().lostAnswerShare())) {
+    if (faults.shouldInject(faults.current().lostAnswerShare())) {
       history.add("append-answer-lost", line -> line.put("stream", stream).put("offset", offset));
       exchange.abort();
       return;
     }
-    if (faults.strikes(faults.current().silentAnswerShare())) {
+    if (faults.shouldInject(faults.current().silentAnswerShare())) {
       history.add("append-answer-silent", line -> line.put("stream", stream).put("offset", offset));
       return;
     }
@@ -90,7 +91,7 @@
   }
 
   private void respondOverRate(HttpExchange exchange) {
-    long millis = Math.max(1, log.untilNextAppend().toMillis());
+    long millis = Math.max(1, log.timeUntilNextAppend().toMillis());
     byte[] body = Json.bytes(Json.object().put("error", "over the append rate"));
     exchange.respond(
         429,
@@ -112,7 +113,8 @@
   }
 
   private static void answerRead(HttpExchange exchange, ReadResult result) {
-    ObjectNode answer = Json.object().put("earliest", result.earliest()).put("next", result.next());
+    ObjectNode answer =
+        Json.object().put("earliest", result.earliestOffset()).put("next", result.nextOffset());
     switch (result) {
       case ReadResult.Expired expired -> Json.respond(exchange, 410, answer);
       case ReadResult.Records found -> {
@@ -130,7 +132,7 @@
         .put("payload", Base64.getEncoder().encodeToString(record.payload()));
   }
 
-  private void later(long delayMs, Runnable task) {
+  private void runAfter(long delayMs, Runnable task) {
     if (delayMs == 0) {
       task.run();
       return;
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/platform/LogService.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/platform/LogService.java
@@ -11,7 +11,7 @@
 import org.teaseldeal.standin.runtime.Scheduler;
 import org.teaseldeal.standin.runtime.TokenBucket;
 
-/** All streams, with the append rate that they share and reads that wait for a record. */
+/** All streams of the log, the append rate that they share, and reads that wait for a record. */
 final class LogService {
   private static final int MAX_READ_BYTES = 4 << 20;
 
@@ -29,45 +29,50 @@
     this.appendRate = new TokenBucket(clock, settings.appendsPerSecond(), settings.appendBurst());
   }
 
-  /** Whether the rate that everyone shares has room for one more append; takes it if so. */
-  boolean takeAppend() {
+  /**
+   * Takes one append from the rate limit that all streams share; returns false if it is used up.
+   */
+  boolean tryAcquireAppend() {
     return appendRate.tryTake(1);
   }
 
-  Duration untilNextAppend() {
-    return appendRate.waitFor(1);
+  Duration timeUntilNextAppend() {
+    return appendRate.timeUntilAvailable(1);
   }
 
-  /** Stores a record, wakes those who wait for it, and returns its offset. */
+  /** Stores a record, answers the reads that wait for it, and returns its offset. */
   long append(String stream, byte[] payload) {
     long offset = stream(stream).append(payload);
     List<Waiter> waiting = waiters.remove(stream);
     if (waiting != null) {
-      waiting.forEach(waiter -> finish(stream, waiter));
+      waiting.forEach(waiter -> answerWaiter(stream, waiter));
     }
     return offset;
   }
 
-  /** Gives {@code answer} the records from {@code from} on, waiting up to {@code wait} for one. */
+  /**
+   * Passes the records from offset {@code from} on to {@code answer}. If there are none yet, waits
+   * up to {@code wait} for the next append; the returned handle cancels that wait.
+   */
   Cancellable read(String stream, long from, int max, Duration wait, Consumer<ReadResult> answer) {
     ReadResult now = stream(stream).read(from, max, MAX_READ_BYTES);
-    boolean nothingYet = now instanceof ReadResult.Records found && found.records().isEmpty();
-    if (!nothingYet || wait.isZero()) {
+    boolean noneYet = now instanceof ReadResult.Records found && found.records().isEmpty();
+    if (!noneYet || wait.isZero()) {
       answer.accept(now);
       return () -> {};
     }
-    return await(stream, from, max, wait, answer);
+    return addWaiter(stream, from, max, wait, answer);
   }
 
   Map<String, LogStream> streams() {
     return Map.copyOf(streams);
   }
 
-  int waiting() {
+  int waitingReads() {
     return waiters.values().stream().mapToInt(List::size).sum();
   }
 
-  private Cancellable await(
+  private Cancellable addWaiter(
       String stream, long from, int max, Duration wait, Consumer<ReadResult> answer) {
     Waiter waiter = new Waiter(from, max, answer);
     waiters.computeIfAbsent(stream, name -> new ArrayList<>()).add(waiter);
@@ -75,24 +80,24 @@
         scheduler.schedule(
             wait,
             () -> {
-              forget(stream, waiter);
-              finish(stream, waiter);
+              removeWaiter(stream, waiter);
+              answerWaiter(stream, waiter);
             });
     return () -> {
       waiter.timeout.cancel();
-      forget(stream, waiter);
+      removeWaiter(stream, waiter);
     };
   }
 
-  private void forget(String stream, Waiter waiter) {
+  private void removeWaiter(String stream, Waiter waiter) {
     List<Waiter> waiting = waiters.get(stream);
     if (waiting != null) {
       waiting.remove(waiter);
     }
   }
 
-  // A reader ahead of the log is woken too and sees by `next` that it is.
-  private void finish(String stream, Waiter waiter) {
+  // A read from an offset beyond the end is answered too; its result's next offset shows this.
+  private void answerWaiter(String stream, Waiter waiter) {
     waiter.timeout.cancel();
     waiter.answer.accept(stream(stream).read(waiter.from, waiter.max, MAX_READ_BYTES));
   }
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/platform/LogStream.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/platform/LogStream.java
@@ -6,16 +6,16 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One stream of the log: offsets from 0, kept for a limited time and up to a limited count. */
+/** One stream of the log. Offsets count from 0; records are retained by age, count and size. */
 final class LogStream {
   private final InstantSource clock;
   private final Duration retention;
   private final int maxRecords;
   private final long maxBytes;
   private final List<StoredRecord> records = new ArrayList<>();
-  private int firstKept;
-  private long keptBytes;
-  private long next;
+  private int firstRetainedIndex;
+  private long retainedBytes;
+  private long nextOffset;
 
   LogStream(InstantSource clock, Duration retention, int maxRecords, long maxBytes) {
     this.clock = clock;
@@ -26,42 +26,43 @@
 
   /** Stores a record and returns its offset. */
   long append(byte[] payload) {
-    records.add(new StoredRecord(next, clock.instant(), payload.clone()));
-    keptBytes += payload.length;
-    next++;
-    dropExpired();
-    return next - 1;
+    records.add(new StoredRecord(nextOffset, clock.instant(), payload.clone()));
+    retainedBytes += payload.length;
+    nextOffset++;
+    removeExpired();
+    return nextOffset - 1;
   }
 
   /**
-   * Reads from {@code from} on, up to {@code maxRecords} records and about {@code maxBytes} octets,
-   * but always one record if there is one. A reader ahead of the log gets no records.
+   * Reads records from offset {@code from} on, up to {@code maxRecords} records and {@code
+   * maxBytes} bytes of payload; a first record that is larger is returned alone. A read from an
+   * offset beyond the end returns no records.
    */
   ReadResult read(long from, int maxRecords, int maxBytes) {
-    dropExpired();
-    if (from < earliest()) {
-      return new ReadResult.Expired(earliest(), next);
+    removeExpired();
+    if (from < earliestOffset()) {
+      return new ReadResult.Expired(earliestOffset(), nextOffset);
     }
-    return new ReadResult.Records(earliest(), next, slice(from, maxRecords, maxBytes));
+    return new ReadResult.Records(earliestOffset(), nextOffset, slice(from, maxRecords, maxBytes));
   }
 
-  long next() {
-    return next;
+  long nextOffset() {
+    return nextOffset;
   }
 
-  long earliest() {
-    return next - kept();
+  long earliestOffset() {
+    return nextOffset - retainedCount();
   }
 
-  private int kept() {
-    return records.size() - firstKept;
+  private int retainedCount() {
+    return records.size() - firstRetainedIndex;
   }
 
   private List<StoredRecord> slice(long from, int maxRecords, int maxBytes) {
     List<StoredRecord> slice = new ArrayList<>();
     long bytes = 0;
-    for (long offset = from; offset < next && slice.size() < maxRecords; offset++) {
-      StoredRecord record = records.get(firstKept + (int) (offset - earliest()));
+    for (long offset = from; offset < nextOffset && slice.size() < maxRecords; offset++) {
+      StoredRecord record = records.get(firstRetainedIndex + (int) (offset - earliestOffset()));
       bytes += record.payload().length;
       if (bytes > maxBytes && !slice.isEmpty()) {
         break;
@@ -71,24 +72,26 @@
     return slice;
   }
 
-  // A long load would otherwise end the platform for want of memory long before records are old.
-  private boolean overLimit() {
-    return kept() > maxRecords || keptBytes > maxBytes;
+  // Without these limits, a long load test would run the platform out of memory long before the
+  // records reach the maximum age.
+  private boolean exceedsLimits() {
+    return retainedCount() > maxRecords || retainedBytes > maxBytes;
   }
 
-  private StoredRecord eldest() {
-    return records.get(firstKept);
+  private StoredRecord oldestRecord() {
+    return records.get(firstRetainedIndex);
   }
 
-  private void dropExpired() {
+  private void removeExpired() {
     Instant oldest = clock.instant().minus(retention);
-    while (kept() > 0 && (overLimit() || eldest().appendedAt().isBefore(oldest))) {
-      keptBytes -= eldest().payload().length;
-      firstKept++;
+    while (retainedCount() > 0
+        && (exceedsLimits() || oldestRecord().appendedAt().isBefore(oldest))) {
+      retainedBytes -= oldestRecord().payload().length;
+      firstRetainedIndex++;
     }
-    if (firstKept > records.size() / 2) {
-      records.subList(0, firstKept).clear();
-      firstKept = 0;
+    if (firstRetainedIndex > records.size() / 2) {
+      records.subList(0, firstRetainedIndex).clear();
+      firstRetainedIndex = 0;
     }
   }
 }
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/platform/PlatformFaults.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/platform/PlatformFaults.java
@@ -4,19 +4,20 @@
 import org.teaseldeal.standin.fault.FaultSettings;
 
 /**
- * Faults of the platform.
+ * The faults of the platform.
  *
- * @param seed of the random source that decides by the shares
- * @param logOutage appends and reads of the log are answered by 503
- * @param listOutage the instance list and registrations are answered by 503
- * @param weightsOutage the weight store is answered by 503
- * @param logSilent the log takes requests and never answers nor does anything
- * @param appendLatencyMs how much later an append is done and answered
- * @param readLatencyMs how much later a read is answered
- * @param listLatencyMs how much later the list is answered
- * @param lostAnswerShare of appends that are stored, after which the connection closes unanswered
- * @param silentAnswerShare of appends that are stored and never answered
- * @param listLagMs added to the list's lag
+ * @param seed the seed of the random source that decides which appends a share affects
+ * @param logOutage whether appends and reads of the log are answered with 503
+ * @param listOutage whether registrations and reads of the instance list are answered with 503
+ * @param weightsOutage whether reads of the weight store are answered with 503
+ * @param logSilent whether the log accepts requests without answering or carrying them out
+ * @param appendLatencyMs the delay in milliseconds before an append is stored and answered
+ * @param readLatencyMs the delay in milliseconds before a read is carried out and answered
+ * @param listLatencyMs the delay in milliseconds before a read of the list is answered
+ * @param lostAnswerShare the share of appends that are stored and whose connection is then closed
+ *     without an answer
+ * @param silentAnswerShare the share of appends that are stored and never answered
+ * @param listLagMs the time in milliseconds added to the lag of the list
  */
 public record PlatformFaults(
     long seed,
@@ -37,19 +38,19 @@
 
   private static final long MAX_LATENCY_MS = 3_600_000;
 
-  /** Reads the keys that {@code table} has; others are as in {@code byDefault}. */
-  public static PlatformFaults read(TomlReader table, PlatformFaults byDefault) {
+  /** Reads fault settings; keys that {@code table} lacks have their value in {@code defaults}. */
+  public static PlatformFaults read(TomlReader table, PlatformFaults defaults) {
     return new PlatformFaults(
-        table.integer("seed", byDefault.seed, 0, Long.MAX_VALUE),
-        table.bool("log_outage", byDefault.logOutage),
-        table.bool("list_outage", byDefault.listOutage),
-        table.bool("weights_outage", byDefault.weightsOutage),
-        table.bool("log_silent", byDefault.logSilent),
-        table.integer("append_latency_ms", byDefault.appendLatencyMs, 0, MAX_LATENCY_MS),
-        table.integer("read_latency_ms", byDefault.readLatencyMs, 0, MAX_LATENCY_MS),
-        table.integer("list_latency_ms", byDefault.listLatencyMs, 0, MAX_LATENCY_MS),
-        table.fraction("lost_answer_share", byDefault.lostAnswerShare, 0, 1),
-        table.fraction("silent_answer_share", byDefault.silentAnswerShare, 0, 1),
-        table.integer("list_lag_ms", byDefault.listLagMs, 0, MAX_LATENCY_MS));
+        table.integer("seed", defaults.seed, 0, Long.MAX_VALUE),
+        table.bool("log_outage", defaults.logOutage),
+        table.bool("list_outage", defaults.listOutage),
+        table.bool("weights_outage", defaults.weightsOutage),
+        table.bool("log_silent", defaults.logSilent),
+        table.integer("append_latency_ms", defaults.appendLatencyMs, 0, MAX_LATENCY_MS),
+        table.integer("read_latency_ms", defaults.readLatencyMs, 0, MAX_LATENCY_MS),
+        table.integer("list_latency_ms", defaults.listLatencyMs, 0, MAX_LATENCY_MS),
+        table.fraction("lost_answer_share", defaults.lostAnswerShare, 0, 1),
+        table.fraction("silent_answer_share", defaults.silentAnswerShare, 0, 1),
+        table.integer("list_lag_ms", defaults.listLagMs, 0, MAX_LATENCY_MS));
   }
 }
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/platform/PlatformHandler.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/platform/PlatformHandler.java
@@ -5,12 +5,12 @@
 import org.teaseldeal.net.HttpExchange;
 import org.teaseldeal.net.HttpHandler;
 import org.teaseldeal.standin.admin.History;
-import org.teaseldeal.standin.fault.FaultSwitch;
+import org.teaseldeal.standin.fault.ActiveFaults;
 import org.teaseldeal.standin.runtime.Json;
 import org.teaseldeal.standin.runtime.RequestTarget;
 import org.teaseldeal.standin.runtime.Scheduler;
 
-/** The platform over HTTP: log, instance list and weight store. */
+/** Serves the platform over HTTP: log, instance list and weight store. */
 public final class PlatformHandler implements HttpHandler {
   private final LogService log;
   private final LogHandler logHandler;
@@ -21,7 +21,7 @@
       InstantSource clock,
       Scheduler scheduler,
       PlatformSettings settings,
-      FaultSwitch<PlatformFaults> faults,
+      ActiveFaults<PlatformFaults> faults,
       History history) {
     log = new LogService(clock, scheduler, settings.log());
     logHandler = new LogHandler(log, settings.log().maxRecordBytes(), scheduler, faults, history);
@@ -40,7 +40,7 @@
     }
   }
 
-  /** Fills in the state of streams and waiting reads. */
+  /** Adds the state of the streams and the number of waiting reads to {@code stats}. */
   public void describe(ObjectNode stats) {
     ObjectNode streams = stats.putObject("streams");
     log.streams()
@@ -48,18 +48,18 @@
             (name, stream) ->
                 streams
                     .putObject(name)
-                    .put("earliest", stream.earliest())
-                    .put("next", stream.next()));
-    stats.put("waiting_reads", log.waiting());
+                    .put("earliest", stream.earliestOffset())
+                    .put("next", stream.nextOffset()));
+    stats.put("waiting_reads", log.waitingReads());
   }
 
   private void route(HttpExchange exchange, RequestTarget target) {
     if (target.matches("log", "*", "records")) {
       logHandler.handle(exchange, target);
     } else if (target.matches("instances") && exchange.method().equals("GET")) {
-      instanceHandler.list(exchange);
+      instanceHandler.handleList(exchange);
     } else if (target.matches("instances", "*")) {
-      instanceHandler.one(exchange, target);
+      instanceHandler.handleInstance(exchange, target);
     } else if (target.matches("weights", "*") && exchange.method().equals("GET")) {
       weights.get(exchange);
     } else {
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/platform/PlatformSettings.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/platform/PlatformSettings.java
@@ -4,10 +4,10 @@
 import org.teaseldeal.settings.toml.TomlReader;
 import org.teaseldeal.standin.settings.ListenSettings;
 
-/** Settings of the platform stand-in. */
+/** The settings of the platform stand-in. */
 public record PlatformSettings(
     ListenSettings listen, Log log, Instances instances, Weights weights, PlatformFaults faults) {
-  /** Reads a file's root table. */
+  /** Reads the settings from a file's root table. */
   public static PlatformSettings read(TomlReader root) {
     return new PlatformSettings(
         ListenSettings.read(root),
@@ -18,13 +18,14 @@
   }
 
   /**
-   * The log.
+   * The settings of the log.
    *
-   * @param retention how long a record is kept
-   * @param retentionRecords how many records of a stream are kept
-   * @param retentionBytes how many octets of a stream's records are kept
-   * @param appendsPerSecond of all writers together
-   * @param appendBurst how many appends may come at once after a pause
+   * @param retention the maximum age of a record
+   * @param retentionRecords the maximum number of records of a stream
+   * @param retentionBytes the maximum number of bytes of a stream's records
+   * @param appendsPerSecond the rate limit for the appends of all writers together
+   * @param appendBurst the number of appends that the rate limit allows at once after a pause
+   * @param maxRecordBytes the maximum size of a record
    */
   public record Log(
       Duration retention,
@@ -49,10 +50,10 @@
   }
 
   /**
-   * The instance list.
+   * The settings of the instance list.
    *
-   * @param lag how far the list lags behind
-   * @param expiry how long an instance stays without a renewal
+   * @param lag the age of the list that readers get
+   * @param expiry the time after which an instance without a renewal is removed
    */
   public record Instances(Duration lag, Duration expiry) {
     static Instances read(TomlReader table) {
@@ -64,10 +65,10 @@
   }
 
   /**
-   * The weight store.
+   * The settings of the weight store.
    *
    * @param bytes the size of each file of weights
-   * @param bytesPerSecond of all readers together
+   * @param bytesPerSecond the rate limit for all readers together
    */
   public record Weights(int bytes, long bytesPerSecond) {
     private static final long MEBIBYTE = 1 << 20;
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/platform/ReadResult.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/platform/ReadResult.java
@@ -2,21 +2,24 @@
 
 import java.util.List;
 
-/** What a read of a stream gives. */
+/** The result of reading a stream. */
 sealed interface ReadResult {
-  /** The earliest offset that is kept; equal to {@code next} if there is none. */
-  long earliest();
+  /**
+   * Returns the earliest offset that is retained; equal to {@link #nextOffset} if there is none.
+   */
+  long earliestOffset();
 
-  /** The offset that the next record will get. */
-  long next();
+  /** Returns the offset that the next record will get. */
+  long nextOffset();
 
-  /** Records from the offset asked for, perhaps none. */
-  record Records(long earliest, long next, List<StoredRecord> records) implements ReadResult {
+  /** The records from the requested offset on; empty if there are none yet. */
+  record Records(long earliestOffset, long nextOffset, List<StoredRecord> records)
+      implements ReadResult {
     public Records {
       records = List.copyOf(records);
     }
   }
 
-  /** The offset asked for is no longer kept. */
-  record Expired(long earliest, long next) implements ReadResult {}
+  /** The record at the requested offset is no longer retained. */
+  record Expired(long earliestOffset, long nextOffset) implements ReadResult {}
 }
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/platform/RegisteredInstance.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/platform/RegisteredInstance.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import org.teaseldeal.standin.runtime.Json;
 
-/** An instance as it registered itself. */
+/** The registration of an instance. */
 record RegisteredInstance(
     String id,
     String incarnation,
@@ -20,7 +20,11 @@
   private static final Set<String> ROLES = Set.of("router", "engine", "service");
   private static final Set<String> STATES = Set.of("live", "leaving");
 
-  /** Reads a registration; throws {@link IllegalArgumentException} with what is wrong. */
+  /**
+   * Reads a registration.
+   *
+   * @throws IllegalArgumentException if a field is absent or has an invalid value
+   */
   static RegisteredInstance read(String id, ObjectNode body) {
     return new RegisteredInstance(
         id,
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/registration/Registration.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/registration/Registration.java
@@ -16,24 +16,24 @@
 import org.teaseldeal.standin.settings.RegistrationSettings;
 
 /**
- * Keeps a backend server in the platform's list until it leaves.
+ * Keeps a backend server registered in the platform's instance list until the server is removed.
  *
- * <p>A platform that can't be reached is asked again at the next renewal; the server serves
+ * <p>If the platform can't be reached, the next renewal tries again; the server keeps serving
  * meanwhile.
  */
 public final class Registration {
   private static final Logger LOGGER = LoggerFactory.getLogger(Registration.class);
-  private static final Duration TIMEOUT = Duration.ofSeconds(2);
+  private static final Duration CALL_TIMEOUT = Duration.ofSeconds(2);
 
   private final HttpClient client;
   private final Scheduler scheduler;
   private final RegistrationSettings settings;
   private final String id;
-  private final ObjectNode listed;
+  private final ObjectNode listing;
   private Cancellable renewal = () -> {};
   private boolean removed;
 
-  /** Creates a registration that isn't sent before {@link #start}. */
+  /** Creates a registration, which {@link #start} sends to the platform. */
   public Registration(
       HttpClient client,
       Scheduler scheduler,
@@ -46,7 +46,7 @@
     this.scheduler = scheduler;
     this.settings = settings;
     this.id = id;
-    this.listed =
+    this.listing =
         Json.object()
             .put("incarnation", incarnation)
             .put("role", role)
@@ -56,31 +56,31 @@
             .put("state", "live");
   }
 
-  /** Registers now and renews from then on. */
+  /** Registers the server now and renews the registration periodically. */
   public void start() {
     if (removed) {
       return;
     }
-    CompletableFuture<HttpAnswer> answer = send("PUT", Json.bytes(listed));
+    CompletableFuture<HttpAnswer> answer = sendToPlatform("PUT", Json.bytes(listing));
     answer.whenComplete(this::logFailure);
     renewal = scheduler.schedule(settings.renewEvery(), this::start);
   }
 
-  /** Marks the server as leaving, now and at each renewal. */
-  public void leave() {
+  /** Registers the server as leaving, now and at each renewal. */
+  public void markAsLeaving() {
     renewal.cancel();
-    listed.put("state", "leaving");
+    listing.put("state", "leaving");
     start();
   }
 
-  /** Takes the server off the list. */
+  /** Removes the server from the list and ends the renewals. */
   public CompletableFuture<HttpAnswer> remove() {
     renewal.cancel();
     removed = true;
-    return send("DELETE", new byte[0]);
+    return sendToPlatform("DELETE", new byte[0]);
   }
 
-  private CompletableFuture<HttpAnswer> send(String method, byte[] body) {
+  private CompletableFuture<HttpAnswer> sendToPlatform(String method, byte[] body) {
     return client.fetch(
         new HttpCallRequest(
             settings.platform().orElseThrow(),
@@ -88,14 +88,15 @@
             "/instances/" + id,
             Map.of("Content-Type", "application/json"),
             body,
-            TIMEOUT));
+            CALL_TIMEOUT));
   }
 
   private void logFailure(@Nullable HttpAnswer answer, @Nullable Throwable failure) {
     if (failure != null) {
-      LOGGER.warn("Registration of {} failed: {}", id, failure.toString());
+      LOGGER.warn("Registration of {} failed, retrying later: {}", id, failure.toString());
     } else if (answer != null && answer.status() != 200) {
-      LOGGER.warn("Registration of {} was answered by {}: {}", id, answer.status(), answer.text());
+      LOGGER.warn(
+          "Registration of {} was answered with status {}: {}", id, answer.status(), answer.text());
     }
   }
 }
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/registration/package-info.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/registration/package-info.java
@@ -1,4 +1,4 @@
-/** A stand-in's place in the platform's instance list. */
+/** The registration of a stand-in in the platform's instance list. */
 @NullMarked
 package org.teaseldeal.standin.registration;
 
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/runtime/Cancellable.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/runtime/Cancellable.java
@@ -1,8 +1,8 @@
 package org.teaseldeal.standin.runtime;
 
-/** A task that has been scheduled. */
+/** A scheduled task that can be cancelled. */
 @FunctionalInterface
 public interface Cancellable {
-  /** Keeps the task from running if it hasn't begun. */
+  /** Cancels the task if it hasn't started; has no effect otherwise. */
   void cancel();
 }
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/runtime/EventThread.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/runtime/EventLoop.java
@@ -10,21 +10,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The one thread on which a stand-in's state is read and changed.
+ * The single thread on which a stand-in's state is read and changed.
  *
- * <p>Requests arrive on the connections' event loops and are handed over here, so nothing of the
- * stand-in's own state needs a lock.
+ * <p>Requests arrive on the network's event loops and are passed on to this one, so the stand-in's
+ * state needs no locks.
  */
-public final class EventThread implements Scheduler, Executor, AutoCloseable {
-  private static final Logger LOGGER = LoggerFactory.getLogger(EventThread.class);
+public final class EventLoop implements Scheduler, Executor, AutoCloseable {
+  private static final Logger LOGGER = LoggerFactory.getLogger(EventLoop.class);
 
   private final ScheduledThreadPoolExecutor executor;
 
-  public EventThread(String name) {
+  public EventLoop(String name) {
     executor = new ScheduledThreadPoolExecutor(1, Thread.ofPlatform().name(name).factory());
     executor.setRemoveOnCancelPolicy(true);
-    // The network's threads are daemons: without this one a stand-in that nobody has called yet
-    // would end at once.
+    // The network's threads are daemons. Without this thread, a stand-in that hasn't received a
+    // request yet would exit at once.
     executor.prestartCoreThread();
     executor.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
   }
@@ -55,13 +55,13 @@
     executor.shutdownNow();
   }
 
-  // An exception would otherwise vanish in the future that nobody reads, and the engine would stop
-  // without a word.
+  // Without this, an exception would be stored in a future that is never read, and an engine would
+  // stop without a log line.
   private static void runLogged(Runnable task) {
     try {
       task.run();
     } catch (RuntimeException e) {
-      LOGGER.error("A task failed", e);
+      LOGGER.error("Task on the event loop failed", e);
     }
   }
 }
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/runtime/Json.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/runtime/Json.java
@@ -13,9 +13,9 @@
 import java.util.Map;
 import org.teaseldeal.net.HttpExchange;
 
-/** JSON as the stand-ins read and answer it. */
+/** Reads and writes the JSON of the stand-ins' requests and answers. */
 public final class Json {
-  /** Names in snake case, enums as their text. */
+  /** A mapper that writes names in snake case and enums by their {@code toString}. */
   public static final ObjectMapper MAPPER =
       JsonMapper.builder()
           .propertyNamingStrategy(PropertyNamingStrategies.SNAKE_CASE)
@@ -27,12 +27,16 @@
 
   private Json() {}
 
-  /** An empty object to fill. */
+  /** Creates an empty object. */
   public static ObjectNode object() {
     return MAPPER.createObjectNode();
   }
 
-  /** Reads an object; throws {@link IllegalArgumentException} with what is wrong. */
+  /**
+   * Parses a body as a JSON object.
+   *
+   * @throws IllegalArgumentException if it isn't one
+   */
   public static ObjectNode readObject(byte[] body) {
     try {
       JsonNode node = MAPPER.readTree(body);
@@ -47,7 +51,7 @@
     }
   }
 
-  /** The octets of {@code node}. */
+  /** Returns {@code node} as UTF-8 text. */
   public static byte[] bytes(JsonNode node) {
     try {
       return MAPPER.writeValueAsBytes(node);
@@ -56,12 +60,12 @@
     }
   }
 
-  /** Answers with {@code node}. */
+  /** Answers a request with {@code node}. */
   public static void respond(HttpExchange exchange, int status, JsonNode node) {
     exchange.respond(status, HEADERS, bytes(node));
   }
 
-  /** Answers with {@code {"error": message}}. */
+  /** Answers a request with {@code {"error": message}}. */
   public static void respondError(HttpExchange exchange, int status, String message) {
     respond(exchange, status, object().put("error", message));
   }
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/runtime/RequestTarget.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/runtime/RequestTarget.java
@@ -8,14 +8,18 @@
 import java.util.Map;
 import java.util.OptionalLong;
 
-/** A request's path in decoded segments, and its query. */
+/** The path of a request in decoded segments, and its decoded query fields. */
 public record RequestTarget(List<String> segments, Map<String, String> query) {
   public RequestTarget {
     segments = List.copyOf(segments);
     query = Map.copyOf(query);
   }
 
-  /** Reads path and query as sent; throws {@link IllegalArgumentException} if malformed. */
+  /**
+   * Parses a request target as sent.
+   *
+   * @throws IllegalArgumentException if it is malformed
+   */
   public static RequestTarget parse(String target) {
     int mark = target.indexOf('?');
     String path = mark < 0 ? target : target.substring(0, mark);
@@ -28,7 +32,10 @@
         segments, mark < 0 ? Map.of() : parseQuery(target.substring(mark + 1)));
   }
 
-  /** Whether the path has as many segments as {@code pattern}, each equal or {@code *}. */
+  /**
+   * Returns whether the path has as many segments as {@code pattern}, and each equals its pattern
+   * or the pattern is {@code *}.
+   */
   public boolean matches(String... pattern) {
     if (pattern.length != segments.size()) {
       return false;
@@ -41,11 +48,16 @@
     return true;
   }
 
-  /** The number in query field {@code name}, or {@code absent}; throws if it isn't one. */
-  public long number(String name, long absent) {
+  /**
+   * Returns the number in the query field {@code name}, or {@code defaultValue} if the field is
+   * absent.
+   *
+   * @throws IllegalArgumentException if the field isn't a number from 0
+   */
+  public long number(String name, long defaultValue) {
     String text = query.get(name);
     if (text == null) {
-      return absent;
+      return defaultValue;
     }
     return parseNumber(text)
         .orElseThrow(
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/runtime/package-info.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/runtime/package-info.java
@@ -1,4 +1,4 @@
-/** What every stand-in stands on: one event thread, JSON answers, rate limits. */
+/** Utilities that all stand-ins use: event loop, JSON answers, rate limits. */
 @NullMarked
 package org.teaseldeal.standin.runtime;
 
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/service/PlainServiceHandler.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/service/PlainServiceHandler.java
@@ -10,19 +10,19 @@
 import org.teaseldeal.net.HttpExchange;
 import org.teaseldeal.net.HttpHandler;
 import org.teaseldeal.standin.admin.History;
-import org.teaseldeal.standin.fault.FaultSwitch;
+import org.teaseldeal.standin.fault.ActiveFaults;
 import org.teaseldeal.standin.runtime.Json;
 import org.teaseldeal.standin.runtime.Scheduler;
 
 /**
- * A plain service: each call has an effect, which is counted, and is answered with what was sent.
+ * A plain service, which counts how often each call is run and echoes the call in its answer.
  *
- * <p>The effect comes at the call's end, just before its answer.
+ * <p>A call is run, and counted, when its latency has passed, just before it is answered.
  */
 public final class PlainServiceHandler implements HttpHandler {
   private final Scheduler scheduler;
   private final PlainServiceSettings settings;
-  private final FaultSwitch<ServiceFaults> faults;
+  private final ActiveFaults<ServiceFaults> faults;
   private final History history;
   private final RandomGenerator random;
   private final RunCounts runs = new RunCounts();
@@ -31,7 +31,7 @@
   public PlainServiceHandler(
       Scheduler scheduler,
       PlainServiceSettings settings,
-      FaultSwitch<ServiceFaults> faults,
+      ActiveFaults<ServiceFaults> faults,
       History history) {
     this.scheduler = scheduler;
     this.settings = settings;
@@ -43,36 +43,36 @@
   @Override
   public void handle(HttpExchange exchange) {
     Call call = Call.of(exchange);
-    if (turnedAway(call)) {
+    if (rejected(call)) {
       return;
     }
     running++;
     scheduler.schedule(latency(), () -> run(call));
   }
 
-  /** Calls under way. */
+  /** Returns the number of calls that were accepted and not run yet. */
   public int inFlight() {
     return running;
   }
 
-  /** Fills in how often each request and each key was run. */
+  /** Adds the number of runs of each request and of each idempotency key to {@code answer}. */
   public void describeRuns(ObjectNode answer) {
     runs.describe(answer);
   }
 
-  private boolean turnedAway(Call call) {
+  private boolean rejected(Call call) {
     ServiceFaults current = faults.current();
-    if (faults.strikes(current.silentBeforeShare())) {
-      note("silent-before", call);
+    if (faults.shouldInject(current.silentBeforeShare())) {
+      recordEvent("silent-before", call);
       return true;
     }
-    if (faults.strikes(current.closeBeforeShare())) {
-      note("closed-before", call);
+    if (faults.shouldInject(current.closeBeforeShare())) {
+      recordEvent("closed-before", call);
       call.exchange.abort();
       return true;
     }
-    if (running >= settings.maxRunning() || faults.strikes(current.refuseShare())) {
-      note("refused", call);
+    if (running >= settings.maxRunning() || faults.shouldInject(current.refuseShare())) {
+      recordEvent("refused", call);
       call.exchange.respond(503, Map.of("Not-Run", "true"), new byte[0]);
       return true;
     }
@@ -87,15 +87,15 @@
   private void run(Call call) {
     running--;
     int count = runs.count(call.requestId, call.key);
-    note("ran", call);
+    recordEvent("ran", call);
     ServiceFaults current = faults.current();
-    if (faults.strikes(current.silentAfterShare())) {
-      note("silent-after", call);
-    } else if (faults.strikes(current.closeAfterShare())) {
-      note("closed-after", call);
+    if (faults.shouldInject(current.silentAfterShare())) {
+      recordEvent("silent-after", call);
+    } else if (faults.shouldInject(current.closeAfterShare())) {
+      recordEvent("closed-after", call);
       call.exchange.abort();
-    } else if (faults.strikes(current.failShare())) {
-      note("failed", call);
+    } else if (faults.shouldInject(current.failShare())) {
+      recordEvent("failed", call);
       Json.respondError(call.exchange, 500, "failed by a fault setting; ran");
     } else {
       Json.respond(call.exchange, 200, answer(call, count));
@@ -114,7 +114,7 @@
         .put("runs", count);
   }
 
-  private void note(String kind, Call call) {
+  private void recordEvent(String kind, Call call) {
     history.add(
         kind,
         line ->
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/service/PlainServiceSettings.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/service/PlainServiceSettings.java
@@ -6,11 +6,12 @@
 import org.teaseldeal.standin.settings.RegistrationSettings;
 
 /**
- * Settings of a plain service stand-in.
+ * The settings of a plain service stand-in.
  *
- * @param latency what each call takes
- * @param jitter up to so much longer, evenly spread
- * @param maxRunning calls at once; beyond them, 503 with {@code Not-Run: true}
+ * @param latency the minimum time that each call takes
+ * @param jitter the upper limit of the time added to the latency, which is uniformly distributed
+ * @param maxRunning the maximum number of concurrent calls; further ones are answered with 503 and
+ *     {@code Not-Run: true}
  */
 public record PlainServiceSettings(
     ListenSettings listen,
@@ -21,7 +22,7 @@
     ServiceFaults faults) {
   private static final Duration HOUR = Duration.ofHours(1);
 
-  /** Reads a file's root table. */
+  /** Reads the settings from a file's root table. */
   public static PlainServiceSettings read(TomlReader root) {
     return new PlainServiceSettings(
         ListenSettings.read(root),
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/service/RunCounts.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/service/RunCounts.java
@@ -4,14 +4,17 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** How often each request and each idempotency key was run; more than once is a doubled run. */
+/**
+ * Counts the runs of each request and of each idempotency key. A count above 1 shows a duplicate
+ * run.
+ */
 final class RunCounts {
   private static final int MAX_ENTRIES = 200_000;
 
-  private final Map<String, Integer> byRequest = bounded();
-  private final Map<String, Integer> byKey = bounded();
+  private final Map<String, Integer> byRequest = boundedMap();
+  private final Map<String, Integer> byKey = boundedMap();
 
-  /** Counts a run and returns how many there are of this request now. */
+  /** Counts a run and returns the number of runs of this request so far. */
   int count(String requestId, String key) {
     if (!key.isEmpty()) {
       byKey.merge(key, 1, Integer::sum);
@@ -26,7 +29,7 @@
     byKey.forEach(keys::put);
   }
 
-  private static Map<String, Integer> bounded() {
+  private static Map<String, Integer> boundedMap() {
     return new LinkedHashMap<>() {
       private static final long serialVersionUID = 1L;
 
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/service/ServiceFaults.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/service/ServiceFaults.java
@@ -4,16 +4,19 @@
 import org.teaseldeal.standin.fault.FaultSettings;
 
 /**
- * Faults of a plain service.
+ * The faults of a plain service.
  *
- * @param seed of the random source that decides by the shares
- * @param latencyMs added to each call's latency
- * @param refuseShare of calls that are answered by 503 with {@code Not-Run: true} and not run
- * @param failShare of calls that are run and then answered by 500
- * @param closeBeforeShare of calls whose connection closes unanswered and which are not run
- * @param closeAfterShare of calls that are run and whose connection then closes unanswered
- * @param silentBeforeShare of calls that are not run and never answered
- * @param silentAfterShare of calls that are run and never answered
+ * @param seed the seed of the random source that decides which calls a share affects
+ * @param latencyMs the time added to each call's latency, in milliseconds
+ * @param refuseShare the share of calls that are not run and answered with 503 and {@code Not-Run:
+ *     true}
+ * @param failShare the share of calls that are run and then answered with 500
+ * @param closeBeforeShare the share of calls that are not run and whose connection is closed
+ *     without an answer
+ * @param closeAfterShare the share of calls that are run and whose connection is then closed
+ *     without an answer
+ * @param silentBeforeShare the share of calls that are not run and never answered
+ * @param silentAfterShare the share of calls that are run and never answered
  */
 public record ServiceFaults(
     long seed,
@@ -30,16 +33,16 @@
   /** No faults. */
   public static final ServiceFaults NONE = new ServiceFaults(1, 0, 0, 0, 0, 0, 0, 0);
 
-  /** Reads the keys that {@code table} has; others are as in {@code byDefault}. */
-  public static ServiceFaults read(TomlReader table, ServiceFaults byDefault) {
+  /** Reads fault settings; keys that {@code table} lacks have their value in {@code defaults}. */
+  public static ServiceFaults read(TomlReader table, ServiceFaults defaults) {
     return new ServiceFaults(
-        table.integer("seed", byDefault.seed, 0, Long.MAX_VALUE),
-        table.integer("latency_ms", byDefault.latencyMs, 0, MAX_LATENCY_MS),
-        table.fraction("refuse_share", byDefault.refuseShare, 0, 1),
-        table.fraction("fail_share", byDefault.failShare, 0, 1),
-        table.fraction("close_before_share", byDefault.closeBeforeShare, 0, 1),
-        table.fraction("close_after_share", byDefault.closeAfterShare, 0, 1),
-        table.fraction("silent_before_share", byDefault.silentBeforeShare, 0, 1),
-        table.fraction("silent_after_share", byDefault.silentAfterShare, 0, 1));
+        table.integer("seed", defaults.seed, 0, Long.MAX_VALUE),
+        table.integer("latency_ms", defaults.latencyMs, 0, MAX_LATENCY_MS),
+        table.fraction("refuse_share", defaults.refuseShare, 0, 1),
+        table.fraction("fail_share", defaults.failShare, 0, 1),
+        table.fraction("close_before_share", defaults.closeBeforeShare, 0, 1),
+        table.fraction("close_after_share", defaults.closeAfterShare, 0, 1),
+        table.fraction("silent_before_share", defaults.silentBeforeShare, 0, 1),
+        table.fraction("silent_after_share", defaults.silentAfterShare, 0, 1));
   }
 }
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/service/package-info.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/service/package-info.java
@@ -1,4 +1,4 @@
-/** A plain service whose calls may not be repeated. */
+/** A plain service whose calls must not be repeated. */
 @NullMarked
 package org.teaseldeal.standin.service;
 
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/settings/ListenSettings.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/settings/ListenSettings.java
@@ -4,7 +4,7 @@
 import org.teaseldeal.api.Preconditions;
 import org.teaseldeal.settings.toml.TomlReader;
 
-/** Where a stand-in listens; port 0 lets the system choose. */
+/** The addresses that a stand-in listens on; for port 0 the system chooses a free port. */
 public record ListenSettings(String host, int port, int adminPort) {
   private static final int MAX_PORT = 65_535;
 
@@ -21,8 +21,8 @@
         root.smallInteger("admin_port", 0, 0, MAX_PORT));
   }
 
-  /** The same with what the command line gave. */
-  public ListenSettings with(
+  /** Returns a copy in which each argument that isn't null replaces the setting. */
+  public ListenSettings withOverrides(
       @Nullable String newHost, @Nullable Integer newPort, @Nullable Integer newAdminPort) {
     return new ListenSettings(
         newHost == null ? host : newHost,
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/settings/RegistrationSettings.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/settings/RegistrationSettings.java
@@ -6,14 +6,16 @@
 import org.teaseldeal.settings.toml.TomlReader;
 
 /**
- * How a backend server shows up in the platform's list.
+ * The settings of a backend server's registration in the platform's instance list.
  *
- * @param platform the platform's {@code host:port}; absent to stay out of the list
- * @param id absent for one made from role and port
- * @param renewEvery how often the registration is renewed
- * @param leaveTime how long a leaving server stays at least, so that the lagging list tells
- *     everyone
- * @param drainLimit how long it waits at most for requests in flight
+ * @param platform the platform's address as {@code host:port}; empty to stay out of the list
+ * @param id the server's id; empty for one that consists of role and port
+ * @param pool the pool that the server belongs to
+ * @param renewEvery the time between renewals of the registration
+ * @param leaveTime the minimum time that a leaving server keeps serving, so that the lagged list
+ *     can show it as leaving to all clients
+ * @param drainLimit the maximum time that a leaving server waits for its requests in flight, after
+ *     {@code leaveTime}
  */
 public record RegistrationSettings(
     Optional<String> platform,
@@ -25,7 +27,7 @@
     Duration drainLimit) {
   private static final Duration HOUR = Duration.ofHours(1);
 
-  /** Reads the table {@code registration}. */
+  /** Reads the settings from the table {@code registration}. */
   public static RegistrationSettings read(TomlReader table, String defaultPool) {
     return new RegistrationSettings(
         table.optionalText("platform"),
@@ -37,8 +39,8 @@
         table.duration("drain_limit", Duration.ofSeconds(30), Duration.ZERO, HOUR));
   }
 
-  /** The same with what the command line gave. */
-  public RegistrationSettings with(
+  /** Returns a copy in which each argument that isn't null replaces the setting. */
+  public RegistrationSettings withOverrides(
       @Nullable String newPlatform,
       @Nullable String newId,
       @Nullable String newPool,
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/settings/SettingsException.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/settings/SettingsException.java
@@ -1,6 +1,6 @@
 package org.teaseldeal.standin.settings;
 
-/** A settings file can't be read or says something that isn't allowed. */
+/** Thrown if a settings file can't be read or has invalid content. */
 public final class SettingsException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/settings/SettingsFile.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/settings/SettingsFile.java
@@ -8,19 +8,23 @@
 import org.teaseldeal.settings.toml.TomlDocument;
 import org.teaseldeal.settings.toml.TomlReader;
 
-/** A stand-in's TOML file. */
+/** Reads a stand-in's settings file in TOML. */
 public final class SettingsFile {
   private SettingsFile() {}
 
-  /** Reads {@code file}; a failure has a line for each thing wrong with it. */
-  public static <T> T read(Path file, Function<TomlReader, T> body) throws SettingsException {
+  /**
+   * Reads settings from {@code file}.
+   *
+   * @throws SettingsException whose message has one line for each problem found
+   */
+  public static <T> T read(Path file, Function<TomlReader, T> reader) throws SettingsException {
     String toml;
     try {
       toml = Files.readString(file);
     } catch (IOException e) {
       throw new SettingsException("%s: cannot be read: %s".formatted(file, e));
     }
-    return switch (TomlDocument.read(toml, body)) {
+    return switch (TomlDocument.read(toml, reader)) {
       case Parsed.Valid<T>(T value) -> value;
       case Parsed.Invalid<T> invalid ->
           throw new SettingsException(
@@ -36,9 +40,9 @@
     };
   }
 
-  /** What holds where a file says nothing. */
-  public static <T> T defaults(Function<TomlReader, T> body) {
-    return switch (TomlDocument.read("", body)) {
+  /** Returns the settings that hold without a settings file. */
+  public static <T> T defaults(Function<TomlReader, T> reader) {
+    return switch (TomlDocument.read("", reader)) {
       case Parsed.Valid<T>(T value) -> value;
       case Parsed.Invalid<T> invalid -> throw new IllegalStateException(invalid.toString());
     };
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/settings/package-info.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/settings/package-info.java
@@ -1,4 +1,4 @@
-/** Settings files and fault settings: defaults, overlay, checks. */
+/** Settings files: defaults, overrides from the command line, validation. */
 @NullMarked
 package org.teaseldeal.standin.settings;
 
--- a/teaseldeal-standin/src/test/java/org/teaseldeal/standin/MainTests.java
+++ b/teaseldeal-standin/src/test/java/org/teaseldeal/standin/MainTests.java
@@ -14,6 +14,10 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.teaseldeal.cli.ExitStatus;
 
+/**
+ * Guards against a help text that lacks an option, and against wrong command lines or settings
+ * files that start a stand-in all the same or that are reported without saying what is wrong.
+ */
 class MainTests {
   private final ByteArrayOutputStream out = new ByteArrayOutputStream();
   private final ByteArrayOutputStream err = new ByteArrayOutputStream();
@@ -21,13 +25,13 @@
   @Nested
   class Help {
     @Test
-    void listsCommandsAndExitStatus() {
+    void listsCommandsAndExitStatuses() {
       assertEquals(ExitStatus.OK, run("--help"));
       Approvals.verify(text(out));
     }
 
     @Test
-    void ofACommandListsItsOptions() {
+    void listsOptionsOfACommand() {
       assertEquals(ExitStatus.OK, run("engine", "--help"));
       Approvals.verify(text(out));
     }
@@ -65,7 +69,7 @@
     }
 
     @Test
-    void wrongSettingsAreAllToldWithFileLineAndKey(@TempDir Path folder) throws IOException {
+    void allWrongSettingsAreReportedWithFileLineAndKey(@TempDir Path folder) throws IOException {
       Path file = folder.resolve("engine.toml");
       Files.writeString(
           file,
@@ -83,7 +87,7 @@
     }
 
     @Test
-    void unreadableSettingsAreTold() {
+    void unreadableSettingsAreReported() {
       assertEquals(ExitStatus.WRONG_FILE, run("platform", "--settings", "/no/such/file.toml"));
       assertEquals(
           "teaseldeal-standin: /no/such/file.toml: cannot be read:"
--- a/teaseldeal-standin/src/test/java/org/teaseldeal/standin/admin/AdminHandlerTests.java
+++ b/teaseldeal-standin/src/test/java/org/teaseldeal/standin/admin/AdminHandlerTests.java
@@ -7,21 +7,25 @@
 import java.util.Map;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
-import org.teaseldeal.standin.fault.FaultSwitch;
+import org.teaseldeal.standin.fault.ActiveFaults;
 import org.teaseldeal.standin.platform.PlatformFaults;
 import org.teaseldeal.standin.runtime.FakeExchange;
 import org.teaseldeal.standin.runtime.ManualTime;
 
+/**
+ * Guards against fault updates that change more than their keys or that are applied in part, and
+ * against a history that hides how many events there were.
+ */
 class AdminHandlerTests {
   private final ManualTime time = new ManualTime();
-  private final FaultSwitch<PlatformFaults> faults =
-      new FaultSwitch<>(PlatformFaults.NONE, PlatformFaults::read);
+  private final ActiveFaults<PlatformFaults> faults =
+      new ActiveFaults<>(PlatformFaults.NONE, PlatformFaults::read);
   private final History history = new History(time, 2);
   private final AdminHandler<PlatformFaults> admin =
       new AdminHandler<>(faults, history, stats -> stats.put("depth", 4), Map.of());
 
   @Test
-  void faultsThatAreNotGivenStayAsTheyAre() {
+  void faultKeysAbsentFromAnUpdateKeepTheirValues() {
     put("{\"log_outage\":true}");
     put("{\"append_latency_ms\":7}");
     assertEquals(true, faults.current().logOutage());
@@ -32,7 +36,7 @@
   }
 
   @Test
-  void wrongFaultsAreRefusedWholeWithAllThatIsWrong() {
+  void invalidUpdateChangesNothingAndReportsAllProblems() {
     FakeExchange answer =
         put("{\"log_outage\":true,\"lost_answer_share\":2,\"list_lag_ms\":\"x\",\"typo\":1}");
     assertEquals(400, answer.status());
@@ -46,18 +50,19 @@
         answer.json().get("error").asText());
   }
 
+  // Guards against runs with random faults that can't be repeated from their seed.
   @Test
-  void seedStartsTheDrawsAnew() {
+  void seedRestartsTheRandomDecisions() {
     put("{\"seed\":9}");
-    List<Boolean> first = draws();
+    List<Boolean> first = decisions();
     put("{\"append_latency_ms\":7}");
-    assertNotEquals(first, draws());
+    assertNotEquals(first, decisions());
     put("{\"seed\":9}");
-    assertEquals(first, draws());
+    assertEquals(first, decisions());
   }
 
   @Test
-  void historyKeepsTheLastLinesAndCountsAll() {
+  void historyKeepsTheLatestLinesAndCountsAllEvents() {
     history.add("append", line -> line.put("offset", 0));
     history.add("append", line -> line.put("offset", 1));
     history.add("read", line -> {});
@@ -72,8 +77,8 @@
         send(FakeExchange.get("/stats")).text());
   }
 
-  private List<Boolean> draws() {
-    return Stream.generate(() -> faults.strikes(0.5)).limit(64).toList();
+  private List<Boolean> decisions() {
+    return Stream.generate(() -> faults.shouldInject(0.5)).limit(64).toList();
   }
 
   private FakeExchange put(String json) {
--- a/teaseldeal-standin/src/test/java/org/teaseldeal/standin/engine/EngineTests.java
+++ b/teaseldeal-standin/src/test/java/org/teaseldeal/standin/engine/EngineTests.java
@@ -12,14 +12,15 @@
 import org.teaseldeal.settings.SettingsParser.Parsed;
 import org.teaseldeal.settings.toml.TomlDocument;
 import org.teaseldeal.standin.admin.History;
-import org.teaseldeal.standin.fault.FaultSwitch;
+import org.teaseldeal.standin.fault.ActiveFaults;
 import org.teaseldeal.standin.runtime.FakeExchange;
 import org.teaseldeal.standin.runtime.Json;
 import org.teaseldeal.standin.runtime.ManualTime;
 
 /**
- * An engine whose iteration takes 10 ms and 1 ms for each running request, two at once; a prompt
- * token that isn't cached takes 1 ms. An engine that isn't asked anything stands still.
+ * Tests an engine that runs up to two requests at once. An iteration takes 10 ms, 1 ms more for
+ * each running request and 1 ms more for each uncached prompt token. Without requests there are no
+ * iterations.
  */
 class EngineTests {
   private static final String SETTINGS =
@@ -42,8 +43,8 @@
   private static final String PROMPT = "Is channel 16 free?";
 
   private final ManualTime time = new ManualTime();
-  private final FaultSwitch<EngineFaults> faults =
-      new FaultSwitch<>(EngineFaults.NONE, EngineFaults::read);
+  private final ActiveFaults<EngineFaults> faults =
+      new ActiveFaults<>(EngineFaults.NONE, EngineFaults::read);
   private final History history = new History(time, 1_000);
   private boolean exited;
   private final EngineHandler engine =
@@ -53,9 +54,9 @@
   class Answers {
     @Test
     void answerHasAllFramesAndTheExactUsage() {
-      FakeExchange answer = ask("r1", "a1", PROMPT, 3);
+      FakeExchange answer = submit("r1", "a1", PROMPT, 3);
       time.advanceMillis(1_000);
-      assertTrue(answer.whole());
+      assertTrue(answer.finished());
       assertTrue(answer.text().endsWith("data: [DONE]\n\n"));
       assertEquals(expected("r1", PROMPT, 0, 3), answer.content());
       List<ObjectNode> events = answer.events();
@@ -84,61 +85,61 @@
       assertEquals(400, post("r1", "a1", "{").status());
       assertEquals(400, post("r1", "a1", "{}").status());
       assertEquals(400, post("r1", "a1", body(PROMPT, "\"max_tokens\":0")).status());
-      FakeExchange noId =
+      FakeExchange withoutIds =
           new FakeExchange("POST", "/v1/chat/completions", body(PROMPT, "\"max_tokens\":1"));
-      engine.handle(noId);
-      assertEquals(400, noId.status());
+      engine.handle(withoutIds);
+      assertEquals(400, withoutIds.status());
     }
   }
 
   @Nested
   class Batching {
-    // 5 uncached prompt tokens: 10 + 1 + 5 ms for the first iteration, 11 ms for the second.
+    // With 5 uncached prompt tokens, the first iteration takes 10 + 1 + 5 ms and the second 11 ms.
     @Test
     void iterationTakesLongerWithRequestsAndUncachedTokens() {
-      FakeExchange answer = ask("r1", "a1", PROMPT, 2);
+      FakeExchange answer = submit("r1", "a1", PROMPT, 2);
       time.advanceMillis(15);
       assertEquals(0, answer.events().size());
       time.advanceMillis(1);
       assertEquals(1, answer.events().size());
       time.advanceMillis(11);
-      assertTrue(answer.whole());
+      assertTrue(answer.finished());
     }
 
-    // The second prompt's first two blocks of two tokens are cached: 1 token is left to read.
+    // The first two blocks of the second prompt, four tokens, are cached, so one token is uncached.
     @Test
     void cachedPrefixShortensTheFirstIteration() {
-      ask("r1", "a1", PROMPT, 1);
+      submit("r1", "a1", PROMPT, 1);
       time.advanceMillis(100);
-      FakeExchange answer = ask("r2", "a2", PROMPT, 1);
+      FakeExchange answer = submit("r2", "a2", PROMPT, 1);
       time.advanceMillis(12);
-      assertTrue(answer.whole());
+      assertTrue(answer.finished());
     }
 
     @Test
     void waitingRequestsJoinByPriorityThenArrival() {
-      ask("r1", "a1", "", 1);
-      ask("r2", "a2", "", 2);
-      FakeExchange late = ask("r3", "a3", "", 1);
+      submit("r1", "a1", "", 1);
+      submit("r2", "a2", "", 2);
+      FakeExchange normal = submit("r3", "a3", "", 1);
       FakeExchange urgent = post("r4", "a4", body("", "\"x_output_tokens\":1"), "1");
-      FakeExchange full = ask("r5", "a5", "", 1);
-      assertEquals(200, full.status());
-      assertEquals(429, ask("r6", "a6", "", 1).status());
+      FakeExchange lastAccepted = submit("r5", "a5", "", 1);
+      assertEquals(200, lastAccepted.status());
+      assertEquals(429, submit("r6", "a6", "", 1).status());
       time.advanceMillis(11 + 12);
-      assertTrue(urgent.whole());
-      assertFalse(late.whole());
+      assertTrue(urgent.finished());
+      assertFalse(normal.finished());
       time.advanceMillis(100);
-      assertTrue(late.whole());
+      assertTrue(normal.finished());
     }
 
     @Test
-    void slowFactorStretchesIterations() {
+    void slowFactorLengthensIterations() {
       set("{\"slow_factor\":10}");
-      FakeExchange answer = ask("r1", "a1", "", 1);
+      FakeExchange answer = submit("r1", "a1", "", 1);
       time.advanceMillis(109);
-      assertFalse(answer.whole());
+      assertFalse(answer.finished());
       time.advanceMillis(1);
-      assertTrue(answer.whole());
+      assertTrue(answer.finished());
     }
   }
 
@@ -146,30 +147,31 @@
   class KnownRequests {
     @Test
     void secondPostAttachesFromTheStartAndDoesNotRunAgain() {
-      FakeExchange first = ask("r1", "a1", PROMPT, 4);
+      FakeExchange first = submit("r1", "a1", PROMPT, 4);
       time.advanceMillis(30);
-      FakeExchange second = ask("r1", "a2", PROMPT, 4);
+      FakeExchange second = submit("r1", "a2", PROMPT, 4);
       time.advanceMillis(1_000);
       assertEquals(first.content(), second.content());
       assertEquals("a2", second.events().getFirst().get("attempt").asText());
       assertEquals(1L, history.counts().get("submitted"));
     }
 
-    // The caller's instance dies in mid-stream; another continues where the caller's answer stands.
+    // The instance that reads the stream crashes midway. Another instance resumes the stream at the
+    // position that the caller's answer has reached.
     @Test
     void resumeContinuesAtThePosition() {
-      ask("r1", "a1", PROMPT, 4).goAway();
+      submit("r1", "a1", PROMPT, 4).disconnectCaller();
       time.advanceMillis(30);
       FakeExchange resumed =
-          send(FakeExchange.get("/v1/requests/r1/stream?from=2").with("Attempt-Id", "a2"));
+          send(FakeExchange.get("/v1/requests/r1/stream?from=2").withHeader("Attempt-Id", "a2"));
       time.advanceMillis(1_000);
-      assertTrue(resumed.whole());
+      assertTrue(resumed.finished());
       assertEquals(expected("r1", PROMPT, 2, 4), resumed.content());
     }
 
     @Test
-    void cancelStopsTheRequestAndTellsTheUsage() {
-      FakeExchange answer = ask("r1", "a1", PROMPT, 100);
+    void cancelStopsTheRequestAndReturnsItsUsage() {
+      FakeExchange answer = submit("r1", "a1", PROMPT, 100);
       time.advanceMillis(16 + 11);
       FakeExchange cancel = send(new FakeExchange("DELETE", "/v1/requests/r1", ""));
       String state =
@@ -182,18 +184,18 @@
     }
 
     @Test
-    void waitingRequestHasUsedNothing() {
-      ask("r1", "a1", "", 9);
-      ask("r2", "a2", "", 9);
-      ask("r3", "a3", PROMPT, 9);
+    void waitingRequestReportsNoUsage() {
+      submit("r1", "a1", "", 9);
+      submit("r2", "a2", "", 9);
+      submit("r3", "a3", PROMPT, 9);
       assertEquals(
           "{\"prompt_tokens\":0,\"completion_tokens\":0}",
           send(FakeExchange.get("/v1/requests/r3")).json().get("usage").toString());
     }
 
     @Test
-    void usageIsForgottenAfterItsTime() {
-      ask("r1", "a1", PROMPT, 1);
+    void finishedRequestIsRemovedAfterItsRetention() {
+      submit("r1", "a1", PROMPT, 1);
       time.advanceMillis(1_000);
       assertEquals(
           "finished", send(FakeExchange.get("/v1/requests/r1")).json().get("state").asText());
@@ -205,16 +207,16 @@
   @Nested
   class Reports {
     @Test
-    void loadLagsBehind() {
-      ask("r1", "a1", "", 9);
+    void loadReportLags() {
+      submit("r1", "a1", "", 9);
       assertEquals(0, send(FakeExchange.get("/load")).json().get("running").asInt());
       time.advanceMillis(50);
       assertEquals(1, send(FakeExchange.get("/load")).json().get("running").asInt());
     }
 
     @Test
-    void cacheEventsComeLate() {
-      ask("r1", "a1", PROMPT, 1);
+    void cacheEventsAreDelayed() {
+      submit("r1", "a1", PROMPT, 1);
       FakeExchange waiting = send(FakeExchange.get("/cache-events?from=0&wait_ms=1000"));
       time.advanceMillis(99);
       assertEquals(0, waiting.status());
@@ -227,10 +229,10 @@
   @Nested
   class Faults {
     @Test
-    void crashForgetsAllRequestsAndClosesTheirConnections() {
+    void crashDropsAllRequestsAndClosesTheirConnections() {
       set("{\"crash_mode\":\"forget\",\"crash_marker\":\"poison\",\"crash_after_frames\":1}");
-      FakeExchange other = ask("r1", "a1", PROMPT, 50);
-      FakeExchange crashing = ask("r2", "a2", "a poison pill", 50);
+      FakeExchange other = submit("r1", "a1", PROMPT, 50);
+      FakeExchange crashing = submit("r2", "a2", "a poison pill", 50);
       time.advanceMillis(1_000);
       assertTrue(other.aborted());
       assertTrue(crashing.aborted());
@@ -242,38 +244,38 @@
     @Test
     void crashEndsTheProcess() {
       set("{\"crash_mode\":\"exit\",\"crash_marker\":\"poison\"}");
-      ask("r1", "a1", "poison", 5);
+      submit("r1", "a1", "poison", 5);
       time.advanceMillis(1_000);
       assertTrue(exited);
     }
 
-    // The caller's instance gets some frames, then nothing, and the connection stays open. The
-    // request itself runs on, so a new connection can resume it.
+    // The instance that reads the stream gets some frames and then no more, while the connection
+    // stays open. The request keeps running, so a new connection can resume its stream.
     @Test
     void silentStreamStopsWithoutClosingAndCanBeResumed() {
       set("{\"silent_stream_share\":1,\"silent_after_frames\":2}");
-      FakeExchange answer = ask("r1", "a1", PROMPT, 5);
+      FakeExchange answer = submit("r1", "a1", PROMPT, 5);
       time.advanceMillis(1_000);
       assertEquals(2, answer.events().size());
-      assertFalse(answer.whole());
+      assertFalse(answer.finished());
       assertFalse(answer.aborted());
       set("{\"silent_stream_share\":0}");
       FakeExchange resumed =
-          send(FakeExchange.get("/v1/requests/r1/stream?from=2").with("Attempt-Id", "a2"));
+          send(FakeExchange.get("/v1/requests/r1/stream?from=2").withHeader("Attempt-Id", "a2"));
       assertEquals(expected("r1", PROMPT, 2, 5), resumed.content());
     }
 
     @Test
     void silentRequestIsNeitherRunNorAnswered() {
       set("{\"silent_request_share\":1}");
-      assertEquals(0, ask("r1", "a1", PROMPT, 1).status());
+      assertEquals(0, submit("r1", "a1", PROMPT, 1).status());
       assertEquals(404, send(FakeExchange.get("/v1/requests/r1")).status());
     }
 
     @Test
-    void crossedFramesCarryAnotherAttemptAndLateOnesAnOldPosition() {
+    void crossedFramesCarryAnotherAttemptAndLateFramesRepeatAPosition() {
       set("{\"crossed_frame_share\":1,\"late_frame_share\":1}");
-      FakeExchange answer = ask("r1", "a1", PROMPT, 2);
+      FakeExchange answer = submit("r1", "a1", PROMPT, 2);
       time.advanceMillis(1_000);
       List<String> frames =
           answer.events().stream()
@@ -285,7 +287,7 @@
     @Test
     void refusedRequestIsNotRun() {
       set("{\"refuse_share\":1}");
-      assertEquals(503, ask("r1", "a1", PROMPT, 1).status());
+      assertEquals(503, submit("r1", "a1", PROMPT, 1).status());
       assertEquals(404, send(FakeExchange.get("/v1/requests/r1")).status());
     }
   }
@@ -294,7 +296,7 @@
     faults.update(Json.readObject(json.getBytes(StandardCharsets.UTF_8)));
   }
 
-  private FakeExchange ask(String requestId, String attemptId, String prompt, int tokens) {
+  private FakeExchange submit(String requestId, String attemptId, String prompt, int tokens) {
     return post(requestId, attemptId, body(prompt, "\"x_output_tokens\":" + tokens));
   }
 
@@ -305,9 +307,9 @@
   private FakeExchange post(String requestId, String attemptId, String body, String priority) {
     return send(
         new FakeExchange("POST", "/v1/chat/completions", body)
-            .with("Request-Id", requestId)
-            .with("Attempt-Id", attemptId)
-            .with("Priority", priority));
+            .withHeader("Request-Id", requestId)
+            .withHeader("Attempt-Id", attemptId)
+            .withHeader("Priority", priority));
   }
 
   private FakeExchange send(FakeExchange exchange) {
@@ -316,8 +318,9 @@
     return exchange;
   }
 
-  private static String body(String prompt, String further) {
-    return "{\"messages\":[{\"role\":\"user\",\"content\":\"%s\"}],%s}".formatted(prompt, further);
+  private static String body(String prompt, String otherFields) {
+    return "{\"messages\":[{\"role\":\"user\",\"content\":\"%s\"}],%s}"
+        .formatted(prompt, otherFields);
   }
 
   private static String expected(String requestId, String prompt, int from, int to) {
--- a/teaseldeal-standin/src/test/java/org/teaseldeal/standin/engine/PrefixCacheTests.java
+++ b/teaseldeal-standin/src/test/java/org/teaseldeal/standin/engine/PrefixCacheTests.java
@@ -10,6 +10,9 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against a cache that finds blocks of another prefix, or evicts a prefix before its blocks.
+ */
 class PrefixCacheTests {
   private final List<String> events = new ArrayList<>();
   private final PrefixCache cache =
@@ -18,12 +21,12 @@
           2,
           new PrefixCache.Listener() {
             @Override
-            public void stored(long block) {
+            public void onStored(long block) {
               events.add("stored");
             }
 
             @Override
-            public void removed(long block) {
+            public void onRemoved(long block) {
               events.add("removed");
             }
           });
@@ -41,24 +44,24 @@
 
   @Test
   void wholeBlocksOfACommonPrefixAreFound() {
-    assertEquals(0, cache.use(List.of("a", "b", "c", "d", "e")));
-    assertEquals(4, cache.use(List.of("a", "b", "c", "d", "x")));
-    assertEquals(2, cache.use(List.of("a", "b", "x", "y")));
+    assertEquals(0, cache.matchAndStore(List.of("a", "b", "c", "d", "e")));
+    assertEquals(4, cache.matchAndStore(List.of("a", "b", "c", "d", "x")));
+    assertEquals(2, cache.matchAndStore(List.of("a", "b", "x", "y")));
   }
 
   @Test
   void sameBlockBehindAnotherPrefixIsNotFound() {
-    cache.use(List.of("a", "b", "c", "d"));
-    assertEquals(0, cache.use(List.of("x", "y", "c", "d")));
+    cache.matchAndStore(List.of("a", "b", "c", "d"));
+    assertEquals(0, cache.matchAndStore(List.of("x", "y", "c", "d")));
   }
 
   @Test
-  void leastRecentlyUsedBlockGoesFirstAndAPrefixOutlivesWhatFollowsIt() {
-    cache.use(List.of("a", "b", "c", "d"));
-    cache.use(List.of("e", "f"));
-    cache.use(List.of("g", "h"));
+  void leastRecentlyUsedBlockIsEvictedAndAPrefixOutlivesItsContinuation() {
+    cache.matchAndStore(List.of("a", "b", "c", "d"));
+    cache.matchAndStore(List.of("e", "f"));
+    cache.matchAndStore(List.of("g", "h"));
     assertEquals(List.of("stored", "stored", "stored", "stored", "removed"), events);
-    assertEquals(3, cache.used());
-    assertEquals(2, cache.use(List.of("a", "b", "c", "d")));
+    assertEquals(3, cache.blockCount());
+    assertEquals(2, cache.matchAndStore(List.of("a", "b", "c", "d")));
   }
 }
--- a/teaseldeal-standin/src/test/java/org/teaseldeal/standin/package-info.java
+++ b/teaseldeal-standin/src/test/java/org/teaseldeal/standin/package-info.java
@@ -1,4 +1,4 @@
-/** Tests of the command line and of whole stand-ins. */
+/** Tests of the stand-ins' command line. */
 @NullMarked
 package org.teaseldeal.standin;
 
--- a/teaseldeal-standin/src/test/java/org/teaseldeal/standin/platform/InstanceListTests.java
+++ b/teaseldeal-standin/src/test/java/org/teaseldeal/standin/platform/InstanceListTests.java
@@ -7,12 +7,12 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 import org.teaseldeal.standin.admin.History;
-import org.teaseldeal.standin.fault.FaultSwitch;
+import org.teaseldeal.standin.fault.ActiveFaults;
 import org.teaseldeal.standin.runtime.FakeExchange;
 import org.teaseldeal.standin.runtime.ManualTime;
 import org.teaseldeal.standin.settings.SettingsFile;
 
-/** With the defaults: a lag of 500 ms, an expiry of 5 s. */
+/** Tests the instance list with its default settings: a lag of 500 ms and an expiry of 5 s. */
 class InstanceListTests {
   private static final long LAG_MS = 500;
 
@@ -22,7 +22,7 @@
           time,
           time,
           SettingsFile.defaults(PlatformSettings::read),
-          new FaultSwitch<>(PlatformFaults.NONE, PlatformFaults::read),
+          new ActiveFaults<>(PlatformFaults.NONE, PlatformFaults::read),
           new History(time, 100));
 
   @Test
@@ -35,13 +35,13 @@
   }
 
   @Test
-  void listSaysWhatItIsAsOf() {
+  void listStatesTheTimeThatItDescribes() {
     assertEquals(
         "2025-12-31T23:59:59.500Z", send("GET", "/instances", "").json().get("as_of").asText());
   }
 
   @Test
-  void instanceWithoutRenewalDropsOut() {
+  void instanceWithoutRenewalExpires() {
     put("a", "run-1", "live");
     put("b", "run-1", "live");
     time.advanceMillis(4_000);
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void registrationWithoutItsFieldsIsRefused() {
+  void registrationWithMissingFieldsIsRejected() {
     FakeExchange answer = send("PUT", "/instances/a", "{\"role\":\"engine\"}");
     assertEquals(400, answer.status());
     assertEquals("{\"error\":\"incarnation was absent or blank, expected text\"}", answer.text());
@@ -71,7 +71,7 @@
   @Nested
   class Leaving {
     @Test
-    void renewalOfTheSameIncarnationDoesNotBringItBack() {
+    void outdatedRenewalOfTheSameIncarnationDoesNotCancelLeaving() {
       put("a", "run-1", "leaving");
       put("a", "run-1", "live");
       time.advanceMillis(LAG_MS);
--- a/teaseldeal-standin/src/test/java/org/teaseldeal/standin/platform/LogTests.java
+++ b/teaseldeal-standin/src/test/java/org/teaseldeal/standin/platform/LogTests.java
@@ -10,11 +10,15 @@
 import org.teaseldeal.settings.SettingsParser.Parsed;
 import org.teaseldeal.settings.toml.TomlDocument;
 import org.teaseldeal.standin.admin.History;
-import org.teaseldeal.standin.fault.FaultSwitch;
+import org.teaseldeal.standin.fault.ActiveFaults;
 import org.teaseldeal.standin.runtime.FakeExchange;
 import org.teaseldeal.standin.runtime.Json;
 import org.teaseldeal.standin.runtime.ManualTime;
 
+/**
+ * Guards against a log stand-in that deviates from the log that instances rely on: offsets,
+ * retention, rate limit, waiting reads, and answers that are lost after the record was stored.
+ */
 class LogTests {
   private static final String SETTINGS =
       """
@@ -27,8 +31,8 @@
       """;
 
   private final ManualTime time = new ManualTime();
-  private final FaultSwitch<PlatformFaults> faults =
-      new FaultSwitch<>(PlatformFaults.NONE, PlatformFaults::read);
+  private final ActiveFaults<PlatformFaults> faults =
+      new ActiveFaults<>(PlatformFaults.NONE, PlatformFaults::read);
   private final PlatformHandler platform =
       new PlatformHandler(time, time, settings(), faults, new History(time, 100));
 
@@ -40,7 +44,7 @@
   }
 
   @Test
-  void readsGiveRecordsWithTimeAndPayload() {
+  void readReturnsRecordsWithTimeAndPayload() {
     append("a");
     ObjectNode answer = read("from=0");
     assertEquals(0, answer.get("earliest").asLong());
@@ -58,7 +62,7 @@
   }
 
   @Test
-  void recordThatIsTooLargeIsRefused() {
+  void oversizedRecordIsRejected() {
     assertEquals(413, append("x".repeat(65)).status());
     assertEquals(0, read("from=0").get("next").asLong());
   }
@@ -66,7 +70,7 @@
   @Nested
   class Retention {
     @Test
-    void recordsBeyondTheCountAreGone() {
+    void recordsBeyondTheCountAreDropped() {
       for (String payload : new String[] {"a", "b", "c", "d"}) {
         append(payload);
       }
@@ -77,7 +81,7 @@
     }
 
     @Test
-    void recordsBeyondTheAgeAreGoneAndOffsetsGoOn() {
+    void recordsBeyondTheAgeAreDroppedAndOffsetsContinue() {
       append("a");
       time.advanceMillis(10_001);
       assertEquals(410, send("GET", "/log/0/records?from=0", "").status());
@@ -87,20 +91,20 @@
   }
 
   @Test
-  void recordsBeyondTheSizeAreGone() {
+  void recordsBeyondTheSizeAreDropped() {
     LogStream stream = new LogStream(time, Duration.ofHours(1), 100, 10);
     stream.append(new byte[6]);
     stream.append(new byte[4]);
-    assertEquals(0, stream.earliest());
+    assertEquals(0, stream.earliestOffset());
     stream.append(new byte[1]);
-    assertEquals(1, stream.earliest());
-    assertEquals(3, stream.next());
+    assertEquals(1, stream.earliestOffset());
+    assertEquals(3, stream.nextOffset());
   }
 
   @Nested
   class Rate {
     @Test
-    void appendsBeyondTheRateOfAllStreamsAreRefusedUntilThereIsRoom() {
+    void appendsBeyondTheSharedRateAreRejectedUntilTheBucketRefills() {
       for (int i = 0; i < 4; i++) {
         assertEquals(200, send("POST", "/log/" + i + "/records", "a").status());
       }
@@ -114,7 +118,7 @@
   @Nested
   class Waiting {
     @Test
-    void readAnswersAsSoonAsThereIsARecord() {
+    void readIsAnsweredAsSoonAsThereIsARecord() {
       FakeExchange waiting = send("GET", "/log/0/records?from=0&wait_ms=5000", "");
       time.advanceMillis(1_000);
       assertEquals(0, waiting.status());
@@ -123,16 +127,16 @@
     }
 
     @Test
-    void readAnswersWithNothingOnceTheWaitIsOver() {
+    void readIsAnsweredWithoutRecordsAfterTheWait() {
       FakeExchange waiting = send("GET", "/log/0/records?from=0&wait_ms=5000", "");
       time.advanceMillis(5_000);
       assertEquals(0, waiting.json().get("records").size());
     }
 
     @Test
-    void readOfACallerThatIsGoneIsForgotten() {
+    void readOfADisconnectedCallerIsCancelled() {
       FakeExchange waiting = send("GET", "/log/0/records?from=0&wait_ms=5000", "");
-      waiting.goAway();
+      waiting.disconnectCaller();
       time.advanceMillis(0);
       append("a");
       assertEquals(0, waiting.status());
@@ -141,8 +145,8 @@
 
   @Nested
   class Faults {
-    // The writer sees its connection close without an answer and can't know whether the record was
-    // stored. It was: the answer is lost only after the write, so a reader finds the record.
+    // The writer's connection is closed without an answer, so the writer can't know whether the
+    // record was stored. The fault loses the answer after the append, so a reader finds the record.
     @Test
     void lostAnswerLeavesTheRecordStored() {
       set("{\"lost_answer_share\":1}");
@@ -153,7 +157,7 @@
     }
 
     @Test
-    void outageRefusesAppendsAndReadsAndStoresNothing() {
+    void outageRejectsAppendsAndReadsAndStoresNothing() {
       set("{\"log_outage\":true}");
       assertEquals(503, append("a").status());
       assertEquals(503, send("GET", "/log/0/records?from=0", "").status());
--- a/teaseldeal-standin/src/test/java/org/teaseldeal/standin/runtime/FakeExchange.java
+++ b/teaseldeal-standin/src/test/java/org/teaseldeal/standin/runtime/FakeExchange.java
@@ -11,7 +11,7 @@
 import org.teaseldeal.net.HttpExchange;
 import org.teaseldeal.net.ResponseStream;
 
-/** A request that a test makes, and what came back. */
+/** A request that a test sends without a network, and the answer to it. */
 public final class FakeExchange implements HttpExchange, ResponseStream {
   private final String method;
   private final String path;
@@ -21,7 +21,7 @@
   private int status;
   private boolean ended;
   private boolean aborted;
-  private Runnable goneAction = () -> {};
+  private Runnable callerGoneAction = () -> {};
 
   public FakeExchange(String method, String path, String body) {
     this.method = method;
@@ -33,12 +33,12 @@
     return new FakeExchange("GET", path, "");
   }
 
-  public FakeExchange with(String header, String value) {
+  public FakeExchange withHeader(String header, String value) {
     headers.put(header, value);
     return this;
   }
 
-  /** The answer's status; zero if there is none. */
+  /** Returns the status of the answer, or 0 if there is none yet. */
   public int status() {
     return status;
   }
@@ -51,7 +51,7 @@
     return Json.readObject(text().getBytes(StandardCharsets.UTF_8));
   }
 
-  /** The JSON of each server-sent event but the closing one. */
+  /** Returns the JSON of each server-sent event except the closing one. */
   public List<ObjectNode> events() {
     List<ObjectNode> events = new ArrayList<>();
     for (String event : text().split("\n\n", -1)) {
@@ -62,7 +62,7 @@
     return events;
   }
 
-  /** The text of all frames in the order they came. */
+  /** Returns the concatenated text of all frames, in the order of arrival. */
   public String content() {
     StringBuilder content = new StringBuilder();
     for (ObjectNode event : events()) {
@@ -71,8 +71,8 @@
     return content.toString();
   }
 
-  /** Whether the answer came to its proper end. */
-  public boolean whole() {
+  /** Returns whether the answer was completed rather than broken off. */
+  public boolean finished() {
     return ended;
   }
 
@@ -80,8 +80,8 @@
     return aborted;
   }
 
-  public void goAway() {
-    goneAction.run();
+  public void disconnectCaller() {
+    callerGoneAction.run();
   }
 
   @Override
@@ -128,7 +128,7 @@
   @Override
   public ResponseStream startStream(int answerStatus, Map<String, String> answerHeaders) {
     if (status != 0 || aborted) {
-      throw new IllegalStateException("answered twice");
+      throw new IllegalStateException("the exchange was answered twice");
     }
     status = answerStatus;
     return this;
@@ -136,7 +136,7 @@
 
   @Override
   public void onCallerGone(Runnable action) {
-    goneAction = action;
+    callerGoneAction = action;
   }
 
   @Override
--- a/teaseldeal-standin/src/test/java/org/teaseldeal/standin/runtime/ManualTime.java
+++ b/teaseldeal-standin/src/test/java/org/teaseldeal/standin/runtime/ManualTime.java
@@ -6,12 +6,12 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Clock and scheduler that stand still until the test moves them. */
+/** A clock and scheduler whose time passes only when the test advances it. */
 public final class ManualTime implements InstantSource, Scheduler {
   private final PriorityQueue<Task> tasks =
       new PriorityQueue<>(Comparator.comparing(Task::at).thenComparingLong(Task::number));
   private Instant now = Instant.parse("2026-01-01T00:00:00Z");
-  private long count;
+  private long nextNumber;
 
   @Override
   public Instant instant() {
@@ -20,13 +20,13 @@
 
   @Override
   public Cancellable schedule(Duration delay, Runnable task) {
-    Task scheduled = new Task(now.plus(delay), count, task);
-    count++;
+    Task scheduled = new Task(now.plus(delay), nextNumber, task);
+    nextNumber++;
     tasks.add(scheduled);
     return () -> tasks.remove(scheduled);
   }
 
-  /** Moves the clock, running what falls due on the way. */
+  /** Advances the clock and runs the tasks that become due, in order, at their own times. */
   public void advance(Duration duration) {
     Instant end = now.plus(duration);
     while (!tasks.isEmpty() && !tasks.element().at.isAfter(end)) {
--- a/teaseldeal-standin/src/test/java/org/teaseldeal/standin/runtime/package-info.java
+++ b/teaseldeal-standin/src/test/java/org/teaseldeal/standin/runtime/package-info.java
@@ -1,4 +1,4 @@
-/** Fakes for tests: time that the test moves, and an exchange without a network. */
+/** Fakes for tests: a clock that the test advances, and an HTTP exchange without a network. */
 @NullMarked
 package org.teaseldeal.standin.runtime;
 
--- a/teaseldeal-standin/src/test/java/org/teaseldeal/standin/service/PlainServiceTests.java
+++ b/teaseldeal-standin/src/test/java/org/teaseldeal/standin/service/PlainServiceTests.java
@@ -8,22 +8,26 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 import org.teaseldeal.standin.admin.History;
-import org.teaseldeal.standin.fault.FaultSwitch;
+import org.teaseldeal.standin.fault.ActiveFaults;
 import org.teaseldeal.standin.runtime.FakeExchange;
 import org.teaseldeal.standin.runtime.Json;
 import org.teaseldeal.standin.runtime.ManualTime;
 import org.teaseldeal.standin.settings.SettingsFile;
 
+/**
+ * Guards against run counts that miss or invent a run, since a load test finds duplicate runs by
+ * these counts alone.
+ */
 class PlainServiceTests {
   private final ManualTime time = new ManualTime();
-  private final FaultSwitch<ServiceFaults> faults =
-      new FaultSwitch<>(ServiceFaults.NONE, ServiceFaults::read);
+  private final ActiveFaults<ServiceFaults> faults =
+      new ActiveFaults<>(ServiceFaults.NONE, ServiceFaults::read);
   private final PlainServiceHandler service =
       new PlainServiceHandler(
           time, SettingsFile.defaults(PlainServiceSettings::read), faults, new History(time, 100));
 
   @Test
-  void answerRepeatsTheCall() {
+  void answerEchoesTheCall() {
     ObjectNode answer = call("r1").json();
     assertEquals("r1", answer.get("request").asText());
     assertEquals("/bids/7?lot=3", answer.get("path").asText());
@@ -42,7 +46,7 @@
   @Nested
   class Faults {
     @Test
-    void refusedCallSaysThatItWasNotRun() {
+    void refusedCallIsNotRun() {
       set("{\"refuse_share\":1}");
       assertEquals(503, call("r1").status());
       assertEquals("{\"by_request\":{},\"by_key\":{}}", runs());
@@ -56,15 +60,16 @@
     }
 
     @Test
-    void connectionClosedBeforeTheCallLeavesItUnrun() {
+    void callWhoseConnectionClosesBeforeItIsNotRun() {
       set("{\"close_before_share\":1}");
       assertTrue(call("r1").aborted());
       assertEquals("{\"by_request\":{},\"by_key\":{}}", runs());
     }
 
-    // Seen from the caller this can't be told from the case before, yet the call was run.
+    // A caller can't distinguish this case from a connection closed before the call, but here the
+    // call was run.
     @Test
-    void connectionClosedAfterTheCallLeavesItRun() {
+    void callWhoseConnectionClosesAfterItWasRun() {
       set("{\"close_after_share\":1}");
       assertTrue(call("r1").aborted());
       assertEquals("{\"by_request\":{\"r1\":1},\"by_key\":{\"k\":1}}", runs());
@@ -91,8 +96,8 @@
   private FakeExchange call(String requestId) {
     FakeExchange exchange =
         new FakeExchange("POST", "/bids/7?lot=3", "{\"bid\":9}")
-            .with("Request-Id", requestId)
-            .with("Idempotency-Key", "k");
+            .withHeader("Request-Id", requestId)
+            .withHeader("Idempotency-Key", "k");
     service.handle(exchange);
     time.advanceMillis(20);
     return exchange;
