--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/CommandLine.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/CommandLine.java
@@ -34,20 +34,20 @@
 final class CommandLine {
   static final String PROGRAM = "teaseldeal-operator";
 
-  private static final int COLUMNS = 100;
+  private static final int HELP_WIDTH_COLUMNS = 100;
 
   private final Map<String, Command> commands = new LinkedHashMap<>();
 
   /** What a command line asks for. */
-  sealed interface Asked {
+  sealed interface ParseResult {
     /** A command. */
-    record Run(String name, Command command) implements Asked {}
+    record RunCommand(String name, Command command) implements ParseResult {}
 
     /** A text to print, such as help. */
-    record Print(String text) implements Asked {}
+    record PrintText(String text) implements ParseResult {}
 
     /** Something that isn't understood. */
-    record Wrong(String message) implements Asked {}
+    record Invalid(String message) implements ParseResult {}
   }
 
   /** The options of the program itself. */
@@ -77,7 +77,7 @@
     commands.put("losses", new Losses());
   }
 
-  Asked parse(String... arguments) {
+  ParseResult parse(String... arguments) {
     for (Map.Entry<String, Command> entry : commands.entrySet()) {
       List<String> words = List.of(entry.getKey().split(" "));
       if (startsWith(arguments, words)) {
@@ -93,24 +93,24 @@
         && Arrays.asList(arguments).subList(0, words.size()).equals(words);
   }
 
-  private static Asked parseCommand(String name, Command command, String... rest) {
+  private static ParseResult parseCommand(String name, Command command, String... rest) {
     JCommander parser = parser(PROGRAM + " " + name, command);
     try {
       parser.parse(rest);
     } catch (ParameterException e) {
-      return new Asked.Wrong(wrong(e, name));
+      return new ParseResult.Invalid(errorMessage(e, name));
     }
     return command.common().help()
-        ? new Asked.Print(usage(parser, command))
-        : new Asked.Run(name, command);
+        ? new ParseResult.PrintText(usage(parser, command))
+        : new ParseResult.RunCommand(name, command);
   }
 
-  static String wrong(ParameterException e, String name) {
+  static String errorMessage(ParameterException e, String name) {
     return "%s: %s\nsee %s%s --help"
         .formatted(PROGRAM, e.getMessage(), PROGRAM, name.isEmpty() ? "" : " " + name);
   }
 
-  private Asked parseProgram(String... arguments) {
+  private ParseResult parseProgram(String... arguments) {
     ProgramOptions options = new ProgramOptions();
     List<String> unknown = new ArrayList<>();
     JCommander parser = parser(PROGRAM, options);
@@ -119,17 +119,17 @@
       parser.parse(arguments);
       unknown.addAll(parser.getUnknownOptions());
     } catch (ParameterException e) {
-      return new Asked.Wrong(wrong(e, ""));
+      return new ParseResult.Invalid(errorMessage(e, ""));
     }
     if (options.help) {
-      return new Asked.Print(help());
+      return new ParseResult.PrintText(programHelp());
     }
     if (options.version) {
-      return new Asked.Print(PROGRAM + " " + Program.version());
+      return new ParseResult.PrintText(PROGRAM + " " + Program.version());
     }
     String given = unknown.isEmpty() ? "nothing" : "'%s'".formatted(String.join(" ", unknown));
-    return new Asked.Wrong(
-        wrong(
+    return new ParseResult.Invalid(
+        errorMessage(
             new ParameterException(
                 "command was %s, expected one of: %s"
                     .formatted(given, String.join(", ", commands.keySet()))),
@@ -139,7 +139,7 @@
   private static JCommander parser(String name, Object options) {
     JCommander parser = new JCommander(options);
     parser.setProgramName(name);
-    parser.setColumnSize(COLUMNS);
+    parser.setColumnSize(HELP_WIDTH_COLUMNS);
     parser.setExpandAtSign(false);
     parser.setUsageFormatter(new UnixStyleUsageFormatter(parser));
     return parser;
@@ -151,11 +151,11 @@
     return usage.toString().stripTrailing();
   }
 
-  private String help() {
+  private String programHelp() {
     int width = commands.keySet().stream().mapToInt(String::length).max().orElseThrow();
     String list =
         commands.entrySet().stream()
-            .map(e -> "  %s  %s".formatted(padded(e.getKey(), width), description(e.getValue())))
+            .map(e -> "  %s  %s".formatted(padRight(e.getKey(), width), description(e.getValue())))
             .collect(Collectors.joining("\n"));
     String codes =
         Arrays.stream(ExitStatus.values())
@@ -174,7 +174,7 @@
         .formatted(PROGRAM, list, codes);
   }
 
-  private static String padded(String text, int width) {
+  private static String padRight(String text, int width) {
     return text + " ".repeat(width - text.length());
   }
 
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/Operator.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/CommandRunner.java
@@ -3,7 +3,7 @@
 import com.beust.jcommander.ParameterException;
 import java.io.PrintStream;
 import org.teaseldeal.cli.ExitStatus;
-import org.teaseldeal.operator.CommandLine.Asked;
+import org.teaseldeal.operator.CommandLine.ParseResult;
 import org.teaseldeal.operator.command.Command;
 import org.teaseldeal.operator.command.CommandContext;
 import org.teaseldeal.operator.report.CommandResult;
@@ -15,12 +15,12 @@
  * <p>What a command has to say goes to {@code out} if it did what it was asked to, and to {@code
  * err} otherwise; JSON always goes to {@code out}, so that programs find it in one place.
  */
-final class Operator {
+final class CommandRunner {
   private final CommandContext context;
   private final PrintStream out;
   private final PrintStream err;
 
-  Operator(CommandContext context, PrintStream out, PrintStream err) {
+  CommandRunner(CommandContext context, PrintStream out, PrintStream err) {
     this.context = context;
     this.out = out;
     this.err = err;
@@ -28,15 +28,15 @@
 
   ExitStatus run(String... arguments) {
     return switch (new CommandLine().parse(arguments)) {
-      case Asked.Print(String text) -> {
+      case ParseResult.PrintText(String text) -> {
         out.println(text);
         yield ExitStatus.OK;
       }
-      case Asked.Wrong(String message) -> {
+      case ParseResult.Invalid(String message) -> {
         err.println(message);
         yield ExitStatus.WRONG_COMMAND_LINE;
       }
-      case Asked.Run(String name, Command command) -> run(name, command);
+      case ParseResult.RunCommand(String name, Command command) -> run(name, command);
     };
   }
 
@@ -45,7 +45,7 @@
     try {
       result = command.run(context);
     } catch (ParameterException e) {
-      err.println(CommandLine.wrong(e, name));
+      err.println(CommandLine.errorMessage(e, name));
       return ExitStatus.WRONG_COMMAND_LINE;
     }
     print(result, command.common().json());
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/Main.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/Main.java
@@ -28,7 +28,7 @@
       CommandContext context =
           new CommandContext(
               System.getenv(), InstantSource.system(), new SecureRandom(), http, err::println);
-      status = new Operator(context, out, err).run(arguments);
+      status = new CommandRunner(context, out, err).run(arguments);
     }
     System.exit(status.code());
   }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/AdminCall.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/AdminCall.java
@@ -13,7 +13,7 @@
 
 /** A call to one instance's admin listener. */
 abstract sealed class AdminCall implements Command permits Dump, Drain {
-  private static final int FIRST_ERROR = 300;
+  private static final int FIRST_FAILURE_STATUS = 300;
 
   @Parameter(description = "ADDRESS (IP:PORT of the instance's admin listener)")
   private List<String> arguments = new ArrayList<>();
@@ -30,11 +30,11 @@
 
   abstract HttpAnswer call(AdminClient client, String address) throws IOException;
 
-  abstract CommandResult answered(String address, HttpAnswer answer);
+  abstract CommandResult onAnswer(String address, HttpAnswer answer);
 
   @Override
   public CommandResult run(CommandContext context) {
-    String address = Arguments.check(arguments, "ADDRESS").text(0);
+    String address = PositionalArguments.check(arguments, "ADDRESS").text(0);
     HttpAnswer answer;
     try {
       answer = call(context.adminClient(admin, timeout), address);
@@ -42,17 +42,17 @@
       return CommandResult.failed(
           ExitStatus.UNREACHABLE, "the instance can't be reached: " + e.getMessage());
     }
-    if (AdminClient.refused(answer)) {
+    if (AdminClient.refusedCredential(answer)) {
       return CommandResult.failed(
           ExitStatus.REFUSED,
           "%s: refused the credential (%d), expected the right one in %s or --admin-token-file"
-              .formatted(address, answer.status(), AdminOptions.ENVIRONMENT));
+              .formatted(address, answer.status(), AdminOptions.ENVIRONMENT_VARIABLE));
     }
-    if (answer.status() >= FIRST_ERROR) {
+    if (answer.status() >= FIRST_FAILURE_STATUS) {
       return CommandResult.failed(
           ExitStatus.REFUSED, "%s: answered %d".formatted(address, answer.status()));
     }
-    return answered(address, answer);
+    return onAnswer(address, answer);
   }
 
   @Override
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/AdminOptions.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/AdminOptions.java
@@ -16,16 +16,18 @@
  * stay in the shell's history.
  */
 final class AdminOptions {
-  static final String ENVIRONMENT = "TEASELDEAL_ADMIN_TOKEN";
+  static final String ENVIRONMENT_VARIABLE = "TEASELDEAL_ADMIN_TOKEN";
 
   @Parameter(
       names = "--admin-token-file",
-      description = "File with the admin credential; else environment variable " + ENVIRONMENT)
+      description =
+          "File with the admin credential; else environment variable " + ENVIRONMENT_VARIABLE)
   private @Nullable Path tokenFile;
 
   Optional<String> token(Map<String, String> environment) {
     if (tokenFile == null) {
-      return Optional.ofNullable(environment.get(ENVIRONMENT)).filter(token -> !token.isBlank());
+      return Optional.ofNullable(environment.get(ENVIRONMENT_VARIABLE))
+          .filter(token -> !token.isBlank());
     }
     try {
       String token = Files.readString(tokenFile).strip();
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/BudgetChange.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/BudgetChange.java
@@ -14,8 +14,8 @@
 import org.teaseldeal.operator.report.CommandResult;
 import org.teaseldeal.operator.report.Report;
 import org.teaseldeal.operator.session.LedgerSession;
-import org.teaseldeal.operator.session.Ledgers;
-import org.teaseldeal.operator.session.Submission;
+import org.teaseldeal.operator.session.LedgerSessions;
+import org.teaseldeal.operator.session.SubmissionResult;
 
 /**
  * Grants tokens to a budget.
@@ -56,25 +56,25 @@
 
   @Override
   public CommandResult run(CommandContext context) {
-    Arguments given = Arguments.check(arguments, "ACCOUNT", "TOKENS");
-    AccountId account = given.as(0, AccountId::parse);
+    PositionalArguments given = PositionalArguments.check(arguments, "ACCOUNT", "TOKENS");
+    AccountId account = given.parse(0, AccountId::parse);
     long tokens = given.tokens(1);
     String signer = author.author(context.environment());
     String operationId = operationId(context);
-    Ledgers ledgers = context.ledgers(platform);
+    LedgerSessions ledgers = context.ledgers(platform);
     context.notice().accept("operation " + operationId);
     LedgerSession session = ledgers.session(account.team());
     Entry entry = entry(account, tokens, signer, operationId);
-    return Reading.of(
+    return LedgerReads.withState(
         session,
         before ->
             switch (session.submit(List.of(entry))) {
-              case Submission.NotWritten(String detail) ->
+              case SubmissionResult.NotWritten(String detail) ->
                   CommandResult.failed(
                       ExitStatus.UNREACHABLE,
                       "%s: nothing was written: %s".formatted(account, detail));
-              case Submission.Unknown(String detail) -> unknown(account, operationId, detail);
-              case Submission.ReadBack(List<Outcome> outcomes) ->
+              case SubmissionResult.Unknown(String detail) -> unknown(account, operationId, detail);
+              case SubmissionResult.ReadBack(List<Outcome> outcomes) ->
                   outcome(session, tokens, outcomes.getFirst());
             });
   }
@@ -84,7 +84,7 @@
       case Outcome.BudgetGranted(AccountId account, long granted, String id) ->
           CommandResult.ok(new Granted(account.toString(), tokens, granted, id, false));
       case Outcome.BudgetUnchanged unchanged when unchanged.countedBefore() ->
-          Reading.of(
+          LedgerReads.withState(
               session,
               state ->
                   CommandResult.ok(
@@ -99,7 +99,7 @@
               ExitStatus.REFUSED,
               "%s: refused, nothing was changed: %s"
                   .formatted(unchanged.account(), unchanged.reason()));
-      default -> Writing.unexpected(outcome);
+      default -> LedgerWrites.unexpectedOutcome(outcome);
     };
   }
 
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/BudgetShow.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/BudgetShow.java
@@ -12,7 +12,7 @@
 import org.teaseldeal.operator.report.CommandResult;
 import org.teaseldeal.operator.report.Report;
 import org.teaseldeal.operator.report.TextTable;
-import org.teaseldeal.operator.session.Ledgers;
+import org.teaseldeal.operator.session.LedgerSessions;
 
 /** Shows budgets at the log's end. */
 @Parameters(
@@ -48,7 +48,7 @@
           new TextTable("ACCOUNT", "GRANTED", "CHARGED", "WRITTEN OFF", "LEASED", "REMAINING");
       budgets.forEach(
           row ->
-              table.row(
+              table.addRow(
                   row.account(),
                   row.granted(),
                   row.charged(),
@@ -61,14 +61,15 @@
 
   @Override
   public CommandResult run(CommandContext context) {
-    Arguments given = Arguments.check(arguments, "[TEAM]");
+    PositionalArguments given = PositionalArguments.check(arguments, "[TEAM]");
     if (!given.has(0)) {
-      Ledgers ledgers = context.ledgers(platform);
-      return Reading.ofAll(ledgers, states -> CommandResult.ok(new Budgets(rows(states))));
+      LedgerSessions ledgers = context.ledgers(platform);
+      return LedgerReads.withAllStates(
+          ledgers, states -> CommandResult.ok(new Budgets(rows(states))));
     }
-    TeamId team = given.as(0, TeamId::new);
-    Ledgers ledgers = context.ledgers(platform);
-    return Reading.of(ledgers.session(team), state -> show(state, team));
+    TeamId team = given.parse(0, TeamId::new);
+    LedgerSessions ledgers = context.ledgers(platform);
+    return LedgerReads.withState(ledgers.session(team), state -> show(state, team));
   }
 
   private static CommandResult show(LedgerState state, TeamId team) {
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/CommandContext.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/CommandContext.java
@@ -9,7 +9,7 @@
 import org.teaseldeal.operator.fleet.AdminClient;
 import org.teaseldeal.operator.fleet.HttpFetcher;
 import org.teaseldeal.operator.fleet.PlatformList;
-import org.teaseldeal.operator.session.Ledgers;
+import org.teaseldeal.operator.session.LedgerSessions;
 
 /**
  * What commands need of the world.
@@ -27,8 +27,8 @@
     environment = Map.copyOf(environment);
   }
 
-  Ledgers ledgers(PlatformOptions platform) {
-    return Ledgers.open(
+  LedgerSessions ledgers(PlatformOptions platform) {
+    return LedgerSessions.open(
         http, platform.address(environment), platform.streams(), platform.timeout(), clock, random);
   }
 
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/Drain.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/Drain.java
@@ -26,7 +26,7 @@
   }
 
   @Override
-  CommandResult answered(String address, HttpAnswer answer) {
+  CommandResult onAnswer(String address, HttpAnswer answer) {
     return CommandResult.ok(new Draining(address));
   }
 }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/Dump.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/Dump.java
@@ -31,7 +31,7 @@
   }
 
   @Override
-  CommandResult answered(String address, HttpAnswer answer) {
+  CommandResult onAnswer(String address, HttpAnswer answer) {
     try {
       return CommandResult.ok(new State(MAPPER.readTree(answer.text())));
     } catch (JsonProcessingException e) {
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/Instances.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/Instances.java
@@ -13,12 +13,12 @@
 import org.teaseldeal.ledger.state.InstanceView;
 import org.teaseldeal.ledger.state.LeaseView;
 import org.teaseldeal.ledger.state.LedgerState;
-import org.teaseldeal.operator.fleet.ListedRouter;
+import org.teaseldeal.operator.fleet.ListedInstance;
 import org.teaseldeal.operator.fleet.PlatformList.Listing;
 import org.teaseldeal.operator.report.CommandResult;
 import org.teaseldeal.operator.report.Report;
 import org.teaseldeal.operator.report.TextTable;
-import org.teaseldeal.operator.session.Ledgers;
+import org.teaseldeal.operator.session.LedgerSessions;
 
 /** Lists instances as the platform and as the ledger see them. */
 @Parameters(
@@ -71,7 +71,7 @@
               "");
       instances.forEach(
           row ->
-              table.row(
+              table.addRow(
                   row.instance(),
                   row.incarnation(),
                   row.dataCentre(),
@@ -86,24 +86,25 @@
 
   @Override
   public CommandResult run(CommandContext context) {
-    Arguments.check(arguments);
+    PositionalArguments.check(arguments);
     return switch (context.platformList(platform).read()) {
       case Listing.Unreachable(String detail) ->
           CommandResult.failed(ExitStatus.UNREACHABLE, detail);
-      case Listing.Routers(List<ListedRouter> routers) -> {
-        Ledgers ledgers = context.ledgers(platform);
-        yield Reading.ofAll(ledgers, states -> CommandResult.ok(fleet(routers, states)));
+      case Listing.Found(List<ListedInstance> routers) -> {
+        LedgerSessions ledgers = context.ledgers(platform);
+        yield LedgerReads.withAllStates(
+            ledgers, states -> CommandResult.ok(fleet(routers, states)));
       }
     };
   }
 
-  private static Fleet fleet(List<ListedRouter> routers, List<LedgerState> states) {
+  private static Fleet fleet(List<ListedInstance> routers, List<LedgerState> states) {
     Map<IncarnationId, InstanceView> joined = new LinkedHashMap<>();
     for (LedgerState state : states) {
       state.instances().forEach(view -> joined.putIfAbsent(view.incarnation(), view));
     }
     List<Row> rows = new ArrayList<>();
-    for (ListedRouter router : routers) {
+    for (ListedInstance router : routers) {
       rows.add(listed(router, joined.remove(router.incarnation()), states));
     }
     joined.values().forEach(view -> rows.add(unlisted(view, states)));
@@ -111,7 +112,7 @@
   }
 
   private static Row listed(
-      ListedRouter router, @Nullable InstanceView view, List<LedgerState> states) {
+      ListedInstance router, @Nullable InstanceView view, List<LedgerState> states) {
     return new Row(
         router.instance().name(),
         router.incarnation().value(),
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/LeaseRelease.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/LeaseRelease.java
@@ -12,13 +12,13 @@
 import org.teaseldeal.ledger.outcome.Outcome;
 import org.teaseldeal.ledger.state.LeaseView;
 import org.teaseldeal.ledger.state.LedgerState;
-import org.teaseldeal.operator.fleet.ListedRouter;
+import org.teaseldeal.operator.fleet.ListedInstance;
 import org.teaseldeal.operator.fleet.PlatformList.Listing;
 import org.teaseldeal.operator.report.CommandResult;
 import org.teaseldeal.operator.report.Report;
 import org.teaseldeal.operator.session.LedgerSession;
-import org.teaseldeal.operator.session.Ledgers;
-import org.teaseldeal.operator.session.Submission;
+import org.teaseldeal.operator.session.LedgerSessions;
+import org.teaseldeal.operator.session.SubmissionResult;
 
 /**
  * Retires an incarnation that is gone and writes off what is left under its leases.
@@ -31,7 +31,7 @@
     commandNames = "release",
     commandDescription = "Retire an incarnation that is gone and write off what it held")
 public final class LeaseRelease implements Command {
-  private static final String WHY =
+  private static final String WRITE_OFF_REASON =
       "Its holder may have spent them without having said so, and nobody can tell; given back, they"
           + " could be spent twice. They are counted as spent; grant them anew with `budget top-up`"
           + " if you want to.";
@@ -54,7 +54,8 @@
     public String text() {
       return endedBefore
           ? "%s: had left or was retired before, nothing was changed".formatted(incarnation)
-          : "%s: retired, %d tokens written off.\n%s".formatted(incarnation, writtenOff, WHY);
+          : "%s: retired, %d tokens written off.\n%s"
+              .formatted(incarnation, writtenOff, WRITE_OFF_REASON);
     }
   }
 
@@ -66,20 +67,22 @@
           %s: nothing was changed. %d tokens would be written off.
           %s
           Make sure with the platform that this incarnation is gone, then add --confirm-gone."""
-          .formatted(incarnation, tokens, WHY);
+          .formatted(incarnation, tokens, WRITE_OFF_REASON);
     }
   }
 
   @Override
   public CommandResult run(CommandContext context) {
-    IncarnationId incarnation = Arguments.check(arguments, "INCARNATION").as(0, IncarnationId::new);
+    IncarnationId incarnation =
+        PositionalArguments.check(arguments, "INCARNATION").parse(0, IncarnationId::new);
     String signer = author.author(context.environment());
     Optional<CommandResult> listed = refuseIfListed(context, incarnation);
     if (listed.isPresent()) {
       return listed.get();
     }
-    Ledgers ledgers = context.ledgers(platform);
-    return Reading.ofAll(ledgers, states -> release(ledgers, states, incarnation, signer));
+    LedgerSessions ledgers = context.ledgers(platform);
+    return LedgerReads.withAllStates(
+        ledgers, states -> release(ledgers, states, incarnation, signer));
   }
 
   private Optional<CommandResult> refuseIfListed(
@@ -91,7 +94,7 @@
                   ExitStatus.UNREACHABLE,
                   "%s: nothing was changed: whether it is gone can't be seen: %s"
                       .formatted(incarnation, detail)));
-      case Listing.Routers(List<ListedRouter> routers) ->
+      case Listing.Found(List<ListedInstance> routers) ->
           routers.stream()
               .filter(router -> router.incarnation().equals(incarnation))
               .findFirst()
@@ -99,7 +102,7 @@
     };
   }
 
-  private static CommandResult stillListed(ListedRouter router) {
+  private static CommandResult stillListed(ListedInstance router) {
     return CommandResult.failed(
         ExitStatus.REFUSED,
         "%s: nothing was changed: the platform still lists it as instance %s; the list lags, so try"
@@ -108,11 +111,11 @@
   }
 
   private CommandResult release(
-      Ledgers ledgers, List<LedgerState> states, IncarnationId incarnation, String signer) {
+      LedgerSessions ledgers, List<LedgerState> states, IncarnationId incarnation, String signer) {
     if (states.stream().allMatch(state -> state.ended(incarnation))) {
       return CommandResult.ok(new Released(incarnation.value(), 0, true));
     }
-    if (states.stream().noneMatch(state -> known(state, incarnation))) {
+    if (states.stream().noneMatch(state -> isKnown(state, incarnation))) {
       return CommandResult.failed(
           ExitStatus.REFUSED,
           "%s: the ledger knows no such incarnation; see `instances`".formatted(incarnation));
@@ -124,35 +127,36 @@
     return retire(ledgers, incarnation, signer);
   }
 
-  private static CommandResult retire(Ledgers ledgers, IncarnationId incarnation, String signer) {
+  private static CommandResult retire(
+      LedgerSessions ledgers, IncarnationId incarnation, String signer) {
     long writtenOff = 0;
     for (LedgerSession session : ledgers.all()) {
       switch (session.submit(List.of(new Entry.Retire(incarnation, signer)))) {
-        case Submission.ReadBack(List<Outcome> outcomes) -> {
+        case SubmissionResult.ReadBack(List<Outcome> outcomes) -> {
           if (!(outcomes.getFirst() instanceof Outcome.Retired retired)) {
-            return Writing.unexpected(outcomes.getFirst());
+            return LedgerWrites.unexpectedOutcome(outcomes.getFirst());
           }
           writtenOff += retired.writtenOff();
         }
-        case Submission.NotWritten(String detail) -> {
-          return unfinished(incarnation, detail);
+        case SubmissionResult.NotWritten(String detail) -> {
+          return unknownOutcome(incarnation, detail);
         }
-        case Submission.Unknown(String detail) -> {
-          return unfinished(incarnation, detail);
+        case SubmissionResult.Unknown(String detail) -> {
+          return unknownOutcome(incarnation, detail);
         }
       }
     }
     return CommandResult.ok(new Released(incarnation.value(), writtenOff, false));
   }
 
-  private static CommandResult unfinished(IncarnationId incarnation, String detail) {
+  private static CommandResult unknownOutcome(IncarnationId incarnation, String detail) {
     return CommandResult.failed(
         ExitStatus.UNREACHABLE,
         "%s: it isn't known whether it was retired: %s\nrepeat the command: it takes effect once"
             .formatted(incarnation, detail));
   }
 
-  private static boolean known(LedgerState state, IncarnationId incarnation) {
+  private static boolean isKnown(LedgerState state, IncarnationId incarnation) {
     return state.lastSequence(incarnation) > 0 || !state.leases(incarnation).isEmpty();
   }
 
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/LeaseShow.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/LeaseShow.java
@@ -13,7 +13,7 @@
 import org.teaseldeal.operator.report.CommandResult;
 import org.teaseldeal.operator.report.Report;
 import org.teaseldeal.operator.report.TextTable;
-import org.teaseldeal.operator.session.Ledgers;
+import org.teaseldeal.operator.session.LedgerSessions;
 
 /** Shows what is left under leases. */
 @Parameters(
@@ -41,7 +41,7 @@
       TextTable table = new TextTable("INCARNATION", "SERVICE", "TOKENS", "STATE");
       leases.forEach(
           row ->
-              table.row(
+              table.addRow(
                   row.incarnation(),
                   row.service(),
                   row.tokens(),
@@ -52,10 +52,11 @@
 
   @Override
   public CommandResult run(CommandContext context) {
-    Arguments given = Arguments.check(arguments, "[INCARNATION]");
-    List<IncarnationId> asked = given.has(0) ? List.of(given.as(0, IncarnationId::new)) : List.of();
-    Ledgers ledgers = context.ledgers(platform);
-    return Reading.ofAll(ledgers, states -> CommandResult.ok(leases(states, asked)));
+    PositionalArguments given = PositionalArguments.check(arguments, "[INCARNATION]");
+    List<IncarnationId> asked =
+        given.has(0) ? List.of(given.parse(0, IncarnationId::new)) : List.of();
+    LedgerSessions ledgers = context.ledgers(platform);
+    return LedgerReads.withAllStates(ledgers, states -> CommandResult.ok(leases(states, asked)));
   }
 
   private static Leases leases(List<LedgerState> states, List<IncarnationId> asked) {
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/Writing.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/LedgerWrites.java
@@ -5,11 +5,11 @@
 import org.teaseldeal.operator.report.CommandResult;
 
 /** Results that all commands which write to the ledger share. */
-final class Writing {
-  private Writing() {}
+final class LedgerWrites {
+  private LedgerWrites() {}
 
   /** The entry broke a rule of the ledger. */
-  static CommandResult unexpected(Outcome outcome) {
+  static CommandResult unexpectedOutcome(Outcome outcome) {
     String reason =
         outcome instanceof Outcome.Rejected rejected ? rejected.reason() : outcome.toString();
     return CommandResult.failed(
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/Losses.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/Losses.java
@@ -9,11 +9,11 @@
 import java.util.List;
 import org.jspecify.annotations.Nullable;
 import org.teaseldeal.cli.ExitStatus;
-import org.teaseldeal.operator.losses.Dimension;
-import org.teaseldeal.operator.losses.LossCount;
+import org.teaseldeal.operator.losses.LossCounter;
+import org.teaseldeal.operator.losses.LossDimension;
 import org.teaseldeal.operator.losses.LossPlot;
 import org.teaseldeal.operator.losses.LossReport;
-import org.teaseldeal.operator.losses.Owed;
+import org.teaseldeal.operator.losses.OwedRequests;
 import org.teaseldeal.operator.report.CommandResult;
 
 /** Counts from instances' logs why requests weren't answered in time. */
@@ -27,7 +27,7 @@
   @Parameter(
       names = "--by",
       description = "Columns: kind, customer, second, data_centre or instance")
-  private Dimension by = Dimension.KIND;
+  private LossDimension by = LossDimension.KIND;
 
   @Parameter(
       names = "--owed",
@@ -50,8 +50,8 @@
       throw new ParameterException("no logs were named, expected FILE, DIRECTORY or -");
     }
     try {
-      Owed known = owed == null ? Owed.UNKNOWN : Owed.read(owed);
-      LossReport report = LossCount.of(sources, System.in, known, by);
+      OwedRequests known = owed == null ? OwedRequests.UNKNOWN : OwedRequests.read(owed);
+      LossReport report = LossCounter.of(sources, System.in, known, by);
       if (report.lines() == 0) {
         return CommandResult.failed(
             ExitStatus.WRONG_COMMAND_LINE, "no line of %s is an event".formatted(sources));
@@ -62,7 +62,7 @@
       if (against == null) {
         return CommandResult.ok(report);
       }
-      LossReport before = LossCount.of(List.of(against), System.in, known, by);
+      LossReport before = LossCounter.of(List.of(against), System.in, known, by);
       return CommandResult.ok(report.against(before));
     } catch (IOException e) {
       return CommandResult.failed(ExitStatus.WRONG_FILE, String.valueOf(e.getMessage()));
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/PlatformOptions.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/PlatformOptions.java
@@ -9,11 +9,12 @@
 
 /** Where the platform is, and how long to try. */
 final class PlatformOptions {
-  static final String ENVIRONMENT = "TEASELDEAL_PLATFORM";
+  static final String ENVIRONMENT_VARIABLE = "TEASELDEAL_PLATFORM";
 
   @Parameter(
       names = "--platform",
-      description = "The platform's address, IP:PORT; else environment variable " + ENVIRONMENT)
+      description =
+          "The platform's address, IP:PORT; else environment variable " + ENVIRONMENT_VARIABLE)
   private @Nullable String address;
 
   @Parameter(
@@ -27,10 +28,11 @@
   private int streams = 1;
 
   String address(Map<String, String> environment) {
-    String value = address == null ? environment.get(ENVIRONMENT) : address;
+    String value = address == null ? environment.get(ENVIRONMENT_VARIABLE) : address;
     if (value == null || value.isBlank()) {
       throw new ParameterException(
-          "the platform's address is missing, expected --platform IP:PORT or " + ENVIRONMENT);
+          "the platform's address is missing, expected --platform IP:PORT or "
+              + ENVIRONMENT_VARIABLE);
     }
     return value;
   }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/PoolWarnings.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/PoolWarnings.java
@@ -28,13 +28,13 @@
       return List.of();
     }
     return team.services().values().stream()
-        .filter(Predicate.not(service -> fits(service, fleet)))
+        .filter(Predicate.not(service -> hasMatchingPool(service, fleet)))
         .map(service -> warning(service))
         .sorted()
         .toList();
   }
 
-  private static boolean fits(ServiceSettings service, Optional<FleetSettings> fleet) {
+  private static boolean hasMatchingPool(ServiceSettings service, Optional<FleetSettings> fleet) {
     return fleet
         .map(settings -> settings.pools().get(service.pool()))
         .map(PoolSettings::kind)
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/Arguments.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/PositionalArguments.java
@@ -5,15 +5,15 @@
 import java.util.function.Function;
 
 /** The arguments of a command that have no option's name, by position. */
-final class Arguments {
-  private final List<String> given;
+final class PositionalArguments {
+  private final List<String> values;
 
-  private Arguments(List<String> given) {
-    this.given = given;
+  private PositionalArguments(List<String> given) {
+    this.values = given;
   }
 
   /** Checks that {@code given} has one argument for each name; names in brackets may be missing. */
-  static Arguments check(List<String> given, String... names) {
+  static PositionalArguments check(List<String> given, String... names) {
     for (String argument : given) {
       if (argument.startsWith("--")) {
         throw new ParameterException("option was '%s', expected a known one".formatted(argument));
@@ -26,21 +26,21 @@
               .formatted(
                   String.join(" ", given), names.length == 0 ? "none" : String.join(" ", names)));
     }
-    return new Arguments(given);
+    return new PositionalArguments(given);
   }
 
   boolean has(int position) {
-    return position < given.size();
+    return position < values.size();
   }
 
   String text(int position) {
-    return given.get(position);
+    return values.get(position);
   }
 
   /** The argument as a value whose constructor complains of what is wrong. */
-  <T> T as(int position, Function<String, T> constructor) {
+  <T> T parse(int position, Function<String, T> constructor) {
     try {
-      return constructor.apply(given.get(position));
+      return constructor.apply(values.get(position));
     } catch (IllegalArgumentException e) {
       throw new ParameterException(e.getMessage());
     }
@@ -48,11 +48,11 @@
 
   /** A number of tokens; underscores between digits are allowed, as in settings. */
   long tokens(int position) {
-    String text = given.get(position).replace("_", "");
+    String text = values.get(position).replace("_", "");
     if (!text.matches("[1-9][0-9]{0,17}")) {
       throw new ParameterException(
           "tokens were '%s', expected a whole number greater than zero"
-              .formatted(given.get(position)));
+              .formatted(values.get(position)));
     }
     return Long.parseLong(text);
   }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/SettingsCheck.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/SettingsCheck.java
@@ -27,8 +27,8 @@
 
   @Override
   public CommandResult run(CommandContext context) {
-    Arguments given = Arguments.check(arguments, "SUBTREE", "FILE");
-    SubtreeId subtree = given.as(0, SubtreeId::new);
+    PositionalArguments given = PositionalArguments.check(arguments, "SUBTREE", "FILE");
+    SubtreeId subtree = given.parse(0, SubtreeId::new);
     return switch (SettingsFile.read(subtree, given.text(1))) {
       case SettingsFile.Valid valid ->
           CommandResult.ok(new Checked(subtree.value(), given.text(1)));
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/SettingsDiff.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/SettingsDiff.java
@@ -17,7 +17,7 @@
 import org.teaseldeal.operator.report.LineDiff;
 import org.teaseldeal.operator.report.Report;
 import org.teaseldeal.operator.session.LedgerSession;
-import org.teaseldeal.operator.session.Ledgers;
+import org.teaseldeal.operator.session.LedgerSessions;
 import org.teaseldeal.operator.session.Publications;
 import org.teaseldeal.operator.session.Publications.Publication;
 import org.teaseldeal.settings.SubtreeId;
@@ -53,43 +53,43 @@
   }
 
   /** A text and where it is from. */
-  private record Side(String name, Optional<String> toml) {}
+  private record DiffSide(String name, Optional<String> toml) {}
 
   @Override
   public CommandResult run(CommandContext context) {
-    Arguments given = Arguments.check(arguments, "SUBTREE", "[FILE]");
-    SubtreeId subtree = given.as(0, SubtreeId::new);
-    Optional<Side> file = Optional.empty();
+    PositionalArguments given = PositionalArguments.check(arguments, "SUBTREE", "[FILE]");
+    SubtreeId subtree = given.parse(0, SubtreeId::new);
+    Optional<DiffSide> file = Optional.empty();
     if (given.has(1)) {
       try {
         file =
             Optional.of(
-                new Side(given.text(1), Optional.of(Files.readString(Path.of(given.text(1))))));
+                new DiffSide(given.text(1), Optional.of(Files.readString(Path.of(given.text(1))))));
       } catch (IOException e) {
         return CommandResult.failed(
             ExitStatus.WRONG_FILE, "%s can't be read as UTF-8 text".formatted(given.text(1)));
       }
     }
-    Ledgers ledgers = context.ledgers(platform);
+    LedgerSessions ledgers = context.ledgers(platform);
     return compare(ledgers.session(subtree), subtree, file);
   }
 
-  private CommandResult compare(LedgerSession session, SubtreeId subtree, Optional<Side> file) {
-    return Reading.of(
+  private CommandResult compare(LedgerSession session, SubtreeId subtree, Optional<DiffSide> file) {
+    return LedgerReads.withState(
         session,
         state ->
-            Reading.publications(
+            LedgerReads.withPublications(
                 session, subtree, publications -> compare(state, publications, subtree, file)));
   }
 
   private CommandResult compare(
-      LedgerState state, Publications publications, SubtreeId subtree, Optional<Side> file) {
+      LedgerState state, Publications publications, SubtreeId subtree, Optional<DiffSide> file) {
     Optional<SubtreeView> current = state.subtree(subtree);
     List<Publication> accepted =
-        publications.accepted(current.map(SubtreeView::revision).orElse(0L));
-    Side before = side(from, current, accepted);
-    Side after = file.orElseGet(() -> side(to, current, accepted));
-    for (Side side : List.of(before, after)) {
+        publications.acceptedUpTo(current.map(SubtreeView::revision).orElse(0L));
+    DiffSide before = side(from, current, accepted);
+    DiffSide after = file.orElseGet(() -> side(to, current, accepted));
+    for (DiffSide side : List.of(before, after)) {
       if (side.toml().isEmpty()) {
         return CommandResult.failed(
             ExitStatus.REFUSED,
@@ -101,17 +101,17 @@
     return CommandResult.ok(new Difference(subtree.value(), before.name(), after.name(), lines));
   }
 
-  private static Side side(
+  private static DiffSide side(
       @Nullable Long revision, Optional<SubtreeView> current, List<Publication> accepted) {
     long wanted = revision == null ? current.map(SubtreeView::revision).orElse(0L) : revision;
     String name = "revision " + wanted;
     if (wanted == 0) {
-      return new Side(name, Optional.of(""));
+      return new DiffSide(name, Optional.of(""));
     }
     if (current.isPresent() && current.get().revision() == wanted) {
-      return new Side(name, Optional.of(current.get().toml()));
+      return new DiffSide(name, Optional.of(current.get().toml()));
     }
-    return new Side(
+    return new DiffSide(
         name,
         accepted.stream().filter(p -> p.revision() == wanted).map(Publication::toml).findFirst());
   }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/SettingsHistory.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/SettingsHistory.java
@@ -11,7 +11,7 @@
 import org.teaseldeal.operator.report.Report;
 import org.teaseldeal.operator.report.TextTable;
 import org.teaseldeal.operator.session.LedgerSession;
-import org.teaseldeal.operator.session.Ledgers;
+import org.teaseldeal.operator.session.LedgerSessions;
 import org.teaseldeal.operator.session.Publications.Publication;
 import org.teaseldeal.settings.SubtreeId;
 
@@ -35,27 +35,27 @@
       }
       TextTable table = new TextTable("REVISION", "BASED ON", "PUBLISHED AT", "AUTHOR");
       revisions.forEach(
-          row -> table.row(row.revision(), row.baseRevision(), row.publishedAt(), row.author()));
+          row -> table.addRow(row.revision(), row.baseRevision(), row.publishedAt(), row.author()));
       return table.toString();
     }
   }
 
   @Override
   public CommandResult run(CommandContext context) {
-    SubtreeId subtree = Arguments.check(arguments, "SUBTREE").as(0, SubtreeId::new);
-    Ledgers ledgers = context.ledgers(platform);
+    SubtreeId subtree = PositionalArguments.check(arguments, "SUBTREE").parse(0, SubtreeId::new);
+    LedgerSessions ledgers = context.ledgers(platform);
     LedgerSession session = ledgers.session(subtree);
-    return Reading.of(session, state -> history(session, state, subtree));
+    return LedgerReads.withState(session, state -> history(session, state, subtree));
   }
 
   private static CommandResult history(
       LedgerSession session, LedgerState state, SubtreeId subtree) {
     long current = state.subtree(subtree).map(SubtreeView::revision).orElse(0L);
-    return Reading.publications(
+    return LedgerReads.withPublications(
         session,
         subtree,
         publications ->
-            CommandResult.ok(new History(subtree.value(), publications.accepted(current))));
+            CommandResult.ok(new History(subtree.value(), publications.acceptedUpTo(current))));
   }
 
   @Override
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/SettingsPublish.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/SettingsPublish.java
@@ -15,14 +15,14 @@
 import org.teaseldeal.ledger.state.LedgerState;
 import org.teaseldeal.ledger.state.SubtreeView;
 import org.teaseldeal.operator.fleet.InForceWatch;
-import org.teaseldeal.operator.fleet.InForceWatch.InForce;
-import org.teaseldeal.operator.fleet.InForceWatch.Sight;
+import org.teaseldeal.operator.fleet.InForceWatch.InForceStatus;
+import org.teaseldeal.operator.fleet.InForceWatch.InstanceProgress;
 import org.teaseldeal.operator.report.CommandResult;
 import org.teaseldeal.operator.report.Report;
 import org.teaseldeal.operator.session.LedgerSession;
-import org.teaseldeal.operator.session.Ledgers;
+import org.teaseldeal.operator.session.LedgerSessions;
 import org.teaseldeal.operator.session.Publications;
-import org.teaseldeal.operator.session.Submission;
+import org.teaseldeal.operator.session.SubmissionResult;
 import org.teaseldeal.settings.SettingsProblem;
 import org.teaseldeal.settings.SubtreeId;
 
@@ -38,7 +38,7 @@
     commandDescription = "Publish a subtree and wait until it is in force everywhere")
 public final class SettingsPublish implements Command {
   /** Well over what a live instance takes to answer, and short against the time to wait. */
-  private static final Duration ASK_TIMEOUT = Duration.ofSeconds(1);
+  private static final Duration PROGRESS_QUERY_TIMEOUT = Duration.ofSeconds(1);
 
   @Parameter(description = "SUBTREE FILE (SUBTREE is fleet or team/NAME)")
   private List<String> arguments = new ArrayList<>();
@@ -62,13 +62,13 @@
   @ParametersDelegate private final CommonOptions common = new CommonOptions();
 
   /** An instance, as far as the publication has come there; the offset is -1 if it is unknown. */
-  record Instance(String instance, String incarnation, long foldedTo, String note) {
-    static Instance of(Sight sight) {
-      return new Instance(
+  record InstanceStatus(String instance, String incarnation, long foldedTo, String note) {
+    static InstanceStatus of(InstanceProgress sight) {
+      return new InstanceStatus(
           sight.instance(),
           sight.incarnation(),
-          sight.foldedTo().offset().orElse(-1),
-          sight.foldedTo().note());
+          sight.progress().offset().orElse(-1),
+          sight.progress().note());
     }
 
     String line(long offset) {
@@ -85,8 +85,8 @@
       long offset,
       String author,
       boolean writtenNow,
-      List<Instance> inForce,
-      List<Instance> lagging,
+      List<InstanceStatus> inForce,
+      List<InstanceStatus> lagging,
       @Nullable String listProblem,
       List<String> warnings)
       implements Report {
@@ -133,13 +133,13 @@
 
   @Override
   public CommandResult run(CommandContext context) {
-    Arguments given = Arguments.check(arguments, "SUBTREE", "FILE");
-    SubtreeId subtree = given.as(0, SubtreeId::new);
+    PositionalArguments given = PositionalArguments.check(arguments, "SUBTREE", "FILE");
+    SubtreeId subtree = given.parse(0, SubtreeId::new);
     return switch (SettingsFile.read(subtree, given.text(1))) {
       case SettingsFile.Invalid(CommandResult result) -> result;
       case SettingsFile.Valid(String toml) -> {
-        Ledgers ledgers = context.ledgers(platform);
-        yield new Publication(context, ledgers.session(subtree), subtree, toml)
+        LedgerSessions ledgers = context.ledgers(platform);
+        yield new PublishRun(context, ledgers.session(subtree), subtree, toml)
             .run(ledgers.session(SubtreeId.FLEET));
       }
     };
@@ -151,7 +151,7 @@
   }
 
   /** One run of the command. */
-  private final class Publication {
+  private final class PublishRun {
     private final CommandContext context;
     private final LedgerSession session;
     private final SubtreeId subtree;
@@ -159,7 +159,7 @@
     private final String signer;
     private List<String> warnings = List.of();
 
-    Publication(CommandContext context, LedgerSession session, SubtreeId subtree, String toml) {
+    PublishRun(CommandContext context, LedgerSession session, SubtreeId subtree, String toml) {
       this.context = context;
       this.session = session;
       this.subtree = subtree;
@@ -168,11 +168,11 @@
     }
 
     CommandResult run(LedgerSession fleet) {
-      return Reading.of(
+      return LedgerReads.withState(
           fleet,
           state -> {
             warnings = PoolWarnings.of(subtree, toml, state.fleet());
-            return Reading.of(session, this::publish);
+            return LedgerReads.withState(session, this::publish);
           });
     }
 
@@ -185,9 +185,10 @@
       long basedOn = base == null ? revision : base;
       var entry = new Entry.PublishSettings(subtree, basedOn, signer, toml);
       return switch (session.submit(List.of(entry))) {
-        case Submission.NotWritten(String detail) -> notWritten(detail);
-        case Submission.Unknown(String detail) -> unknown(basedOn, detail);
-        case Submission.ReadBack(List<Outcome> outcomes) -> outcome(basedOn, outcomes.getFirst());
+        case SubmissionResult.NotWritten(String detail) -> notWritten(detail);
+        case SubmissionResult.Unknown(String detail) -> unknown(basedOn, detail);
+        case SubmissionResult.ReadBack(List<Outcome> outcomes) ->
+            outcome(basedOn, outcomes.getFirst());
       };
     }
 
@@ -202,7 +203,7 @@
         case Outcome.SettingsInvalid(SubtreeId id, List<SettingsProblem> problems) ->
             new CommandResult(
                 ExitStatus.REFUSED, new SettingsFile.Problems(subtree.value(), problems));
-        default -> Writing.unexpected(outcome);
+        default -> LedgerWrites.unexpectedOutcome(outcome);
       };
     }
 
@@ -211,10 +212,10 @@
       InForceWatch watch =
           new InForceWatch(
               context.platformList(platform),
-              context.adminClient(admin, ASK_TIMEOUT),
+              context.adminClient(admin, PROGRESS_QUERY_TIMEOUT),
               session,
               context.clock());
-      InForce inForce = watch.await(session.stream(), offset, wait);
+      InForceStatus inForce = watch.await(session.stream(), offset, wait);
       Published published =
           new Published(
               subtree.value(),
@@ -222,9 +223,9 @@
               offset,
               by,
               writtenNow,
-              inForce.have().stream().map(Instance::of).toList(),
-              inForce.lag().stream().map(Instance::of).toList(),
-              inForce.unknown().orElse(null),
+              inForce.inForce().stream().map(InstanceStatus::of).toList(),
+              inForce.lagging().stream().map(InstanceStatus::of).toList(),
+              inForce.listProblem().orElse(null),
               warnings);
       return new CommandResult(
           inForce.everywhere() ? ExitStatus.OK : ExitStatus.INCOMPLETE, published);
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/SettingsShow.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/SettingsShow.java
@@ -12,7 +12,7 @@
 import org.teaseldeal.operator.report.CommandResult;
 import org.teaseldeal.operator.report.Report;
 import org.teaseldeal.operator.report.TextTable;
-import org.teaseldeal.operator.session.Ledgers;
+import org.teaseldeal.operator.session.LedgerSessions;
 import org.teaseldeal.settings.SubtreeId;
 
 /** Shows a subtree in force, or which there are. */
@@ -43,21 +43,21 @@
     @Override
     public String text() {
       TextTable table = new TextTable("SUBTREE", "REVISION", "AUTHOR");
-      subtrees.forEach(row -> table.row(row.subtree(), row.revision(), row.author()));
+      subtrees.forEach(row -> table.addRow(row.subtree(), row.revision(), row.author()));
       return table.toString();
     }
   }
 
   @Override
   public CommandResult run(CommandContext context) {
-    Arguments given = Arguments.check(arguments, "[SUBTREE]");
+    PositionalArguments given = PositionalArguments.check(arguments, "[SUBTREE]");
     if (!given.has(0)) {
-      Ledgers ledgers = context.ledgers(platform);
-      return Reading.ofAll(ledgers, SettingsShow::list);
+      LedgerSessions ledgers = context.ledgers(platform);
+      return LedgerReads.withAllStates(ledgers, SettingsShow::list);
     }
-    SubtreeId subtree = given.as(0, SubtreeId::new);
-    Ledgers ledgers = context.ledgers(platform);
-    return Reading.of(ledgers.session(subtree), state -> show(state, subtree));
+    SubtreeId subtree = given.parse(0, SubtreeId::new);
+    LedgerSessions ledgers = context.ledgers(platform);
+    return LedgerReads.withState(ledgers.session(subtree), state -> show(state, subtree));
   }
 
   private static CommandResult list(List<LedgerState> states) {
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/explain/Cause.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/explain/Cause.java
@@ -45,14 +45,14 @@
   QUARANTINED(story -> "It had crashed several backend servers and is not sent any more."),
   NOT_READY(story -> "The instance had no plan yet: it was starting.");
 
-  private final Function<RequestStory, String> sentence;
+  private final Function<RequestHistory, String> sentence;
 
-  Cause(Function<RequestStory, String> sentence) {
+  Cause(Function<RequestHistory, String> sentence) {
     this.sentence = sentence;
   }
 
   /** One sentence on why the request of {@code story} ended. */
-  static String of(RequestStory story) {
+  static String of(RequestHistory story) {
     String outcome = story.end().text("outcome");
     String name = outcome.toUpperCase(Locale.ROOT).replace('-', '_');
     for (Cause cause : values()) {
@@ -63,14 +63,14 @@
     return "It ended as %s: %s.".formatted(outcome, story.end().text("detail"));
   }
 
-  private static String noLease(RequestStory story) {
+  private static String noLease(RequestHistory story) {
     String customer = story.end().text("customer");
     String tokens = "The instance had too few tokens of %s at hand".formatted(customer);
     String needed = ": " + story.end().text("detail") + ".";
-    if (!story.lost().isEmpty()) {
+    if (!story.unreachableDependencies().isEmpty()) {
       return tokens
           + " and could not be granted more, as it did not reach "
-          + String.join(", ", story.lost())
+          + String.join(", ", story.unreachableDependencies())
           + needed;
     }
     long lost = story.accountNumber("lostByAll");
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/explain/Explanation.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/explain/Explanation.java
@@ -19,12 +19,12 @@
     List<String> events,
     int unreadableLines)
     implements Report {
-  static Explanation of(String request, RequestStory story, int unreadableLines) {
+  static Explanation of(String request, RequestHistory story, int unreadableLines) {
     return new Explanation(
         request,
         story.end().instance(),
         Cause.of(story),
-        story.beliefs().stream().map(Explanation::timed).toList(),
+        story.knownState().stream().map(Explanation::timed).toList(),
         story.lines().stream().map(Explanation::timed).toList(),
         unreadableLines);
   }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/explain/LogFiles.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/explain/LogFiles.java
@@ -50,7 +50,7 @@
 
   /** Explains how {@code request} ended; empty if the files don't say it. */
   public Optional<Explanation> explain(String request) {
-    return RequestStory.find(request, events)
+    return RequestHistory.find(request, events)
         .map(story -> Explanation.of(request, story, unreadable));
   }
 }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/explain/RequestStory.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/explain/RequestHistory.java
@@ -14,14 +14,14 @@
  * What the logs tell of one request, and of what its instance believed when it ended.
  *
  * @param lines of the request, in order of time
- * @param beliefs the newest line of each kind at the instance that ended it, before its end
+ * @param knownState the newest line of each kind at the instance that ended it, before its end
  * @param end how it ended
  */
-record RequestStory(List<EventLine> lines, List<EventLine> beliefs, EventLine end) {
+record RequestHistory(List<EventLine> lines, List<EventLine> knownState, EventLine end) {
   private static final String ENDED = "RequestEnded";
 
   /** Finds the story of {@code request}; empty if no line says how it ended. */
-  static Optional<RequestStory> find(String request, List<EventLine> all) {
+  static Optional<RequestHistory> find(String request, List<EventLine> all) {
     List<EventLine> sorted = new ArrayList<>(all);
     sorted.sort(Comparator.comparing(EventLine::time));
     List<EventLine> own =
@@ -29,10 +29,10 @@
     return own.stream()
         .filter(line -> line.event().equals(ENDED))
         .findFirst()
-        .map(end -> new RequestStory(own, beliefs(own, end, sorted), end));
+        .map(end -> new RequestHistory(own, knownState(own, end, sorted), end));
   }
 
-  private static List<EventLine> beliefs(
+  private static List<EventLine> knownState(
       List<EventLine> own, EventLine end, List<EventLine> sorted) {
     Set<String> servers = new HashSet<>();
     own.forEach(line -> servers.add(line.text("server")));
@@ -45,13 +45,13 @@
         // What an earlier process believed, this one didn't know.
         newest.clear();
       }
-      subject(line, end.text("customer"), servers).ifPresent(name -> newest.put(name, line));
+      stateKey(line, end.text("customer"), servers).ifPresent(name -> newest.put(name, line));
     }
     return newest.values().stream().sorted(Comparator.comparing(EventLine::time)).toList();
   }
 
   /** What a line is about, if the request rested on it; a later line on the same replaces it. */
-  private static Optional<String> subject(EventLine line, String customer, Set<String> servers) {
+  private static Optional<String> stateKey(EventLine line, String customer, Set<String> servers) {
     return switch (line.event()) {
       case "PlanInForce", "InstanceState" -> Optional.of(line.event());
       case "Dependency" -> Optional.of(line.event() + line.text("name"));
@@ -66,9 +66,9 @@
   }
 
   /** The dependencies that were lost when the request ended. */
-  List<String> lost() {
+  List<String> unreachableDependencies() {
     Map<String, Boolean> reachable = new HashMap<>();
-    for (EventLine belief : beliefs) {
+    for (EventLine belief : knownState) {
       if (belief.event().equals("Dependency")) {
         reachable.put(belief.text("name"), belief.fields().path("reachable").asBoolean());
       }
@@ -99,7 +99,7 @@
 
   /** A number of the customer's account as the instance last logged it; 0 if it didn't. */
   long accountNumber(String field) {
-    return beliefs.stream()
+    return knownState.stream()
         .filter(belief -> belief.event().equals("AccountLevel"))
         .mapToLong(belief -> belief.number(field))
         .findFirst()
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/fleet/AdminClient.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/fleet/AdminClient.java
@@ -38,7 +38,7 @@
   }
 
   /** Whether the instance refused the credential. */
-  public static boolean refused(HttpAnswer answer) {
+  public static boolean refusedCredential(HttpAnswer answer) {
     return answer.status() == UNAUTHORIZED || answer.status() == FORBIDDEN;
   }
 
@@ -47,27 +47,27 @@
    *
    * <p>An instance that isn't ready says so too.
    */
-  public CompletableFuture<FoldedTo> foldedTo(String address, StreamId stream) {
-    return http.begin(address, "GET", "/ready", token, timeout)
+  public CompletableFuture<FoldProgress> foldProgress(String address, StreamId stream) {
+    return http.start(address, "GET", "/ready", token, timeout)
         .handle((answer, failure) -> read(answer, failure, stream));
   }
 
-  private static FoldedTo read(
+  private static FoldProgress read(
       @Nullable HttpAnswer answer, @Nullable Throwable failure, StreamId stream) {
     if (answer == null) {
       String reason = failure == null ? "no answer" : String.valueOf(failure.getMessage());
-      return FoldedTo.unknown("was asked in vain: " + reason);
+      return FoldProgress.unknown("was asked in vain: " + reason);
     }
-    if (refused(answer)) {
-      return FoldedTo.unknown("refused the credential with status " + answer.status());
+    if (refusedCredential(answer)) {
+      return FoldProgress.unknown("refused the credential with status " + answer.status());
     }
     try {
       JsonNode offset = MAPPER.readTree(answer.body()).path("folded_to").path(stream.logName());
       return offset.canConvertToLong()
-          ? FoldedTo.known(offset.asLong())
-          : FoldedTo.unknown("doesn't say how far it is");
+          ? FoldProgress.known(offset.asLong())
+          : FoldProgress.unknown("doesn't say how far it is");
     } catch (IOException e) {
-      return FoldedTo.unknown("gave an answer that is no JSON");
+      return FoldProgress.unknown("gave an answer that is no JSON");
     }
   }
 }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/fleet/FoldedTo.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/fleet/FoldProgress.java
@@ -8,13 +8,13 @@
  * @param offset the last offset it is known to have folded; empty if nothing is known
  * @param note why no more is known; empty if the instance said so itself
  */
-public record FoldedTo(OptionalLong offset, String note) {
-  static FoldedTo known(long offset) {
-    return new FoldedTo(OptionalLong.of(offset), "");
+public record FoldProgress(OptionalLong offset, String note) {
+  static FoldProgress known(long offset) {
+    return new FoldProgress(OptionalLong.of(offset), "");
   }
 
-  static FoldedTo unknown(String note) {
-    return new FoldedTo(OptionalLong.empty(), note);
+  static FoldProgress unknown(String note) {
+    return new FoldProgress(OptionalLong.empty(), note);
   }
 
   /** Whether the record at {@code wanted} is known to have been folded. */
@@ -23,7 +23,7 @@
   }
 
   /** This, or what the instance's own records say if nothing else is known. */
-  FoldedTo orWritten(OptionalLong written) {
-    return offset.isPresent() ? this : new FoldedTo(written, note);
+  FoldProgress orElseRecorded(OptionalLong written) {
+    return offset.isPresent() ? this : new FoldProgress(written, note);
   }
 }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/fleet/HttpFetcher.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/fleet/HttpFetcher.java
@@ -18,7 +18,7 @@
   private static final byte[] NO_BODY = {};
 
   /** The client's own timeout ends a call; this only bounds the wait for that to be told. */
-  private static final Duration GRACE = Duration.ofSeconds(5);
+  private static final Duration COMPLETION_GRACE = Duration.ofSeconds(5);
 
   private final HttpClient client;
 
@@ -40,7 +40,7 @@
   }
 
   /** Begins a call, which ends within {@code timeout}, with {@code token} as the bearer token. */
-  CompletableFuture<HttpAnswer> begin(
+  CompletableFuture<HttpAnswer> start(
       String address, String method, String path, Optional<String> token, Duration timeout) {
     Map<String, String> headers = new HashMap<>();
     token.ifPresent(value -> headers.put("Authorization", "Bearer " + value));
@@ -50,9 +50,9 @@
   private HttpAnswer call(
       String address, String method, String path, Optional<String> token, Duration timeout)
       throws IOException {
-    CompletableFuture<HttpAnswer> answer = begin(address, method, path, token, timeout);
+    CompletableFuture<HttpAnswer> answer = start(address, method, path, token, timeout);
     try {
-      return answer.get(timeout.plus(GRACE).toMillis(), TimeUnit.MILLISECONDS);
+      return answer.get(timeout.plus(COMPLETION_GRACE).toMillis(), TimeUnit.MILLISECONDS);
     } catch (ExecutionException e) {
       throw new IOException(address + ": " + reason(e), e);
     } catch (TimeoutException e) {
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/fleet/InForceWatch.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/fleet/InForceWatch.java
@@ -17,7 +17,7 @@
 import org.teaseldeal.ledger.state.InstanceView;
 import org.teaseldeal.ledger.state.LedgerState;
 import org.teaseldeal.operator.fleet.PlatformList.Listing;
-import org.teaseldeal.operator.session.CatchUp;
+import org.teaseldeal.operator.session.CatchUpResult;
 import org.teaseldeal.operator.session.LedgerSession;
 
 /**
@@ -29,10 +29,10 @@
  * as a proof that needs no connection, from what its own later records say.
  */
 public final class InForceWatch {
-  private static final Duration PAUSE = Duration.ofMillis(100);
+  private static final Duration CHECK_INTERVAL = Duration.ofMillis(100);
 
   /** Longer than the platform's list lags, short enough not to wait for instances long dead. */
-  private static final Duration RECENT = Duration.ofSeconds(60);
+  private static final Duration RECENT_RECORD_AGE = Duration.ofSeconds(60);
 
   private final PlatformList list;
   private final AdminClient admin;
@@ -49,92 +49,98 @@
   }
 
   /** One live instance and how far it is. */
-  public record Sight(String instance, String incarnation, FoldedTo foldedTo) {}
+  public record InstanceProgress(String instance, String incarnation, FoldProgress progress) {}
 
   /** How far a record is in force. */
-  public record InForce(List<Sight> have, List<Sight> lag, Optional<String> unknown) {
-    public InForce {
-      have = List.copyOf(have);
-      lag = List.copyOf(lag);
+  public record InForceStatus(
+      List<InstanceProgress> inForce,
+      List<InstanceProgress> lagging,
+      Optional<String> listProblem) {
+    public InForceStatus {
+      inForce = List.copyOf(inForce);
+      lagging = List.copyOf(lagging);
     }
 
     /** Whether every live instance is known to have the record in force. */
     public boolean everywhere() {
-      return lag.isEmpty() && unknown.isEmpty();
+      return lagging.isEmpty() && listProblem.isEmpty();
     }
   }
 
   /** Asks until the record at {@code offset} is in force everywhere or {@code limit} is over. */
-  public InForce await(StreamId stream, long offset, Duration limit) {
+  public InForceStatus await(StreamId stream, long offset, Duration limit) {
     Instant deadline = clock.instant().plus(limit);
     while (true) {
-      InForce inForce = look(stream, offset);
-      if (inForce.everywhere() || !clock.instant().isBefore(deadline) || !pause()) {
+      InForceStatus inForce = check(stream, offset);
+      if (inForce.everywhere() || !clock.instant().isBefore(deadline) || !sleepBetweenChecks()) {
         return inForce;
       }
     }
   }
 
-  private InForce look(StreamId stream, long offset) {
-    Map<IncarnationId, InstanceView> joined = joined();
+  private InForceStatus check(StreamId stream, long offset) {
+    Map<IncarnationId, InstanceView> joined = recentlyJoined();
     return switch (list.read()) {
       case Listing.Unreachable(String detail) ->
-          new InForce(List.of(), List.of(), Optional.of(detail));
-      case Listing.Routers(List<ListedRouter> routers) -> look(routers, joined, stream, offset);
+          new InForceStatus(List.of(), List.of(), Optional.of(detail));
+      case Listing.Found(List<ListedInstance> routers) -> check(routers, joined, stream, offset);
     };
   }
 
-  private InForce look(
-      List<ListedRouter> routers,
+  private InForceStatus check(
+      List<ListedInstance> routers,
       Map<IncarnationId, InstanceView> joined,
       StreamId stream,
       long offset) {
     // All are asked at once: one that doesn't answer must not hold up what is known of others.
-    List<CompletableFuture<Sight>> asked = new ArrayList<>();
-    for (ListedRouter router : routers) {
-      OptionalLong written = written(joined.remove(router.incarnation()));
+    List<CompletableFuture<InstanceProgress>> asked = new ArrayList<>();
+    for (ListedInstance router : routers) {
+      OptionalLong written = recordedOffset(joined.remove(router.incarnation()));
       asked.add(
-          ask(router, stream, offset, written)
+          queryProgress(router, stream, offset, written)
               .thenApply(
                   folded ->
-                      new Sight(router.instance().name(), router.incarnation().value(), folded)));
+                      new InstanceProgress(
+                          router.instance().name(), router.incarnation().value(), folded)));
     }
-    List<Sight> sights = new ArrayList<>();
+    List<InstanceProgress> sights = new ArrayList<>();
     asked.forEach(sight -> sights.add(sight.join()));
-    joined.values().forEach(view -> sights.add(unlisted(view)));
-    Map<Boolean, List<Sight>> sorted =
-        sights.stream().collect(Collectors.partitioningBy(s -> s.foldedTo().reaches(offset)));
-    return new InForce(
+    joined.values().forEach(view -> sights.add(unlistedProgress(view)));
+    Map<Boolean, List<InstanceProgress>> sorted =
+        sights.stream().collect(Collectors.partitioningBy(s -> s.progress().reaches(offset)));
+    return new InForceStatus(
         sorted.getOrDefault(true, List.of()),
         sorted.getOrDefault(false, List.of()),
         Optional.empty());
   }
 
-  private CompletableFuture<FoldedTo> ask(
-      ListedRouter router, StreamId stream, long offset, OptionalLong written) {
-    FoldedTo byRecord = new FoldedTo(written, "has registered no admin address");
+  private CompletableFuture<FoldProgress> queryProgress(
+      ListedInstance router, StreamId stream, long offset, OptionalLong written) {
+    FoldProgress byRecord = new FoldProgress(written, "has registered no admin address");
     if (byRecord.reaches(offset)) {
-      return CompletableFuture.completedFuture(new FoldedTo(written, ""));
+      return CompletableFuture.completedFuture(new FoldProgress(written, ""));
     }
     return router
         .adminAddress()
-        .map(address -> admin.foldedTo(address, stream).thenApply(f -> f.orWritten(written)))
+        .map(
+            address ->
+                admin.foldProgress(address, stream).thenApply(f -> f.orElseRecorded(written)))
         .orElseGet(() -> CompletableFuture.completedFuture(byRecord));
   }
 
-  private static Sight unlisted(InstanceView view) {
-    return new Sight(
+  private static InstanceProgress unlistedProgress(InstanceView view) {
+    return new InstanceProgress(
         view.instance().name(),
         view.incarnation().value(),
-        new FoldedTo(
+        new FoldProgress(
             OptionalLong.of(view.foldedTo()), "joined, but isn't on the platform's list yet"));
   }
 
   /** Instances that joined the ledger, without those that neither are listed nor wrote lately. */
-  private Map<IncarnationId, InstanceView> joined() {
+  private Map<IncarnationId, InstanceView> recentlyJoined() {
     Map<IncarnationId, InstanceView> joined = new HashMap<>();
-    if (session.catchUp() instanceof CatchUp.Done(LedgerState state)) {
-      Instant recent = state.logTime().minus(RECENT);
+    if (session.catchUp() instanceof CatchUpResult.Done(LedgerState state)) {
+      Instant recent = state.logTime().minus(RECENT_RECORD_AGE);
       state.instances().stream()
           .filter(view -> view.lastRecordAt().isAfter(recent))
           .forEach(view -> joined.put(view.incarnation(), view));
@@ -142,13 +148,13 @@
     return joined;
   }
 
-  private static OptionalLong written(@Nullable InstanceView view) {
+  private static OptionalLong recordedOffset(@Nullable InstanceView view) {
     return view == null ? OptionalLong.empty() : OptionalLong.of(view.foldedTo());
   }
 
-  private static boolean pause() {
+  private static boolean sleepBetweenChecks() {
     try {
-      Thread.sleep(PAUSE.toMillis());
+      Thread.sleep(CHECK_INTERVAL.toMillis());
       return true;
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/fleet/ListedRouter.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/fleet/ListedInstance.java
@@ -10,7 +10,7 @@
  *
  * @param adminAddress {@code host:port} of its admin listener, if it registered one
  */
-public record ListedRouter(
+public record ListedInstance(
     InstanceId instance,
     IncarnationId incarnation,
     DataCentre dataCentre,
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/fleet/PlatformList.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/fleet/PlatformList.java
@@ -31,9 +31,9 @@
   /** Either the list or why it couldn't be read. */
   public sealed interface Listing {
     /** The entry instances listed, ordered by name. */
-    record Routers(List<ListedRouter> routers) implements Listing {
-      public Routers {
-        routers = List.copyOf(routers);
+    record Found(List<ListedInstance> instances) implements Listing {
+      public Found {
+        instances = List.copyOf(instances);
       }
     }
 
@@ -54,19 +54,19 @@
   }
 
   private static Listing parse(byte[] body) throws IOException {
-    List<ListedRouter> routers = new ArrayList<>();
+    List<ListedInstance> routers = new ArrayList<>();
     for (JsonNode entry : MAPPER.readTree(body).path("instances")) {
       if (entry.path("role").asText().equals("router")) {
-        routers.add(router(entry));
+        routers.add(listedInstance(entry));
       }
     }
     routers.sort((a, b) -> a.instance().compareTo(b.instance()));
-    return new Listing.Routers(routers);
+    return new Listing.Found(routers);
   }
 
-  private static ListedRouter router(JsonNode entry) throws IOException {
+  private static ListedInstance listedInstance(JsonNode entry) throws IOException {
     try {
-      return new ListedRouter(
+      return new ListedInstance(
           new InstanceId(entry.path("id").asText()),
           new IncarnationId(entry.path("incarnation").asText()),
           new DataCentre(entry.path("data_centre").asText()),
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/AttemptRecord.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/AttemptRecord.java
@@ -9,7 +9,7 @@
  * @param fingerprint the same for each attempt of a request
  * @param kind of request, such as {@code stream 400 ms}
  * @param arrived when its instance took it
- * @param beliefAge how old the belief was that decided it; negative if none did or it isn't known
+ * @param stateAge how old the belief was that decided it; negative if none did or it isn't known
  */
 record AttemptRecord(
     String fingerprint,
@@ -19,6 +19,6 @@
     String dataCentre,
     Instant arrived,
     Instant ended,
-    Verdict verdict,
+    AttemptOutcome outcome,
     LossCause cause,
-    Duration beliefAge) {}
+    Duration stateAge) {}
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/LogLines.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/LogReader.java
@@ -28,9 +28,9 @@
  * <p>A collector may have put the seconds since the start of the load and a name before each line.
  * Its clock is then taken for the instance's own, which may be set.
  */
-final class LogLines {
+final class LogReader {
   /** An event of an instance. */
-  record Line(Instant time, String instance, String event, JsonNode fields) {
+  record LogEntry(Instant time, String instance, String event, JsonNode fields) {
     String text(String field) {
       return fields.path(field).asText();
     }
@@ -43,17 +43,17 @@
   private static final String STDIN = "-";
 
   /** How many lines that can't be read are named; all are counted. */
-  private static final int MOST_NAMED = 10;
+  private static final int MAX_NAMED_UNREADABLE_LINES = 10;
 
-  private static final Pattern PREFIX = Pattern.compile("\\s*(-?\\d+\\.\\d+)\\s.*");
+  private static final Pattern COLLECTOR_PREFIX = Pattern.compile("\\s*(-?\\d+\\.\\d+)\\s.*");
   private static final ObjectReader READER = new ObjectMapper().readerFor(JsonNode.class);
 
-  private final Consumer<Line> consumer;
-  private final List<String> unreadable = new ArrayList<>();
+  private final Consumer<LogEntry> consumer;
+  private final List<String> unreadableLines = new ArrayList<>();
   private long read;
   private long unreadableCount;
 
-  LogLines(Consumer<Line> consumer) {
+  LogReader(Consumer<LogEntry> consumer) {
     this.consumer = consumer;
   }
 
@@ -68,8 +68,8 @@
   }
 
   /** The first of those, as file and line. */
-  List<String> unreadable() {
-    return unreadable;
+  List<String> unreadableLines() {
+    return unreadableLines;
   }
 
   /**
@@ -112,19 +112,19 @@
       number++;
       int start = line.indexOf("{\"time\"");
       if (start >= 0) {
-        take(name, number, line.substring(0, start), line.substring(start));
+        handle(name, number, line.substring(0, start), line.substring(start));
       }
     }
   }
 
-  private void take(String name, long number, String prefix, String json) {
-    Line line;
+  private void handle(String name, long number, String prefix, String json) {
+    LogEntry line;
     try {
       line = parse(prefix, json);
     } catch (JsonProcessingException | DateTimeException | IllegalArgumentException e) {
       unreadableCount++;
-      if (unreadable.size() < MOST_NAMED) {
-        unreadable.add(name + ", line " + number);
+      if (unreadableLines.size() < MAX_NAMED_UNREADABLE_LINES) {
+        unreadableLines.add(name + ", line " + number);
       }
       return;
     }
@@ -132,18 +132,18 @@
     consumer.accept(line);
   }
 
-  private static Line parse(String prefix, String json) throws JsonProcessingException {
+  private static LogEntry parse(String prefix, String json) throws JsonProcessingException {
     JsonNode fields = READER.readTree(json);
     String instance = fields.path("instance").asText();
     String event = fields.path("event").asText();
     if (instance.isEmpty() || event.isEmpty()) {
       throw new IllegalArgumentException("instance or event is missing");
     }
-    Matcher seconds = PREFIX.matcher(prefix);
+    Matcher seconds = COLLECTOR_PREFIX.matcher(prefix);
     Instant time =
         seconds.matches()
             ? Instant.EPOCH.plusNanos(Math.round(Double.parseDouble(seconds.group(1)) * 1e9))
             : Instant.parse(fields.path("time").asText());
-    return new Line(time, instance, event, fields);
+    return new LogEntry(time, instance, event, fields);
   }
 }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/Dimension.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/LossDimension.java
@@ -5,7 +5,7 @@
 import java.util.function.BiFunction;
 
 /** By what the losses are divided into columns. */
-public enum Dimension {
+public enum LossDimension {
   KIND((request, start) -> request.kind().isEmpty() ? "not known" : request.kind()),
   CUSTOMER((request, start) -> request.customer().isEmpty() ? "none" : request.customer()),
   SECOND(
@@ -15,7 +15,7 @@
 
   private final BiFunction<AttemptRecord, Instant, String> column;
 
-  Dimension(BiFunction<AttemptRecord, Instant, String> column) {
+  LossDimension(BiFunction<AttemptRecord, Instant, String> column) {
     this.column = column;
   }
 
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/LossPlot.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/LossPlot.java
@@ -14,11 +14,11 @@
 
 /** Draws the worth that was lost in each second, by cause. */
 public final class LossPlot {
-  private static final int WIDTH = 900;
-  private static final int HEIGHT = 420;
+  private static final int WIDTH_PIXELS = 900;
+  private static final int HEIGHT_PIXELS = 420;
 
   /** More lines than that can't be told apart. */
-  private static final int MOST_CAUSES = 8;
+  private static final int MAX_CAUSES = 8;
 
   private LossPlot() {}
 
@@ -30,8 +30,8 @@
   public static void write(LossReport report, String file) throws IOException {
     XYChart chart =
         new XYChartBuilder()
-            .width(WIDTH)
-            .height(HEIGHT)
+            .width(WIDTH_PIXELS)
+            .height(HEIGHT_PIXELS)
             .title("worth lost by cause")
             .xAxisTitle("seconds since the start of the load")
             .yAxisTitle("worth a second")
@@ -40,7 +40,7 @@
     chart.getStyler().setLegendPosition(LegendPosition.OutsideE);
     chart.getStyler().setDefaultSeriesRenderStyle(XYSeriesRenderStyle.Line);
     chart.getStyler().setYAxisMin(0.0);
-    for (LossReport.Row row : report.rows().stream().limit(MOST_CAUSES).toList()) {
+    for (LossReport.Row row : report.rows().stream().limit(MAX_CAUSES).toList()) {
       if (!row.bySecond().isEmpty()) {
         add(chart, row);
       }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/LossReport.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/LossReport.java
@@ -27,7 +27,7 @@
     List<String> unreadableLines)
     implements Report {
   /** Columns that fit beside each other; the rest is added up. */
-  private static final int MOST_COLUMNS = 10;
+  private static final int MAX_COLUMNS = 10;
 
   /** Requests and the worth that was lost with them. */
   public record Cell(long requests, double worth) {
@@ -83,7 +83,7 @@
       cells.add(row.all().text());
       cells.add(row.medianBeliefAgeMs() < 0 ? "" : "%.0f ms".formatted(row.medianBeliefAgeMs()));
       columns.forEach(column -> cells.add(row.cells().getOrDefault(column, Cell.NONE).text()));
-      table.row(cells.toArray());
+      table.addRow(cells.toArray());
     }
     StringBuilder text = new StringBuilder(table.toString());
     text.append(
@@ -109,7 +109,7 @@
         row -> row.cells().forEach((name, cell) -> worth.merge(name, cell.worth(), Double::sum)));
     return worth.entrySet().stream()
         .sorted((a, b) -> Double.compare(b.getValue(), a.getValue()))
-        .limit(MOST_COLUMNS)
+        .limit(MAX_COLUMNS)
         .map(Map.Entry::getKey)
         .sorted()
         .toList();
@@ -130,7 +130,7 @@
               .map(Row::all)
               .findFirst()
               .orElse(Cell.NONE);
-      table.row(
+      table.addRow(
           cause,
           then.text(),
           now.text(),
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/Owed.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/OwedRequests.java
@@ -16,9 +16,9 @@
  *
  * @param byKind by the kind's name in the logs, such as {@code stream 400 ms}
  */
-public record Owed(Map<String, Kind> byKind) {
+public record OwedRequests(Map<String, Kind> byKind) {
   /** Nothing is known; each request counts as one. */
-  public static final Owed UNKNOWN = new Owed(Map.of());
+  public static final OwedRequests UNKNOWN = new OwedRequests(Map.of());
 
   /**
    * One kind of request.
@@ -31,11 +31,11 @@
    */
   public record Kind(String name, long requests, long inTime, double worth, double lateWorth) {}
 
-  private static final Pattern LABEL = Pattern.compile("(.*) ([0-9.]+) ms");
+  private static final Pattern KIND_PATTERN = Pattern.compile("(.*) ([0-9.]+) ms");
 
-  private static final Kind EACH = new Kind("", 0, 0, 1, 0);
+  private static final Kind DEFAULT_KIND = new Kind("", 0, 0, 1, 0);
 
-  public Owed {
+  public OwedRequests {
     byKind = Map.copyOf(byKind);
   }
 
@@ -45,7 +45,7 @@
    *
    * @throws IOException with the file's name and the field, if it can't be read
    */
-  public static Owed read(String file) throws IOException {
+  public static OwedRequests read(String file) throws IOException {
     try {
       JsonNode root = new ObjectMapper().readTree(Files.readAllBytes(Path.of(file)));
       Map<String, Kind> kinds = new LinkedHashMap<>();
@@ -62,7 +62,7 @@
       if (kinds.isEmpty()) {
         throw new IllegalArgumentException("field kinds was empty, expected a kind of request");
       }
-      return new Owed(kinds);
+      return new OwedRequests(kinds);
     } catch (IOException | IllegalArgumentException e) {
       throw new IOException("file '%s' can't be read: %s".formatted(file, e.getMessage()), e);
     }
@@ -87,7 +87,7 @@
    * for the way to the callers; so the nearest of the same sort within a third of it is taken.
    */
   private Optional<Kind> kind(String label) {
-    Matcher sought = LABEL.matcher(label);
+    Matcher sought = KIND_PATTERN.matcher(label);
     if (byKind.containsKey(label) || !sought.matches()) {
       return Optional.ofNullable(byKind.get(label));
     }
@@ -95,7 +95,7 @@
     Kind nearest = null;
     double distance = aim / 3;
     for (Map.Entry<String, Kind> entry : byKind.entrySet()) {
-      Matcher known = LABEL.matcher(entry.getKey());
+      Matcher known = KIND_PATTERN.matcher(entry.getKey());
       if (known.matches() && known.group(1).equals(sought.group(1))) {
         double away = Math.abs(Double.parseDouble(known.group(2)) - aim);
         if (away <= distance) {
@@ -108,8 +108,8 @@
   }
 
   /** The worth that is lost with a request of {@code kind}. */
-  double lost(String kind, Verdict verdict) {
-    Kind known = kind(kind).orElse(EACH);
+  double lostWorth(String kind, AttemptOutcome verdict) {
+    Kind known = kind(kind).orElse(DEFAULT_KIND);
     return switch (verdict) {
       case IN_TIME -> 0;
       case LATE -> known.worth() - known.lateWorth();
@@ -118,7 +118,7 @@
   }
 
   /** The name of a kind for people. */
-  String name(String kind) {
+  String displayName(String kind) {
     return kind(kind).map(Kind::name).orElse(kind);
   }
 
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/RequestChains.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/RetryChains.java
@@ -12,16 +12,16 @@
  * Joins the attempts of callers to requests: one that was refused or failed may have come back, and
  * what became of it then counts.
  */
-final class RequestChains {
+final class RetryChains {
   /** A caller that comes back does so within its deadline. */
-  private static final Duration LONGEST_PAUSE = Duration.ofSeconds(15);
+  private static final Duration MAX_RETRY_GAP = Duration.ofSeconds(15);
 
   private final Map<String, List<AttemptRecord>> byFingerprint = new HashMap<>();
-  private final List<AttemptRecord> alone = new ArrayList<>();
+  private final List<AttemptRecord> withoutFingerprint = new ArrayList<>();
 
   void add(AttemptRecord attempt) {
     if (attempt.fingerprint().isEmpty()) {
-      alone.add(attempt);
+      withoutFingerprint.add(attempt);
     } else {
       byFingerprint.computeIfAbsent(attempt.fingerprint(), name -> new ArrayList<>(1)).add(attempt);
     }
@@ -29,13 +29,13 @@
 
   /** Tells each request: its first attempt, with the verdict on all of them. */
   void forEach(Consumer<AttemptRecord> requests) {
-    alone.forEach(requests);
+    withoutFingerprint.forEach(requests);
     for (List<AttemptRecord> attempts : byFingerprint.values()) {
       attempts.sort(Comparator.comparing(AttemptRecord::arrived));
       AttemptRecord request = attempts.getFirst();
       for (AttemptRecord next : attempts.subList(1, attempts.size())) {
-        if (comesBack(request, next)) {
-          request = joined(request, next);
+        if (isRetry(request, next)) {
+          request = merge(request, next);
         } else {
           requests.accept(request);
           request = next;
@@ -45,15 +45,16 @@
     }
   }
 
-  private static boolean comesBack(AttemptRecord before, AttemptRecord next) {
-    boolean unserved = before.verdict() == Verdict.REFUSED || before.verdict() == Verdict.FAILED;
-    return unserved && next.arrived().isBefore(before.ended().plus(LONGEST_PAUSE));
+  private static boolean isRetry(AttemptRecord before, AttemptRecord next) {
+    boolean unserved =
+        before.outcome() == AttemptOutcome.REFUSED || before.outcome() == AttemptOutcome.FAILED;
+    return unserved && next.arrived().isBefore(before.ended().plus(MAX_RETRY_GAP));
   }
 
-  private static AttemptRecord joined(AttemptRecord first, AttemptRecord next) {
-    Verdict verdict = first.verdict().better(next.verdict());
-    boolean served = verdict == Verdict.IN_TIME || verdict == Verdict.LATE;
-    AttemptRecord told = served && next.verdict() == Verdict.LATE ? next : first;
+  private static AttemptRecord merge(AttemptRecord first, AttemptRecord next) {
+    AttemptOutcome verdict = first.outcome().better(next.outcome());
+    boolean served = verdict == AttemptOutcome.IN_TIME || verdict == AttemptOutcome.LATE;
+    AttemptRecord told = served && next.outcome() == AttemptOutcome.LATE ? next : first;
     return new AttemptRecord(
         first.fingerprint(),
         first.kind().isEmpty() ? next.kind() : first.kind(),
@@ -64,6 +65,6 @@
         next.ended(),
         verdict,
         told.cause(),
-        told.beliefAge());
+        told.stateAge());
   }
 }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/report/LineDiff.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/report/LineDiff.java
@@ -35,18 +35,18 @@
     }
     // The table below grows with the product of the lines compared, so what both ends have in
     // common is left out of it.
-    keep(before.subList(0, head));
+    addCommon(before.subList(0, head));
     compare(before.subList(head, before.size() - tail), after.subList(head, after.size() - tail));
-    keep(before.subList(before.size() - tail, before.size()));
+    addCommon(before.subList(before.size() - tail, before.size()));
     return diff;
   }
 
-  private void keep(List<String> lines) {
+  private void addCommon(List<String> lines) {
     lines.forEach(line -> diff.add("  " + line));
   }
 
   private void compare(List<String> old, List<String> fresh) {
-    int[][] common = longestCommon(old, fresh);
+    int[][] common = commonSubsequenceLengths(old, fresh);
     int i = 0;
     int j = 0;
     while (i < old.size() || j < fresh.size()) {
@@ -62,7 +62,7 @@
   }
 
   /** For each pair of positions, how many lines the rests of both texts have in common. */
-  private static int[][] longestCommon(List<String> old, List<String> fresh) {
+  private static int[][] commonSubsequenceLengths(List<String> old, List<String> fresh) {
     int[][] common = new int[old.size() + 1][fresh.size() + 1];
     for (int i = old.size() - 1; i >= 0; i--) {
       for (int j = fresh.size() - 1; j >= 0; j--) {
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/report/TextTable.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/report/TextTable.java
@@ -6,7 +6,7 @@
 
 /** Rows of text in aligned columns. */
 public final class TextTable {
-  private static final String GAP = "  ";
+  private static final String COLUMN_GAP = "  ";
 
   private final List<List<String>> rows = new ArrayList<>();
 
@@ -16,7 +16,7 @@
   }
 
   /** Adds a row with one cell for each column. */
-  public TextTable row(Object... cells) {
+  public TextTable addRow(Object... cells) {
     List<String> row = new ArrayList<>();
     for (Object cell : cells) {
       row.add(String.valueOf(cell));
@@ -40,7 +40,9 @@
   private static String line(List<String> row, int[] widths) {
     StringBuilder line = new StringBuilder();
     for (int i = 0; i < widths.length; i++) {
-      line.append(row.get(i)).append(" ".repeat(widths[i] - row.get(i).length())).append(GAP);
+      line.append(row.get(i))
+          .append(" ".repeat(widths[i] - row.get(i).length()))
+          .append(COLUMN_GAP);
     }
     return line.toString().stripTrailing();
   }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/session/LogHttp.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/session/HttpLogClient.java
@@ -24,12 +24,12 @@
 import org.teaseldeal.net.HttpFailureException;
 
 /** Carries out the ledger's commands at the platform's log over HTTP. */
-final class LogHttp {
+final class HttpLogClient {
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final int OK = 200;
   private static final int GONE = 410;
   private static final int TOO_MANY_REQUESTS = 429;
-  private static final int MAX_RECORDS = 1_000;
+  private static final int MAX_RECORDS_PER_READ = 1_000;
 
   /** No longer than the ledger client waits before it tries again. */
   private static final Duration CALL_TIMEOUT = Duration.ofSeconds(2);
@@ -39,7 +39,7 @@
   private final HttpClient client;
   private final String address;
 
-  LogHttp(HttpClient client, String address) {
+  HttpLogClient(HttpClient client, String address) {
     this.client = client;
     this.address = address;
   }
@@ -49,13 +49,14 @@
 
   CompletableFuture<AppendResult> append(LogCommand.Append append) {
     return call("POST", path(append.stream()), append.payload())
-        .handle((answer, failure) -> appended(append, answer, failure));
+        .handle((answer, failure) -> appendResult(append, answer, failure));
   }
 
   /** Reads records, waiting up to {@code longPoll} for the first. */
   CompletableFuture<LogEvent> read(StreamId stream, long fromOffset, Duration longPoll) {
     String query =
-        "?from=%d&max=%d&wait_ms=%d".formatted(fromOffset, MAX_RECORDS, longPoll.toMillis());
+        "?from=%d&max=%d&wait_ms=%d"
+            .formatted(fromOffset, MAX_RECORDS_PER_READ, longPoll.toMillis());
     return call("GET", path(stream) + query, NO_BODY)
         .handle((answer, failure) -> read(stream, fromOffset, answer, failure));
   }
@@ -68,10 +69,10 @@
     return "/log/%s/records".formatted(stream.logName());
   }
 
-  private AppendResult appended(
+  private AppendResult appendResult(
       LogCommand.Append append, @Nullable HttpAnswer answer, @Nullable Throwable failure) {
     if (failure != null || answer == null) {
-      return new AppendResult(failed(append, reason(failure)), !notSent(failure));
+      return new AppendResult(failed(append, reason(failure)), !isNotSent(failure));
     }
     if (answer.status() != OK) {
       // Only a refusal for the append rate is known to come before the write; a 503 may come from
@@ -97,7 +98,7 @@
     return failure == null ? "no answer" : String.valueOf(failure.getMessage());
   }
 
-  private static boolean notSent(@Nullable Throwable failure) {
+  private static boolean isNotSent(@Nullable Throwable failure) {
     return failure instanceof HttpFailureException http && http.failure() == HttpFailure.NOT_SENT;
   }
 
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/session/LedgerSession.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/session/LedgerSession.java
@@ -29,30 +29,35 @@
  * <p>Reading goes on for as long as the log gives something new within the session's timeout, as a
  * long log is no outage. Writing ends with the timeout: on a log that others write to, there is
  * always something new, even while it refuses what is written here. An entry counts as written only
- * once it has been read back. After a {@link Submission.Unknown} the session is to be given up.
+ * once it has been read back. After a {@link SubmissionResult.Unknown} the session is to be given
+ * up.
  */
 public final class LedgerSession {
   /** How often the client is asked whether one of its own timeouts has passed. */
-  private static final Duration TICK = Duration.ofMillis(20);
+  private static final Duration COMPLETION_POLL_TIMEOUT = Duration.ofMillis(20);
 
-  private static final Duration LONG_POLL = Duration.ofMillis(200);
+  private static final Duration LONG_POLL_TIMEOUT = Duration.ofMillis(200);
 
   private final StreamId stream;
-  private final LogHttp log;
+  private final HttpLogClient log;
   private final Duration timeout;
   private final InstantSource clock;
   private final LedgerClient client;
   private final LinkedBlockingQueue<Completion> completions = new LinkedBlockingQueue<>();
   private final Map<Ticket, Outcome> outcomes = new LinkedHashMap<>();
-  private long reads;
-  private long readToEnd;
-  private int appendsUnderWay;
+  private long readsStarted;
+  private long lastReadThatReachedEnd;
+  private int appendsInFlight;
   private boolean mayBeWritten;
   private Instant lastProgress = Instant.EPOCH;
   private String lastFailure = "no answer in time";
 
   LedgerSession(
-      IncarnationId self, StreamId stream, LogHttp log, Duration timeout, InstantSource clock) {
+      IncarnationId self,
+      StreamId stream,
+      HttpLogClient log,
+      Duration timeout,
+      InstantSource clock) {
     this.stream = stream;
     this.log = log;
     this.timeout = timeout;
@@ -62,7 +67,7 @@
   }
 
   /** What came of a command: {@code read} counts the reads, zero for an append. */
-  private record Completion(LogEvent event, long read, boolean mayBeWritten) {}
+  private record Completion(LogEvent event, long readNumber, boolean mayBeWritten) {}
 
   /** The stream that this session is about. */
   public StreamId stream() {
@@ -70,30 +75,30 @@
   }
 
   /** Reads to the end of the log as it is now. */
-  public CatchUp catchUp() {
+  public CatchUpResult catchUp() {
     lastProgress = clock.instant();
-    long begun = reads;
-    while (readToEnd <= begun) {
-      if (givenUp() || !step(Duration.ZERO)) {
-        return new CatchUp.Unreachable(client.problem().orElse(lastFailure));
+    long begun = readsStarted;
+    while (lastReadThatReachedEnd <= begun) {
+      if (progressTimedOut() || !step(Duration.ZERO)) {
+        return new CatchUpResult.Unreachable(client.problem().orElse(lastFailure));
       }
     }
-    return new CatchUp.Done(client.state());
+    return new CatchUpResult.Done(client.state());
   }
 
   /** Writes entries as one record and waits until they have been read back. */
-  public Submission submit(List<Entry> entries) {
+  public SubmissionResult submit(List<Entry> entries) {
     Instant deadline = clock.instant().plus(timeout);
     mayBeWritten = false;
     List<Ticket> tickets = entries.stream().map(entry -> client.submit(entry, true)).toList();
     while (!outcomes.keySet().containsAll(tickets)) {
       if (!client.takeLostTickets().isEmpty()) {
-        return new Submission.Unknown("its record expired before it was read back");
+        return new SubmissionResult.Unknown("its record expired before it was read back");
       }
-      if (!clock.instant().isBefore(deadline) || !step(LONG_POLL)) {
-        return mayBeWritten || appendsUnderWay > 0
-            ? new Submission.Unknown(lastFailure)
-            : new Submission.NotWritten(lastFailure);
+      if (!clock.instant().isBefore(deadline) || !step(LONG_POLL_TIMEOUT)) {
+        return mayBeWritten || appendsInFlight > 0
+            ? new SubmissionResult.Unknown(lastFailure)
+            : new SubmissionResult.NotWritten(lastFailure);
       }
     }
     List<Outcome> found = new ArrayList<>();
@@ -103,22 +108,22 @@
         found.add(outcome);
       }
     }
-    return new Submission.ReadBack(found);
+    return new SubmissionResult.ReadBack(found);
   }
 
   /** The publications of {@code subtree} that the log still keeps. */
-  public KeptPublications publications(SubtreeId subtree) {
+  public PublicationsResult publications(SubtreeId subtree) {
     Publications publications = new Publications(subtree);
     lastProgress = clock.instant();
     long from = 0;
-    while (!givenUp()) {
+    while (!progressTimedOut()) {
       switch (log.read(stream, from, Duration.ZERO).join()) {
         case LogEvent.RecordsRead read -> {
-          noteProgress(read);
+          recordProgress(read);
           publications.add(read.records());
           from += read.records().size();
           if (from >= read.next()) {
-            return new KeptPublications.Found(publications);
+            return new PublicationsResult.Found(publications);
           }
         }
         case LogEvent.OffsetExpired expired -> from = expired.earliest();
@@ -127,14 +132,14 @@
         case LogEvent.AppendFailed failed -> {}
       }
     }
-    return new KeptPublications.Unreachable(lastFailure);
+    return new PublicationsResult.Unreachable(lastFailure);
   }
 
-  private boolean givenUp() {
+  private boolean progressTimedOut() {
     return !clock.instant().isBefore(lastProgress.plus(timeout));
   }
 
-  private void noteProgress(LogEvent.RecordsRead read) {
+  private void recordProgress(LogEvent.RecordsRead read) {
     if (!read.records().isEmpty()) {
       lastProgress = clock.instant();
     }
@@ -142,11 +147,12 @@
 
   /** Begins what the client wants done and takes one completion; false if interrupted. */
   private boolean step(Duration longPoll) {
-    client.poll().forEach(command -> begin(command, longPoll));
+    client.poll().forEach(command -> start(command, longPoll));
     try {
-      Completion completion = completions.poll(TICK.toMillis(), TimeUnit.MILLISECONDS);
+      Completion completion =
+          completions.poll(COMPLETION_POLL_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
       if (completion != null) {
-        take(completion);
+        handle(completion);
       }
       return true;
     } catch (InterruptedException e) {
@@ -156,46 +162,46 @@
     }
   }
 
-  private void begin(LogCommand command, Duration longPoll) {
+  private void start(LogCommand command, Duration longPoll) {
     switch (command) {
       case LogCommand.Append append -> {
-        appendsUnderWay++;
+        appendsInFlight++;
         log.append(append)
             .thenAccept(
                 done -> completions.add(new Completion(done.event(), 0, done.mayBeWritten())));
       }
       case LogCommand.Read read -> {
-        long number = ++reads;
+        long number = ++readsStarted;
         log.read(read.stream(), read.fromOffset(), longPoll)
             .thenAccept(event -> completions.add(new Completion(event, number, false)));
       }
     }
   }
 
-  private void take(Completion completion) {
-    if (completion.read() == 0) {
-      appendsUnderWay--;
+  private void handle(Completion completion) {
+    if (completion.readNumber() == 0) {
+      appendsInFlight--;
       mayBeWritten |= completion.mayBeWritten();
     }
-    noteFailure(completion.event());
+    recordFailure(completion.event());
     for (Settled settled : client.handle(completion.event())) {
       client.ticket(settled).ifPresent(ticket -> outcomes.put(ticket, settled.outcome()));
     }
     if (completion.event() instanceof LogEvent.RecordsRead read) {
-      noteProgress(read);
-      noteEnd(read, completion.read());
+      recordProgress(read);
+      recordEndOfLog(read, completion.readNumber());
     }
   }
 
-  private void noteEnd(LogEvent.RecordsRead read, long number) {
+  private void recordEndOfLog(LogEvent.RecordsRead read, long number) {
     // Only a read that began after the question was asked can answer it: an older one may have
     // been answered before the record that the operator has in mind was written.
     if (client.problem().isEmpty() && client.foldedTo() + 1 >= read.next()) {
-      readToEnd = Math.max(readToEnd, number);
+      lastReadThatReachedEnd = Math.max(lastReadThatReachedEnd, number);
     }
   }
 
-  private void noteFailure(LogEvent event) {
+  private void recordFailure(LogEvent event) {
     @Nullable String detail =
         switch (event) {
           case LogEvent.AppendFailed failed -> failed.detail();
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/session/Ledgers.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/session/LedgerSessions.java
@@ -14,11 +14,11 @@
 import org.teaseldeal.settings.SubtreeId;
 
 /** One session for each of the ledger's streams, all for one writer. */
-public final class Ledgers {
+public final class LedgerSessions {
   private final Streams streams;
   private final List<LedgerSession> sessions;
 
-  private Ledgers(Streams streams, List<LedgerSession> sessions) {
+  private LedgerSessions(Streams streams, List<LedgerSession> sessions) {
     this.streams = streams;
     this.sessions = List.copyOf(sessions);
   }
@@ -29,20 +29,21 @@
    * <p>The writer's id is drawn anew for each run: a second process under the same id would have
    * its records dropped as repeats.
    */
-  public static Ledgers open(
+  public static LedgerSessions open(
       HttpClient client,
       String address,
       Streams streams,
       Duration timeout,
       InstantSource clock,
       RandomGenerator random) {
-    IncarnationId self = writer(random);
+    IncarnationId self = newWriterId(random);
     List<LedgerSession> sessions = new ArrayList<>();
     for (int i = 0; i < streams.count(); i++) {
       sessions.add(
-          new LedgerSession(self, new StreamId(i), new LogHttp(client, address), timeout, clock));
+          new LedgerSession(
+              self, new StreamId(i), new HttpLogClient(client, address), timeout, clock));
     }
-    return new Ledgers(streams, sessions);
+    return new LedgerSessions(streams, sessions);
   }
 
   /** The session of the stream that {@code subtree} stands on. */
@@ -60,7 +61,7 @@
     return sessions;
   }
 
-  private static IncarnationId writer(RandomGenerator random) {
+  private static IncarnationId newWriterId(RandomGenerator random) {
     HexFormat hex = HexFormat.of();
     return new IncarnationId(
         "operator-" + hex.toHexDigits(random.nextLong()) + hex.toHexDigits(random.nextLong()));
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/session/Publications.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/session/Publications.java
@@ -18,7 +18,7 @@
   }
 
   void add(List<LogRecord> records) {
-    records.forEach(this::collect);
+    records.forEach(this::addPublicationsOf);
   }
 
   /** The offset of the record that put {@code revision} in force. */
@@ -35,7 +35,7 @@
    * log keeps records. Each one names the revision that it replaced, so the chain needs no verdict
    * on the others.
    */
-  public List<Publication> accepted(long current) {
+  public List<Publication> acceptedUpTo(long current) {
     List<Publication> accepted = new ArrayList<>();
     Publication publication = byRevision.get(current);
     while (publication != null) {
@@ -45,7 +45,7 @@
     return accepted;
   }
 
-  private void collect(LogRecord record) {
+  private void addPublicationsOf(LogRecord record) {
     if (!(BatchCodec.decode(record.payload()) instanceof BatchCodec.Decoded.Valid valid)) {
       return;
     }
--- a/teaseldeal-operator/src/test/java/org/teaseldeal/operator/AdminCommandTests.java
+++ b/teaseldeal-operator/src/test/java/org/teaseldeal/operator/AdminCommandTests.java
@@ -15,7 +15,7 @@
 
 class AdminCommandTests {
   private final FakeInstance instance = new FakeInstance(0);
-  private final Transcript transcript = new Transcript().name(instance.address(), "ADMIN");
+  private final Transcript transcript = new Transcript().replace(instance.address(), "ADMIN");
 
   AdminCommandTests() throws IOException {}
 
@@ -27,7 +27,7 @@
 
   @Test
   void dumpsAndDrainsAnInstance() {
-    transcript.set("TEASELDEAL_ADMIN_TOKEN", FakeInstance.TOKEN);
+    transcript.setVariable("TEASELDEAL_ADMIN_TOKEN", FakeInstance.TOKEN);
 
     transcript.run("dump", instance.address());
     transcript.run("dump", instance.address(), "--json");
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void readsTheCredentialFromAFile(@TempDir Path directory) throws IOException {
+  void readsCredentialFromFile(@TempDir Path directory) throws IOException {
     Path file = Files.writeString(directory.resolve("token"), FakeInstance.TOKEN + "\n");
 
     ExitStatus code = transcript.run("drain", instance.address(), "--admin-token-file", file + "");
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void saysWhyAnInstanceDidNotAnswer() {
+  void reportsWhyInstanceDidNotAnswer() {
     transcript.run("drain", instance.address());
     transcript.run("dump", "localhost:7001", "--json");
     instance.close();
--- a/teaseldeal-operator/src/test/java/org/teaseldeal/operator/BudgetCommandTests.java
+++ b/teaseldeal-operator/src/test/java/org/teaseldeal/operator/BudgetCommandTests.java
@@ -14,8 +14,8 @@
   private final FakePlatform platform = new FakePlatform();
   private final Transcript transcript =
       new Transcript()
-          .set("TEASELDEAL_PLATFORM", platform.address())
-          .name(platform.address(), "PLATFORM");
+          .setVariable("TEASELDEAL_PLATFORM", platform.address())
+          .replace(platform.address(), "PLATFORM");
 
   BudgetCommandTests() throws IOException {}
 
@@ -43,7 +43,7 @@
   // The record is on the log and its answer is lost. The command reads the record back, reports it
   // as written, and the copy that it may have appended meanwhile counts for nothing.
   @Test
-  void countsATopUpOnceWhenItsAnswerIsLost() {
+  void countsTopUpOnceWhenAppendResponseIsLost() {
     transcript.run("budget", "create", "auction", "100");
     platform.loseAnswers(1);
 
@@ -56,7 +56,7 @@
   // so, with its operation id. The operator repeats it under that id: it had been counted, the
   // repeat says so and adds nothing.
   @Test
-  void countsATopUpOnceWhenTheOperatorRepeatsItAfterAnOutage() {
+  void countsTopUpOnceWhenRepeatedWithSameOperationId() {
     transcript.run("budget", "create", "auction", "100");
     platform.beforeNextAppend(() -> platform.logDown(true));
     platform.loseAnswers(1);
@@ -76,7 +76,7 @@
   // The log has more records than can be read within the timeout, and gives some with each answer.
   // It is reachable, so the command reads on; an outage is a log that gives nothing new.
   @Test
-  void readsALongLogForAsLongAsItGetsOn() {
+  void keepsReadingLongLogWhileRecordsArrive() {
     for (int i = 0; i < 40; i++) {
       transcript.run("budget", "create", "team-" + i, "5");
     }
@@ -91,8 +91,8 @@
   // The log gives new records with every read, but refuses every append of this writer. That others
   // get on is no reason to try for ever.
   @Test
-  void givesUpWritingToALogThatOnlyOthersCanWriteTo() {
-    platform.busy();
+  void stopsAppendingAtTimeoutWhileOtherWritersProgress() {
+    platform.appendBeforeEachRead();
     platform.refuseAppends(1_000);
 
     assertEquals(
@@ -104,7 +104,7 @@
   // The records that created the budget have expired and no snapshot of them is on the log. The
   // command must not show a state that it can't know.
   @Test
-  void refusesToShowBudgetsOutOfAPartOfTheLog() {
+  void refusesToShowBudgetsWhenEarlyRecordsHaveExpired() {
     transcript.run("budget", "create", "auction", "100");
     transcript.run("budget", "create", "brokers", "100");
     platform.expireBefore(1);
--- a/teaseldeal-operator/src/test/java/org/teaseldeal/operator/CommandLineTests.java
+++ b/teaseldeal-operator/src/test/java/org/teaseldeal/operator/CommandLineTests.java
@@ -21,7 +21,7 @@
 
   @Test
   void printsHelpAndVersion() {
-    transcript.name(Program.version(), "VERSION");
+    transcript.replace(Program.version(), "VERSION");
     transcript.run("--help");
     transcript.run("--version");
 
@@ -29,7 +29,7 @@
   }
 
   @Test
-  void printsTheHelpOfEachCommand() {
+  void printsHelpOfEachCommand() {
     for (String command :
         new String[] {
           "settings check",
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void refusesWhatItDoesNotUnderstand() {
+  void rejectsInvalidCommandLines() {
     transcript.run();
     transcript.run("settings");
     transcript.run("frobnicate", "--json");
@@ -75,11 +75,11 @@
   }
 
   @Test
-  void checksAFileWithoutAPlatform(@TempDir Path directory) throws IOException {
+  void checksSettingsFileWithoutPlatform(@TempDir Path directory) throws IOException {
     Path good = Files.writeString(directory.resolve("good.toml"), "[lease]\nhorizon = \"5m\"\n");
     Path bad =
         Files.writeString(directory.resolve("bad.toml"), "[lease]\nhorizon = 5\nmax_part = 0.1\n");
-    transcript.name(directory.toString(), "DIR");
+    transcript.replace(directory.toString(), "DIR");
 
     assertEquals(ExitStatus.OK, transcript.run("settings", "check", "fleet", good.toString()));
     assertEquals(
--- a/teaseldeal-operator/src/test/java/org/teaseldeal/operator/ExplainCommandTests.java
+++ b/teaseldeal-operator/src/test/java/org/teaseldeal/operator/ExplainCommandTests.java
@@ -42,7 +42,7 @@
   void write() throws IOException {
     Files.writeString(directory.resolve("a.log"), FIRST_LOG);
     Files.writeString(directory.resolve("b.log"), SECOND_LOG);
-    transcript.name(directory.toString(), "LOGS");
+    transcript.replace(directory.toString(), "LOGS");
   }
 
   @AfterEach
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void saysTheCauseFromTheLogsOfSeveralInstances() {
+  void explainsRequestsFromLogsOfSeveralInstances() {
     for (String request : new String[] {"r1", "r2", "r3", "r4"}) {
       transcript.run("explain", request, file("a.log"), file("b.log"));
     }
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void saysWhatItCannotFindOrRead() {
+  void reportsMissingRequestsAndUnreadableFiles() {
     transcript.run("explain", "r2", file("a.log"));
     transcript.run("explain", "r2", file("b.log"), file("missing.log"));
     transcript.run("explain", "r2");
--- a/teaseldeal-operator/src/test/java/org/teaseldeal/operator/LeaseCommandTests.java
+++ b/teaseldeal-operator/src/test/java/org/teaseldeal/operator/LeaseCommandTests.java
@@ -20,8 +20,8 @@
   private final FakePlatform platform = new FakePlatform();
   private final Transcript transcript =
       new Transcript()
-          .set("TEASELDEAL_PLATFORM", platform.address())
-          .name(platform.address(), "PLATFORM");
+          .setVariable("TEASELDEAL_PLATFORM", platform.address())
+          .replace(platform.address(), "PLATFORM");
 
   LeaseCommandTests() throws IOException {}
 
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void showsInstancesAndWhatTheyHold() {
+  void showsInstancesAndTheirLeases() {
     platform.list("a", "run-a", "127.0.0.1:7001");
     platform.list("c", "run-c", "");
 
@@ -54,7 +54,7 @@
   // Instance b died with 200 tokens under its lease. Nobody can tell which of them it spent, so the
   // operator can only have them written off, and only with the platform's word that it is gone.
   @Test
-  void writesOffWhatADeadInstanceHeldOnceItsEndIsConfirmed() {
+  void writesOffLeasesOfDeadInstanceOnceConfirmed() {
     platform.list("a", "run-a", "");
     platform.list("b", "run-b", "");
 
@@ -71,7 +71,7 @@
 
   // The answer to the retirement is lost and the log goes down. The repeat finds it done.
   @Test
-  void retiresOnceWhenTheAnswerIsLost() {
+  void retiresOnceWhenAppendResponseIsLost() {
     platform.beforeNextAppend(() -> platform.logDown(true));
     platform.loseAnswers(1);
 
@@ -85,7 +85,7 @@
   }
 
   @Test
-  void changesNothingWhileThePlatformsListCannotBeRead() {
+  void changesNothingWhilePlatformListIsUnreadable() {
     platform.listDown(true);
 
     assertEquals(
--- a/teaseldeal-operator/src/test/java/org/teaseldeal/operator/LossesCommandTests.java
+++ b/teaseldeal-operator/src/test/java/org/teaseldeal/operator/LossesCommandTests.java
@@ -16,10 +16,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.teaseldeal.cli.ExitStatus;
-import org.teaseldeal.operator.losses.Dimension;
-import org.teaseldeal.operator.losses.LossCount;
+import org.teaseldeal.operator.losses.LossCounter;
+import org.teaseldeal.operator.losses.LossDimension;
 import org.teaseldeal.operator.losses.LossReport;
-import org.teaseldeal.operator.losses.Owed;
+import org.teaseldeal.operator.losses.OwedRequests;
 
 class LossesCommandTests {
   private static final String STARTING = "0.0|InstanceState|'state':'starting','detail':'hall-a'";
@@ -63,7 +63,7 @@
         "limit # # quarantined 422",
         "caller-left # # caller-gone 0",
       })
-  void tellsTheCause(String cause, String events, String end) throws IOException {
+  void attributesLossToCause(String cause, String events, String end) throws IOException {
     String[] outcome = end.split(" ");
     write(
         "a.log",
@@ -74,35 +74,35 @@
             + "'request':'r','customer':'c','outcome':'%s','status':%s"
                 .formatted(outcome[0], outcome[1])
             + ",'took_ms':1000.0,'kind':'stream','aim_ms':400.0,'fingerprint':'f'");
-    assertEquals(List.of(cause), causes(count(Dimension.KIND)));
+    assertEquals(List.of(cause), causes(count(LossDimension.KIND)));
   }
 
   /** A process that is killed writes no end of what it had. */
   @Test
-  void countsWhatEndedWithItsProcess() throws IOException {
+  void countsRequestsOpenWhenProcessEnded() throws IOException {
     write(
         "a.log",
         STARTING + ";1.0|Placed|'request':'r','fingerprint':'f';3.0" + STARTING.substring(3));
-    assertEquals(List.of("instance-ended"), causes(count(Dimension.KIND)));
+    assertEquals(List.of("instance-ended"), causes(count(LossDimension.KIND)));
   }
 
   /** A caller that was refused and came back got its answer elsewhere: nothing is lost. */
   @Test
-  void countsARequestOnceThatCameBack() throws IOException {
+  void countsRetriedRequestOnce() throws IOException {
     write(
         "a.log",
         "2.0|RequestEnded|'request':'r','outcome':'draining','status':503,'fingerprint':'f'");
     write(
         "b.log",
         "2.5|RequestEnded|'request':'s','outcome':'answered','status':200,'fingerprint':'f'");
-    LossReport report = count(Dimension.KIND);
+    LossReport report = count(LossDimension.KIND);
     assertEquals(List.of(), causes(report));
     assertEquals(1, report.answeredInTime());
   }
 
   /** What callers saw and no instance did is a row of its own, so that the rows add up. */
   @Test
-  void addsUpToWhatWasOwed() throws IOException {
+  void addsRowForOwedRequestsMissingFromLogs() throws IOException {
     write(
         "a.log",
         "2.0|RequestEnded|'request':'r','outcome':'draining','status':503,'fingerprint':'f'");
@@ -112,11 +112,11 @@
         {"kinds":[{"kind":"stream 400 ms","name":"draft","requests":10,"in_time":7,"worth":2.0,"late_worth":0.5}]}
         """);
     LossReport report =
-        LossCount.of(
+        LossCounter.of(
             List.of(directory.resolve("a.log").toString()),
             InputStream.nullInputStream(),
-            Owed.read(directory.resolve("owed.json").toString()),
-            Dimension.KIND);
+            OwedRequests.read(directory.resolve("owed.json").toString()),
+            LossDimension.KIND);
     assertEquals(3, report.rows().stream().mapToLong(row -> row.all().requests()).sum());
     assertTrue(causes(report).contains("not-seen"), causes(report).toString());
   }
@@ -125,7 +125,7 @@
    * Guards against worth that isn't counted as the routes' aims leave time for the callers' way.
    */
   @Test
-  void findsTheKindWhoseAimIsNearest() throws IOException {
+  void matchesOwedKindWithNearestLatencyTarget() throws IOException {
     write("a.log", "2.0|RequestEnded|" + ended("r", "draining"));
     Files.writeString(
         directory.resolve("owed.json"),
@@ -136,11 +136,11 @@
           {"kind":"idempotent 400 ms","name":"read","requests":0,"in_time":0,"worth":9.0,"late_worth":0}]}
         """);
     LossReport report =
-        LossCount.of(
+        LossCounter.of(
             List.of(directory.resolve("a.log").toString()),
             InputStream.nullInputStream(),
-            Owed.read(directory.resolve("owed.json").toString()),
-            Dimension.KIND);
+            OwedRequests.read(directory.resolve("owed.json").toString()),
+            LossDimension.KIND);
     assertEquals(2.0, report.rows().getFirst().all().worth());
     assertEquals(Set.of("draft"), report.rows().getFirst().cells().keySet());
   }
@@ -157,7 +157,7 @@
             + ended("r", "no-lease")
             + ";2.1|RequestEnded|"
             + ended("s", "draining"));
-    transcript.name(directory.toString(), "LOGS");
+    transcript.replace(directory.toString(), "LOGS");
     transcript.run("losses", now.toString(), "--plot", directory.resolve("plot.svg").toString());
     transcript.run("losses", now.toString(), "--by", "second");
     transcript.run("losses", now.toString(), "--against", before.toString());
@@ -167,10 +167,10 @@
   }
 
   @Test
-  void saysWhatItCannotRead() throws IOException {
+  void reportsUnreadableInput() throws IOException {
     write("a.log", "");
     Files.writeString(directory.resolve("owed.json"), "{\"kinds\":[{\"kind\":\"stream\"}]}");
-    transcript.name(directory.toString(), "LOGS");
+    transcript.replace(directory.toString(), "LOGS");
     String log = directory.resolve("a.log").toString();
     assertEquals(ExitStatus.WRONG_COMMAND_LINE, transcript.run("losses", log));
     transcript.run("losses");
@@ -185,9 +185,9 @@
         .formatted(request, outcome, request);
   }
 
-  private LossReport count(Dimension by) throws IOException {
-    return LossCount.of(
-        List.of(directory.toString()), InputStream.nullInputStream(), Owed.UNKNOWN, by);
+  private LossReport count(LossDimension by) throws IOException {
+    return LossCounter.of(
+        List.of(directory.toString()), InputStream.nullInputStream(), OwedRequests.UNKNOWN, by);
   }
 
   private static List<String> causes(LossReport report) {
--- a/teaseldeal-operator/src/test/java/org/teaseldeal/operator/SettingsCommandTests.java
+++ b/teaseldeal-operator/src/test/java/org/teaseldeal/operator/SettingsCommandTests.java
@@ -38,10 +38,10 @@
     shortFile = Files.writeString(directory.resolve("short.toml"), SHORT).toString();
     longFile = Files.writeString(directory.resolve("long.toml"), LONG).toString();
     transcript
-        .set("TEASELDEAL_PLATFORM", platform.address())
-        .set("TEASELDEAL_ADMIN_TOKEN", FakeInstance.TOKEN)
-        .name(directory.toString(), "DIR")
-        .name(platform.address(), "PLATFORM");
+        .setVariable("TEASELDEAL_PLATFORM", platform.address())
+        .setVariable("TEASELDEAL_ADMIN_TOKEN", FakeInstance.TOKEN)
+        .replace(directory.toString(), "DIR")
+        .replace(platform.address(), "PLATFORM");
   }
 
   @AfterEach
@@ -69,7 +69,7 @@
   }
 
   @Test
-  void warnsOfServicesWhosePoolTheFleetDoesNotHave() throws IOException {
+  void warnsOfServicesWithoutMatchingPool() throws IOException {
     Path team =
         Files.writeString(
             directory.resolve("team.toml"),
@@ -93,11 +93,11 @@
   }
 
   @Nested
-  class Races {
+  class ConcurrentPublications {
     // Anna publishes on the revision that she read; just before her append reaches the log, Boris's
     // does. The log's order decides: his is in force, hers is refused, and she is told by whom.
     @Test
-    void haveOneWinnerAndALoserWhoIsToldByWhom() {
+    void laterAppendIsRefusedAndNamesWinner() {
       transcript.run("settings", "publish", "fleet", shortFile);
       platform.beforeNextAppend(() -> publish("operator-of-boris", 1, "boris", LONGER));
 
@@ -108,7 +108,7 @@
     // The file was based on revision 1, and 2 came into force since. The operator must not undo
     // what she hasn't seen, so the publication is refused.
     @Test
-    void refuseATextThatWasBasedOnAnOlderRevision() {
+    void outdatedBaseRevisionIsRefused() {
       publish("operator-of-boris", 0, "boris", SHORT);
       publish("operator-of-carla", 1, "carla", LONG);
 
@@ -120,11 +120,11 @@
   }
 
   @Nested
-  class LostAnswers {
+  class LostAppendResponses {
     // The log takes the record and the connection breaks before its answer. The command reads its
     // record back and reports it, and the repeat with which it asked changes nothing.
     @Test
-    void areResolvedByReadingTheRecordBack() {
+    void areResolvedByReadingRecordBack() {
       platform.loseAnswers(1);
 
       assertEquals(
@@ -135,7 +135,7 @@
     // The operator repeats a publication that had taken effect: the same text is in force, so
     // nothing is written and nobody is told of a race with herself.
     @Test
-    void makeNoHarmWhenTheOperatorRepeatsThePublication() {
+    void allowRepeatingPublicationWithoutWritingAgain() {
       transcript.run("settings", "publish", "fleet", shortFile, "--base", "0");
       int written = platform.recordCount();
 
@@ -151,14 +151,14 @@
     // One instance has folded the record, one hasn't, one refuses to say, one can't be asked and
     // one has joined but isn't listed yet: whoever isn't known to have it in force is named.
     @Test
-    void thatLagAreNamed() throws IOException {
+    void laggingAreNamed() throws IOException {
       try (FakeInstance quick = new FakeInstance(100);
           FakeInstance slow = new FakeInstance(0)) {
         platform.write("run-new", join("new"));
         platform.list("quick", "run-quick", quick.address());
         platform.list("slow", "run-slow", slow.address());
         platform.list("silent", "run-silent", "");
-        transcript.name(quick.address(), "QUICK").name(slow.address(), "SLOW");
+        transcript.replace(quick.address(), "QUICK").replace(slow.address(), "SLOW");
 
         assertEquals(
             ExitStatus.INCOMPLETE,
@@ -171,7 +171,7 @@
     // An instance that tells nobody how far it is writes a later record, which says that it had
     // folded the publication before.
     @Test
-    void areKnownToHaveItInForceByTheirLaterRecords() {
+    void laterRecordsProveThatPublicationIsInForce() {
       platform.write("run-silent", join("silent"));
       platform.list("silent", "run-silent", "");
       transcript.run("settings", "publish", "fleet", shortFile, "--wait", "0ms");
@@ -185,7 +185,7 @@
     // Two instances are frozen: their connections open and nothing ever comes back. Both are asked
     // at once and given up after the same second, and the one that answers is still reported.
     @Test
-    void thatAreFrozenDoNotHideTheOthers() throws IOException {
+    void frozenDoNotHideOthers() throws IOException {
       try (FakeInstance quick = new FakeInstance(100);
           FakeInstance frozen = new FakeInstance(100);
           FakeInstance frozenToo = new FakeInstance(100)) {
@@ -203,10 +203,12 @@
     }
 
     @Test
-    void thatRefuseTheCredentialAreNamed() throws IOException {
+    void refusingCredentialAreNamed() throws IOException {
       try (FakeInstance instance = new FakeInstance(100)) {
         platform.list("quick", "run-quick", instance.address());
-        transcript.set("TEASELDEAL_ADMIN_TOKEN", "guess").name(instance.address(), "ADMIN");
+        transcript
+            .setVariable("TEASELDEAL_ADMIN_TOKEN", "guess")
+            .replace(instance.address(), "ADMIN");
 
         assertEquals(
             ExitStatus.INCOMPLETE,
@@ -219,7 +221,7 @@
   @Nested
   class Outages {
     @Test
-    void beforeTheStartSayThatNothingWasWritten() {
+    void beforeReadReportNothingWritten() {
       platform.logDown(true);
 
       assertEquals(
@@ -231,7 +233,7 @@
     // The log goes down between the reading and the append. It answers 503, which may also come
     // after a write took effect, so the command must not say that nothing was written.
     @Test
-    void duringTheAppendSayThatItIsNotKnown() {
+    void duringAppendReportUnknownOutcome() {
       platform.beforeNextAppend(() -> platform.logDown(true));
       platform.loseAnswers(1);
 
@@ -243,7 +245,7 @@
 
     // Appends are refused for their rate for as long as the command tries: none of them was taken.
     @Test
-    void ofTheAppendRateSayThatNothingWasWritten() {
+    void ofAppendRateReportNothingWritten() {
       platform.refuseAppends(1_000);
 
       assertEquals(
@@ -253,7 +255,7 @@
     }
 
     @Test
-    void ofTheListAloneSayThatItIsPublished() {
+    void ofPlatformListReportPublished() {
       platform.listDown(true);
 
       assertEquals(
--- a/teaseldeal-operator/src/test/java/org/teaseldeal/operator/Transcript.java
+++ b/teaseldeal-operator/src/test/java/org/teaseldeal/operator/Transcript.java
@@ -19,18 +19,18 @@
   private final HttpClient http = new HttpClient(HttpClientConfig.defaults());
   private final SplittableRandom random = new SplittableRandom(4711);
   private final Map<String, String> environment = new HashMap<>(Map.of("USER", "anna"));
-  private final Map<String, String> names = new LinkedHashMap<>();
-  private final StringBuilder lines = new StringBuilder();
+  private final Map<String, String> replacements = new LinkedHashMap<>();
+  private final StringBuilder output = new StringBuilder();
 
   /** Sets an environment variable. */
-  Transcript set(String variable, String value) {
+  Transcript setVariable(String variable, String value) {
     environment.put(variable, value);
     return this;
   }
 
   /** Writes {@code name} wherever {@code text}, which differs from run to run, is seen. */
-  Transcript name(String text, String name) {
-    names.put(text, name);
+  Transcript replace(String text, String name) {
+    replacements.put(text, name);
     return this;
   }
 
@@ -41,22 +41,22 @@
     PrintStream errStream = new PrintStream(err, true, StandardCharsets.UTF_8);
     CommandContext context =
         new CommandContext(environment, InstantSource.system(), random, http, errStream::println);
-    Operator operator =
-        new Operator(context, new PrintStream(out, true, StandardCharsets.UTF_8), errStream);
+    CommandRunner operator =
+        new CommandRunner(context, new PrintStream(out, true, StandardCharsets.UTF_8), errStream);
     ExitStatus code = operator.run(arguments);
-    lines.append("$ teaseldeal-operator ").append(String.join(" ", arguments)).append('\n');
-    lines.append(out.toString(StandardCharsets.UTF_8));
+    output.append("$ teaseldeal-operator ").append(String.join(" ", arguments)).append('\n');
+    output.append(out.toString(StandardCharsets.UTF_8));
     err.toString(StandardCharsets.UTF_8)
         .lines()
-        .forEach(line -> lines.append("! ").append(line).append('\n'));
-    lines.append("[exit ").append(code.code()).append("]\n\n");
+        .forEach(line -> output.append("! ").append(line).append('\n'));
+    output.append("[exit ").append(code.code()).append("]\n\n");
     return code;
   }
 
   /** What was seen so far. */
   String text() {
-    String text = lines.toString();
-    for (Map.Entry<String, String> name : names.entrySet()) {
+    String text = output.toString();
+    for (Map.Entry<String, String> name : replacements.entrySet()) {
       text = text.replace(name.getKey(), name.getValue());
     }
     return text;
--- a/teaseldeal-operator/src/test/java/org/teaseldeal/operator/fake/FakePlatform.java
+++ b/teaseldeal-operator/src/test/java/org/teaseldeal/operator/fake/FakePlatform.java
@@ -27,7 +27,7 @@
 public final class FakePlatform implements AutoCloseable {
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final Instant FIRST_RECORD = Instant.parse("2026-12-02T08:00:00Z");
-  private static final Duration POLL = Duration.ofMillis(10);
+  private static final Duration LONG_POLL_DELAY = Duration.ofMillis(10);
 
   private final List<byte[]> records = new ArrayList<>();
   private final Map<String, ObjectNode> instances = new HashMap<>();
@@ -38,9 +38,9 @@
   private boolean listDown;
   private int answersToLose;
   private int appendsToRefuse;
-  private int maxPage = Integer.MAX_VALUE;
+  private int maxRecordsPerRead = Integer.MAX_VALUE;
   private Duration readDelay = Duration.ZERO;
-  private boolean busy;
+  private boolean appendBeforeEachRead;
   private Runnable beforeNextAppend = () -> {};
 
   /** Starts it. */
@@ -81,12 +81,12 @@
   /** Answers each read after {@code delay}, with at most {@code max} records. */
   public synchronized void readSlowly(Duration delay, int max) {
     readDelay = delay;
-    maxPage = max;
+    maxRecordsPerRead = max;
   }
 
   /** Lets another writer append a record before each read is answered. */
-  public synchronized void busy() {
-    busy = true;
+  public synchronized void appendBeforeEachRead() {
+    appendBeforeEachRead = true;
   }
 
   /** Drops all records before {@code offset}. */
@@ -138,7 +138,7 @@
     } else if (log) {
       read(exchange, query, true);
     } else if (query.path().equals("/instances")) {
-      listing(exchange);
+      respondWithList(exchange);
     } else {
       exchange.respond(404, Map.of(), new byte[0]);
     }
@@ -170,10 +170,10 @@
       exchange.respond(503, Map.of(), new byte[0]);
       return;
     }
-    if (busy) {
+    if (appendBeforeEachRead) {
       write("another", new Entry.ReleaseClaim(new ClaimKey("key")));
     }
-    Duration delay = wait && from == records.size() ? POLL : readDelay;
+    Duration delay = wait && from == records.size() ? LONG_POLL_DELAY : readDelay;
     if (mayWait && !delay.isZero()) {
       NetRuntime.group()
           .schedule(() -> read(exchange, query, false), delay.toMillis(), TimeUnit.MILLISECONDS);
@@ -186,7 +186,7 @@
       return;
     }
     ArrayNode page = body.putArray("records");
-    int end = (int) Math.min(records.size(), (long) from + maxPage);
+    int end = (int) Math.min(records.size(), (long) from + maxRecordsPerRead);
     for (int offset = from; offset < end; offset++) {
       page.addObject()
           .put("offset", offset)
@@ -200,7 +200,7 @@
     return query.parameters().getOrDefault(name, List.of("0")).getFirst();
   }
 
-  private void listing(HttpExchange exchange) {
+  private void respondWithList(HttpExchange exchange) {
     ObjectNode body = MAPPER.createObjectNode().put("as_of", FIRST_RECORD.toString());
     body.putArray("instances").addAll(instances.values());
     respond(exchange, 200, body);
