--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/CommandLine.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/CommandLine.java
@@ -30,7 +30,7 @@
 import org.teaseldeal.operator.command.SettingsPublish;
 import org.teaseldeal.operator.command.SettingsShow;
 
-/** Finds the command that a command line names, with its options filled in. */
+/** Parses a command line into the command that it names, with its options filled in. */
 final class CommandLine {
   static final String PROGRAM = "teaseldeal-operator";
 
@@ -38,19 +38,19 @@
 
   private final Map<String, Command> commands = new LinkedHashMap<>();
 
-  /** What a command line asks for. */
+  /** The result of parsing a command line. */
   sealed interface ParseResult {
-    /** A command. */
+    /** The command line names a command, which is to be run. */
     record RunCommand(String name, Command command) implements ParseResult {}
 
-    /** A text to print, such as help. */
+    /** The command line asks for a text to be printed, such as the help. */
     record PrintText(String text) implements ParseResult {}
 
-    /** Something that isn't understood. */
+    /** The command line is invalid; {@code message} says why. */
     record Invalid(String message) implements ParseResult {}
   }
 
-  /** The options of the program itself. */
+  /** The options that are valid without a command. */
   private static final class ProgramOptions {
     @Parameter(names = "--help", description = "Print this help", help = true)
     private boolean help;
@@ -81,8 +81,8 @@
     for (Map.Entry<String, Command> entry : commands.entrySet()) {
       List<String> words = List.of(entry.getKey().split(" "));
       if (startsWith(arguments, words)) {
-        String[] rest = Arrays.copyOfRange(arguments, words.size(), arguments.length);
-        return parseCommand(entry.getKey(), entry.getValue(), rest);
+        String[] remaining = Arrays.copyOfRange(arguments, words.size(), arguments.length);
+        return parseCommand(entry.getKey(), entry.getValue(), remaining);
       }
     }
     return parseProgram(arguments);
@@ -93,10 +93,10 @@
         && Arrays.asList(arguments).subList(0, words.size()).equals(words);
   }
 
-  private static ParseResult parseCommand(String name, Command command, String... rest) {
+  private static ParseResult parseCommand(String name, Command command, String... remaining) {
     JCommander parser = parser(PROGRAM + " " + name, command);
     try {
-      parser.parse(rest);
+      parser.parse(remaining);
     } catch (ParameterException e) {
       return new ParseResult.Invalid(errorMessage(e, name));
     }
@@ -127,12 +127,12 @@
     if (options.version) {
       return new ParseResult.PrintText(PROGRAM + " " + Program.version());
     }
-    String given = unknown.isEmpty() ? "nothing" : "'%s'".formatted(String.join(" ", unknown));
+    String actual = unknown.isEmpty() ? "missing" : "'%s'".formatted(String.join(" ", unknown));
     return new ParseResult.Invalid(
         errorMessage(
             new ParameterException(
                 "command was %s, expected one of: %s"
-                    .formatted(given, String.join(", ", commands.keySet()))),
+                    .formatted(actual, String.join(", ", commands.keySet()))),
             ""));
   }
 
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/CommandRunner.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/CommandRunner.java
@@ -12,8 +12,8 @@
 /**
  * Runs one command line.
  *
- * <p>What a command has to say goes to {@code out} if it did what it was asked to, and to {@code
- * err} otherwise; JSON always goes to {@code out}, so that programs find it in one place.
+ * <p>A text report goes to {@code out} if the command succeeded and to {@code err} otherwise. A
+ * JSON report always goes to {@code out}, so that programs find it in one place.
  */
 final class CommandRunner {
   private final CommandContext context;
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/Main.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/Main.java
@@ -9,9 +9,9 @@
 import org.teaseldeal.net.HttpClientConfig;
 import org.teaseldeal.operator.command.CommandContext;
 
-/** The operator's command line. */
+/** The entry point of the operator's command line. */
 public final class Main {
-  /** All programs share one class path, so each names its own configuration of logs. */
+  /** All programs share one class path, so each program sets its own logging configuration file. */
   private static final String LOG_CONFIGURATION = "tinylog-operator.properties";
 
   private Main() {}
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/AdminCall.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/AdminCall.java
@@ -11,7 +11,7 @@
 import org.teaseldeal.operator.fleet.AdminClient;
 import org.teaseldeal.operator.report.CommandResult;
 
-/** A call to one instance's admin listener. */
+/** A command that calls the admin listener of one instance. */
 abstract sealed class AdminCall implements Command permits Dump, Drain {
   private static final int FIRST_FAILURE_STATUS = 300;
 
@@ -20,7 +20,7 @@
 
   @Parameter(
       names = "--timeout",
-      description = "How long to wait for the answer",
+      description = "How long to wait for the response",
       defaultValueDescription = "10s",
       converter = DurationConverter.class)
   private Duration timeout = Duration.ofSeconds(10);
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/AdminOptions.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/AdminOptions.java
@@ -10,10 +10,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The credential for admin listeners.
+ * The option for the credential of admin listeners.
  *
- * <p>There is no option for the token itself: command lines are seen by everyone on the host and
- * stay in the shell's history.
+ * <p>No option takes the token itself, because every user of the host can see command lines and
+ * they stay in the history of the shell.
  */
 final class AdminOptions {
   static final String ENVIRONMENT_VARIABLE = "TEASELDEAL_ADMIN_TOKEN";
@@ -21,7 +21,7 @@
   @Parameter(
       names = "--admin-token-file",
       description =
-          "File with the admin credential; else environment variable " + ENVIRONMENT_VARIABLE)
+          "File with the admin credential; default: environment variable " + ENVIRONMENT_VARIABLE)
   private @Nullable Path tokenFile;
 
   Optional<String> token(Map<String, String> environment) {
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/AuthorOption.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/AuthorOption.java
@@ -5,9 +5,11 @@
 import java.util.Map;
 import org.jspecify.annotations.Nullable;
 
-/** Who signs for a change; it stands on the log. */
+/** The option for the author of a change, who is recorded on the log. */
 final class AuthorOption {
-  @Parameter(names = "--author", description = "Who signs for it; else environment variable USER")
+  @Parameter(
+      names = "--author",
+      description = "Author to record with the change; default: environment variable USER")
   private @Nullable String author;
 
   String author(Map<String, String> environment) {
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/BudgetChange.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/BudgetChange.java
@@ -20,8 +20,9 @@
 /**
  * Grants tokens to a budget.
  *
- * <p>The operation id makes a repeat count once: it is printed before anything is written, so that
- * it is at hand if the answer, or this process, is lost.
+ * <p>A change with an operation id is applied once, however often it is repeated. The id is printed
+ * before anything is written, so that the operator knows it even if the response or this process is
+ * lost.
  */
 abstract sealed class BudgetChange implements Command permits BudgetCreate, BudgetTopUp {
   private static final int MAX_OPERATION_LENGTH = 100;
@@ -31,40 +32,41 @@
 
   @Parameter(
       names = "--operation",
-      description = "The operation id of a change that may have been written, to repeat it safely")
+      description =
+          "Operation id of an earlier change whose outcome is unknown, to repeat it safely")
   private @Nullable String operation;
 
   @ParametersDelegate private final AuthorOption author = new AuthorOption();
   @ParametersDelegate private final PlatformOptions platform = new PlatformOptions();
   @ParametersDelegate private final CommonOptions common = new CommonOptions();
 
-  /** The change was counted, now or before. */
+  /** The change was applied, by this command or by an earlier one with the same operation id. */
   record Granted(String account, long tokens, long granted, String operation, boolean countedBefore)
       implements Report {
     @Override
     public String text() {
       return countedBefore
-          ? "%s: operation %s was counted before, nothing was added; granted in all %d tokens"
+          ? "%s: operation %s was applied before, nothing was added; %d tokens granted in total"
               .formatted(account, operation, granted)
-          : "%s: %d tokens added, granted in all %d tokens (operation %s)"
+          : "%s: %d tokens added, %d tokens granted in total (operation %s)"
               .formatted(account, tokens, granted, operation);
     }
   }
 
-  /** The entry that asks for the change. */
-  abstract Entry entry(AccountId account, long tokens, String signer, String operationId);
+  /** Creates the ledger entry that requests the change. */
+  abstract Entry entry(AccountId account, long tokens, String authorName, String operationId);
 
   @Override
   public CommandResult run(CommandContext context) {
-    PositionalArguments given = PositionalArguments.check(arguments, "ACCOUNT", "TOKENS");
-    AccountId account = given.parse(0, AccountId::parse);
-    long tokens = given.tokens(1);
-    String signer = author.author(context.environment());
+    PositionalArguments positional = PositionalArguments.check(arguments, "ACCOUNT", "TOKENS");
+    AccountId account = positional.parse(0, AccountId::parse);
+    long tokens = positional.tokens(1);
+    String authorName = author.author(context.environment());
     String operationId = operationId(context);
     LedgerSessions ledgers = context.ledgers(platform);
     context.notice().accept("operation " + operationId);
     LedgerSession session = ledgers.session(account.team());
-    Entry entry = entry(account, tokens, signer, operationId);
+    Entry entry = entry(account, tokens, authorName, operationId);
     return LedgerReads.withState(
         session,
         before ->
@@ -107,8 +109,8 @@
     return CommandResult.failed(
         ExitStatus.UNREACHABLE,
         """
-        %s: it isn't known whether it was written, or will be: %s
-        repeat the command with --operation %s: it counts once"""
+        %s: it is unknown whether the change was written or will still be written: %s
+        repeat the command with --operation %s: the change is applied only once"""
             .formatted(account, detail, operationId));
   }
 
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/BudgetShow.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/BudgetShow.java
@@ -14,11 +14,11 @@
 import org.teaseldeal.operator.report.TextTable;
 import org.teaseldeal.operator.session.LedgerSessions;
 
-/** Shows budgets at the log's end. */
+/** Shows budgets as they are at the end of the log. */
 @Parameters(
     commandNames = "show",
     commandDescription =
-        "Show the budgets of a team, or all: granted = charged + written off + leased + remaining")
+        "Show the budgets of a team, or all budgets: granted = charged + written off + leased + remaining")
 public final class BudgetShow implements Command {
   @Parameter(description = "[TEAM]")
   private List<String> arguments = new ArrayList<>();
@@ -40,7 +40,7 @@
     }
   }
 
-  /** Budgets, ordered by name. */
+  /** The budgets, ordered by account name. */
   record Budgets(List<Row> budgets) implements Report {
     @Override
     public String text() {
@@ -61,13 +61,13 @@
 
   @Override
   public CommandResult run(CommandContext context) {
-    PositionalArguments given = PositionalArguments.check(arguments, "[TEAM]");
-    if (!given.has(0)) {
+    PositionalArguments positional = PositionalArguments.check(arguments, "[TEAM]");
+    if (!positional.has(0)) {
       LedgerSessions ledgers = context.ledgers(platform);
       return LedgerReads.withAllStates(
           ledgers, states -> CommandResult.ok(new Budgets(rows(states))));
     }
-    TeamId team = given.parse(0, TeamId::new);
+    TeamId team = positional.parse(0, TeamId::new);
     LedgerSessions ledgers = context.ledgers(platform);
     return LedgerReads.withState(ledgers.session(team), state -> show(state, team));
   }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/BudgetTopUp.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/BudgetTopUp.java
@@ -8,7 +8,7 @@
 @Parameters(commandNames = "top-up", commandDescription = "Add tokens to a budget")
 public final class BudgetTopUp extends BudgetChange {
   @Override
-  Entry entry(AccountId account, long tokens, String signer, String operationId) {
-    return new Entry.TopUp(account, tokens, signer, operationId);
+  Entry entry(AccountId account, long tokens, String authorName, String operationId) {
+    return new Entry.TopUp(account, tokens, authorName, operationId);
   }
 }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/Command.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/Command.java
@@ -4,9 +4,12 @@
 
 /** A command with its options filled in. */
 public interface Command {
-  /** Carries the command out; every failure is a result. */
+  /**
+   * Runs the command. Failures are returned as results, except that an invalid option or argument
+   * throws a {@code ParameterException}.
+   */
   CommandResult run(CommandContext context);
 
-  /** The options that every command has. */
+  /** Returns the options that every command has. */
   CommonOptions common();
 }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/CommandContext.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/CommandContext.java
@@ -12,10 +12,12 @@
 import org.teaseldeal.operator.session.LedgerSessions;
 
 /**
- * What commands need of the world.
+ * The environment in which commands run.
  *
- * @param random where operation ids and the writer's identity come from, so it must not repeat
- * @param notice takes a line for people that is worth having even if the command never ends
+ * @param random the source of operation ids and writer ids; its values must not repeat from run to
+ *     run
+ * @param notice receives lines for people that must be printed at once, because they are needed
+ *     even if the command never ends
  */
 public record CommandContext(
     Map<String, String> environment,
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/CommonOptions.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/CommonOptions.java
@@ -10,12 +10,12 @@
   @Parameter(names = "--help", description = "Print this help", help = true)
   boolean help;
 
-  /** Whether to print JSON. */
+  /** Returns whether to print the report as JSON. */
   public boolean json() {
     return json;
   }
 
-  /** Whether to print the help instead. */
+  /** Returns whether to print the help instead of running the command. */
   public boolean help() {
     return help;
   }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/Drain.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/Drain.java
@@ -10,13 +10,14 @@
 /** Drains an instance. */
 @Parameters(
     commandNames = "drain",
-    commandDescription = "Let an instance finish its work, take no more, and end")
+    commandDescription =
+        "Drain an instance: it accepts no new work, finishes what it has and exits")
 public final class Drain extends AdminCall {
-  /** The instance has begun to drain. */
+  /** The instance has started to drain. */
   record Draining(String address) implements Report {
     @Override
     public String text() {
-      return address + ": draining; it ends once its requests are answered";
+      return address + ": draining; the instance exits once its requests are answered";
     }
   }
 
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/Dump.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/Dump.java
@@ -12,12 +12,12 @@
 import org.teaseldeal.operator.report.CommandResult;
 import org.teaseldeal.operator.report.Report;
 
-/** Prints an instance's tables. */
+/** Prints the state of an instance. */
 @Parameters(commandNames = "dump", commandDescription = "Print the state of an instance as JSON")
 public final class Dump extends AdminCall {
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
-  /** The instance's state; JSON for people too, as it is deep. */
+  /** The state of the instance; people get it as JSON too, because it is deeply nested. */
   record State(@JsonValue JsonNode tables) implements Report {
     @Override
     public String text() {
@@ -36,7 +36,7 @@
       return CommandResult.ok(new State(MAPPER.readTree(answer.text())));
     } catch (JsonProcessingException e) {
       return CommandResult.failed(
-          ExitStatus.UNREACHABLE, "%s: its answer is no JSON".formatted(address));
+          ExitStatus.UNREACHABLE, "%s: its response isn't JSON".formatted(address));
     }
   }
 }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/DurationConverter.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/DurationConverter.java
@@ -5,7 +5,7 @@
 import java.time.Duration;
 import org.teaseldeal.settings.toml.TomlUnits;
 
-/** Reads durations as settings write them. */
+/** Parses durations in the notation of settings files. */
 public final class DurationConverter implements IStringConverter<Duration> {
   @Override
   public Duration convert(String value) {
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/Explain.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/Explain.java
@@ -11,10 +11,10 @@
 import org.teaseldeal.operator.explain.LogFiles;
 import org.teaseldeal.operator.report.CommandResult;
 
-/** Says from instances' logs why a request ended as it did. */
+/** Explains from the logs of instances why a request ended as it did. */
 @Parameters(
     commandNames = "explain",
-    commandDescription = "Say from instances' logs why a request ended as it did")
+    commandDescription = "Explain from the logs of instances why a request ended as it did")
 public final class Explain implements Command {
   @Parameter(description = "REQUEST-ID FILE...")
   private List<String> arguments = new ArrayList<>();
@@ -41,7 +41,7 @@
   }
 
   private static String notFound(String request, LogFiles logs) {
-    return "no line says how request '%s' ended, in %d events (%d lines could not be read)"
+    return "none of %2$d events says how request '%1$s' ended (%3$d lines could not be read)"
         .formatted(request, logs.events().size(), logs.unreadable());
   }
 
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/Instances.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/Instances.java
@@ -20,10 +20,10 @@
 import org.teaseldeal.operator.report.TextTable;
 import org.teaseldeal.operator.session.LedgerSessions;
 
-/** Lists instances as the platform and as the ledger see them. */
+/** Lists the instances that the platform lists or the ledger knows. */
 @Parameters(
     commandNames = "instances",
-    commandDescription = "List instances as the platform lists them and as the ledger knows them")
+    commandDescription = "List the instances that the platform lists or the ledger knows")
 public final class Instances implements Command {
   @Parameter(description = "(no arguments)")
   private List<String> arguments = new ArrayList<>();
@@ -32,10 +32,10 @@
   @ParametersDelegate private final CommonOptions common = new CommonOptions();
 
   /**
-   * One incarnation.
+   * One incarnation of an instance.
    *
-   * @param listed {@code live} or {@code leaving} on the platform's list, {@code no} otherwise
-   * @param joined whether it joined the ledger and has not ended
+   * @param listed {@code live} or {@code leaving} if the platform lists it, otherwise {@code no}
+   * @param joined whether it joined the ledger and has neither left nor been retired
    */
   record Row(
       String instance,
@@ -46,16 +46,16 @@
       long heldTokens,
       @Nullable String lastRecordAt,
       @Nullable String adminAddress) {
-    /** What an operator should make of the row. */
+    /** Returns a hint to the operator on the state of the incarnation; empty if there is none. */
     String advice() {
       if (!joined) {
         return "has not joined yet";
       }
-      return listed.equals("no") ? "gone? then `lease release`" : "";
+      return listed.equals("no") ? "if it is gone, use `lease release`" : "";
     }
   }
 
-  /** All incarnations, those that the platform lists first. */
+  /** All incarnations; those on the platform's list come first. */
   record Fleet(List<Row> instances) implements Report {
     @Override
     public String text() {
@@ -90,38 +90,37 @@
     return switch (context.platformList(platform).read()) {
       case Listing.Unreachable(String detail) ->
           CommandResult.failed(ExitStatus.UNREACHABLE, detail);
-      case Listing.Found(List<ListedInstance> routers) -> {
+      case Listing.Found(List<ListedInstance> listed) -> {
         LedgerSessions ledgers = context.ledgers(platform);
-        yield LedgerReads.withAllStates(
-            ledgers, states -> CommandResult.ok(fleet(routers, states)));
+        yield LedgerReads.withAllStates(ledgers, states -> CommandResult.ok(fleet(listed, states)));
       }
     };
   }
 
-  private static Fleet fleet(List<ListedInstance> routers, List<LedgerState> states) {
+  private static Fleet fleet(List<ListedInstance> listed, List<LedgerState> states) {
     Map<IncarnationId, InstanceView> joined = new LinkedHashMap<>();
     for (LedgerState state : states) {
       state.instances().forEach(view -> joined.putIfAbsent(view.incarnation(), view));
     }
     List<Row> rows = new ArrayList<>();
-    for (ListedInstance router : routers) {
-      rows.add(listed(router, joined.remove(router.incarnation()), states));
+    for (ListedInstance instance : listed) {
+      rows.add(listed(instance, joined.remove(instance.incarnation()), states));
     }
     joined.values().forEach(view -> rows.add(unlisted(view, states)));
     return new Fleet(rows);
   }
 
   private static Row listed(
-      ListedInstance router, @Nullable InstanceView view, List<LedgerState> states) {
+      ListedInstance instance, @Nullable InstanceView view, List<LedgerState> states) {
     return new Row(
-        router.instance().name(),
-        router.incarnation().value(),
-        router.dataCentre().name(),
-        router.leaving() ? "leaving" : "live",
+        instance.instance().name(),
+        instance.incarnation().value(),
+        instance.dataCentre().name(),
+        instance.leaving() ? "leaving" : "live",
         view != null,
-        held(states, router.incarnation()),
+        held(states, instance.incarnation()),
         view == null ? null : view.lastRecordAt().toString(),
-        router.adminAddress().orElse(null));
+        instance.adminAddress().orElse(null));
   }
 
   private static Row unlisted(InstanceView view, List<LedgerState> states) {
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/LeaseRelease.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/LeaseRelease.java
@@ -21,52 +21,53 @@
 import org.teaseldeal.operator.session.SubmissionResult;
 
 /**
- * Retires an incarnation that is gone and writes off what is left under its leases.
+ * Retires an incarnation that is gone and writes off the tokens that remain under its leases.
  *
- * <p>Safe even if it isn't gone: its records are ignored from then on, and whatever it spends was
- * counted as spent. But its own charges no longer reach the ledger, so the command refuses while
- * the platform still lists it, and asks for the operator's word.
+ * <p>The ledger stays correct even if the incarnation is still running: its records are ignored
+ * from then on, and the tokens that it spends are already counted as spent. But its charges no
+ * longer reach the ledger, so the command refuses while the platform still lists the incarnation,
+ * and requires the operator's confirmation.
  */
 @Parameters(
     commandNames = "release",
-    commandDescription = "Retire an incarnation that is gone and write off what it held")
+    commandDescription = "Retire an incarnation that is gone and write off the tokens that it held")
 public final class LeaseRelease implements Command {
   private static final String WRITE_OFF_REASON =
-      "Its holder may have spent them without having said so, and nobody can tell; given back, they"
-          + " could be spent twice. They are counted as spent; grant them anew with `budget top-up`"
-          + " if you want to.";
+      "The incarnation may have spent them without recording it, which can't be determined: if they"
+          + " were returned, they could be spent twice. They are counted as spent; to grant them"
+          + " again, use `budget top-up`.";
 
   @Parameter(description = "INCARNATION")
   private List<String> arguments = new ArrayList<>();
 
   @Parameter(
       names = "--confirm-gone",
-      description = "You have made sure with the platform that the incarnation is gone for good")
+      description = "Confirms that the incarnation is gone for good, as checked with the platform")
   private boolean confirmed;
 
   @ParametersDelegate private final AuthorOption author = new AuthorOption();
   @ParametersDelegate private final PlatformOptions platform = new PlatformOptions();
   @ParametersDelegate private final CommonOptions common = new CommonOptions();
 
-  /** What was written off. */
+  /** The incarnation is retired, and its tokens are written off. */
   record Released(String incarnation, long writtenOff, boolean endedBefore) implements Report {
     @Override
     public String text() {
       return endedBefore
-          ? "%s: had left or was retired before, nothing was changed".formatted(incarnation)
+          ? "%s: had already left or been retired, nothing was changed".formatted(incarnation)
           : "%s: retired, %d tokens written off.\n%s"
               .formatted(incarnation, writtenOff, WRITE_OFF_REASON);
     }
   }
 
-  /** What would be written off, for want of a confirmation. */
+  /** The operator has not confirmed the release; {@code tokens} would be written off. */
   record Unconfirmed(String incarnation, long tokens) implements Report {
     @Override
     public String text() {
       return """
           %s: nothing was changed. %d tokens would be written off.
           %s
-          Make sure with the platform that this incarnation is gone, then add --confirm-gone."""
+          Check with the platform that this incarnation is gone, then add --confirm-gone."""
           .formatted(incarnation, tokens, WRITE_OFF_REASON);
     }
   }
@@ -75,14 +76,14 @@
   public CommandResult run(CommandContext context) {
     IncarnationId incarnation =
         PositionalArguments.check(arguments, "INCARNATION").parse(0, IncarnationId::new);
-    String signer = author.author(context.environment());
+    String authorName = author.author(context.environment());
     Optional<CommandResult> listed = refuseIfListed(context, incarnation);
     if (listed.isPresent()) {
       return listed.get();
     }
     LedgerSessions ledgers = context.ledgers(platform);
     return LedgerReads.withAllStates(
-        ledgers, states -> release(ledgers, states, incarnation, signer));
+        ledgers, states -> release(ledgers, states, incarnation, authorName));
   }
 
   private Optional<CommandResult> refuseIfListed(
@@ -92,26 +93,29 @@
           Optional.of(
               CommandResult.failed(
                   ExitStatus.UNREACHABLE,
-                  "%s: nothing was changed: whether it is gone can't be seen: %s"
+                  "%s: nothing was changed: can't determine whether it is gone: %s"
                       .formatted(incarnation, detail)));
-      case Listing.Found(List<ListedInstance> routers) ->
-          routers.stream()
-              .filter(router -> router.incarnation().equals(incarnation))
+      case Listing.Found(List<ListedInstance> instances) ->
+          instances.stream()
+              .filter(instance -> instance.incarnation().equals(incarnation))
               .findFirst()
-              .map(router -> stillListed(router));
+              .map(instance -> stillListed(instance));
     };
   }
 
-  private static CommandResult stillListed(ListedInstance router) {
+  private static CommandResult stillListed(ListedInstance instance) {
     return CommandResult.failed(
         ExitStatus.REFUSED,
         "%s: nothing was changed: the platform still lists it as instance %s; the list lags, so try"
-                .formatted(router.incarnation(), router.instance())
-            + " again once it is off");
+                .formatted(instance.incarnation(), instance.instance())
+            + " again once it is no longer listed");
   }
 
   private CommandResult release(
-      LedgerSessions ledgers, List<LedgerState> states, IncarnationId incarnation, String signer) {
+      LedgerSessions ledgers,
+      List<LedgerState> states,
+      IncarnationId incarnation,
+      String authorName) {
     if (states.stream().allMatch(state -> state.ended(incarnation))) {
       return CommandResult.ok(new Released(incarnation.value(), 0, true));
     }
@@ -124,14 +128,14 @@
       return new CommandResult(
           ExitStatus.REFUSED, new Unconfirmed(incarnation.value(), held(states, incarnation)));
     }
-    return retire(ledgers, incarnation, signer);
+    return retire(ledgers, incarnation, authorName);
   }
 
   private static CommandResult retire(
-      LedgerSessions ledgers, IncarnationId incarnation, String signer) {
+      LedgerSessions ledgers, IncarnationId incarnation, String authorName) {
     long writtenOff = 0;
     for (LedgerSession session : ledgers.all()) {
-      switch (session.submit(List.of(new Entry.Retire(incarnation, signer)))) {
+      switch (session.submit(List.of(new Entry.Retire(incarnation, authorName)))) {
         case SubmissionResult.ReadBack(List<Outcome> outcomes) -> {
           if (!(outcomes.getFirst() instanceof Outcome.Retired retired)) {
             return LedgerWrites.unexpectedOutcome(outcomes.getFirst());
@@ -152,7 +156,7 @@
   private static CommandResult unknownOutcome(IncarnationId incarnation, String detail) {
     return CommandResult.failed(
         ExitStatus.UNREACHABLE,
-        "%s: it isn't known whether it was retired: %s\nrepeat the command: it takes effect once"
+        "%s: it is unknown whether it was retired: %s\nrepeat the command: it takes effect only once"
             .formatted(incarnation, detail));
   }
 
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/LeaseShow.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/LeaseShow.java
@@ -15,10 +15,11 @@
 import org.teaseldeal.operator.report.TextTable;
 import org.teaseldeal.operator.session.LedgerSessions;
 
-/** Shows what is left under leases. */
+/** Shows the tokens that remain under leases. */
 @Parameters(
     commandNames = "show",
-    commandDescription = "Show what is left under the leases of an incarnation, or of all joined")
+    commandDescription =
+        "Show the tokens that remain under the leases of an incarnation, or of all joined ones")
 public final class LeaseShow implements Command {
   @Parameter(description = "[INCARNATION]")
   private List<String> arguments = new ArrayList<>();
@@ -26,7 +27,7 @@
   @ParametersDelegate private final PlatformOptions platform = new PlatformOptions();
   @ParametersDelegate private final CommonOptions common = new CommonOptions();
 
-  /** One lease; {@code ended} once its holder left or was retired. */
+  /** One lease; {@code ended} is true if its holder has left or was retired. */
   record Row(String incarnation, String service, long tokens, boolean ended) {
     static Row of(LeaseView lease) {
       return new Row(
@@ -34,7 +35,7 @@
     }
   }
 
-  /** Leases by incarnation. */
+  /** The leases, grouped by incarnation. */
   record Leases(List<Row> leases) implements Report {
     @Override
     public String text() {
@@ -52,22 +53,23 @@
 
   @Override
   public CommandResult run(CommandContext context) {
-    PositionalArguments given = PositionalArguments.check(arguments, "[INCARNATION]");
-    List<IncarnationId> asked =
-        given.has(0) ? List.of(given.parse(0, IncarnationId::new)) : List.of();
+    PositionalArguments positional = PositionalArguments.check(arguments, "[INCARNATION]");
+    List<IncarnationId> requested =
+        positional.has(0) ? List.of(positional.parse(0, IncarnationId::new)) : List.of();
     LedgerSessions ledgers = context.ledgers(platform);
-    return LedgerReads.withAllStates(ledgers, states -> CommandResult.ok(leases(states, asked)));
+    return LedgerReads.withAllStates(
+        ledgers, states -> CommandResult.ok(leases(states, requested)));
   }
 
-  private static Leases leases(List<LedgerState> states, List<IncarnationId> asked) {
-    return new Leases(states.stream().flatMap(state -> rows(state, asked)).toList());
+  private static Leases leases(List<LedgerState> states, List<IncarnationId> requested) {
+    return new Leases(states.stream().flatMap(state -> rows(state, requested)).toList());
   }
 
-  private static Stream<Row> rows(LedgerState state, List<IncarnationId> asked) {
+  private static Stream<Row> rows(LedgerState state, List<IncarnationId> requested) {
     Stream<IncarnationId> sources =
-        asked.isEmpty()
+        requested.isEmpty()
             ? state.instances().stream().map(InstanceView::incarnation)
-            : asked.stream();
+            : requested.stream();
     return sources.flatMap(source -> state.leases(source).stream()).map(Row::of);
   }
 
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/LedgerReads.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/LedgerReads.java
@@ -13,11 +13,14 @@
 import org.teaseldeal.operator.session.PublicationsResult;
 import org.teaseldeal.settings.SubtreeId;
 
-/** Reads the ledger to its end before something is made of its state. */
+/**
+ * Reads the ledger to its end and passes its state to a command; if the log can't be read, the
+ * result of the command is that failure.
+ */
 final class LedgerReads {
   private LedgerReads() {}
 
-  /** What {@code then} makes of the state of one stream. */
+  /** Returns the result of {@code then} for the state of one stream. */
   static CommandResult withState(LedgerSession session, Function<LedgerState, CommandResult> then) {
     return switch (session.catchUp()) {
       case CatchUpResult.Done(LedgerState state) -> then.apply(state);
@@ -25,7 +28,9 @@
     };
   }
 
-  /** What {@code then} makes of the states of all streams, in the streams' order. */
+  /**
+   * Returns the result of {@code then} for the states of all streams, in the order of the streams.
+   */
   static CommandResult withAllStates(
       LedgerSessions ledgers, Function<List<LedgerState>, CommandResult> then) {
     List<LedgerState> states = new ArrayList<>();
@@ -40,7 +45,10 @@
     return then.apply(states);
   }
 
-  /** What {@code then} makes of the publications of {@code subtree} that the log keeps. */
+  /**
+   * Returns the result of {@code then} for the publications of {@code subtree} that the log still
+   * retains.
+   */
   static CommandResult withPublications(
       LedgerSession session, SubtreeId subtree, Function<Publications, CommandResult> then) {
     return switch (session.publications(subtree)) {
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/LedgerWrites.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/LedgerWrites.java
@@ -4,11 +4,11 @@
 import org.teaseldeal.ledger.outcome.Outcome;
 import org.teaseldeal.operator.report.CommandResult;
 
-/** Results that all commands which write to the ledger share. */
+/** Results shared by the commands that write to the ledger. */
 final class LedgerWrites {
   private LedgerWrites() {}
 
-  /** The entry broke a rule of the ledger. */
+  /** Returns the result for an entry that the ledger rejected because it broke a rule. */
   static CommandResult unexpectedOutcome(Outcome outcome) {
     String reason =
         outcome instanceof Outcome.Rejected rejected ? rejected.reason() : outcome.toString();
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/Losses.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/Losses.java
@@ -16,10 +16,10 @@
 import org.teaseldeal.operator.losses.OwedRequests;
 import org.teaseldeal.operator.report.CommandResult;
 
-/** Counts from instances' logs why requests weren't answered in time. */
+/** Counts from the logs of instances why requests weren't answered in time. */
 @Parameters(
     commandNames = "losses",
-    commandDescription = "Count from instances' logs why requests were not answered in time")
+    commandDescription = "Count from the logs of instances why requests were not answered in time")
 public final class Losses implements Command {
   @Parameter(description = "FILE|DIRECTORY|-...")
   private List<String> sources = new ArrayList<>();
@@ -31,15 +31,16 @@
 
   @Parameter(
       names = "--owed",
-      description = "JSON file with the requests that were owed and their worth, by kind")
+      description =
+          "JSON file with the number and the worth of the requests owed an answer, by kind")
   private @Nullable String owed;
 
   @Parameter(
       names = "--against",
-      description = "File or directory of an earlier day, to be compared with")
+      description = "Log file or directory of an earlier run to compare with")
   private @Nullable String against;
 
-  @Parameter(names = "--plot", description = "SVG file to write the worth lost by second to")
+  @Parameter(names = "--plot", description = "SVG file for a plot of the worth lost in each second")
   private @Nullable String plot;
 
   @ParametersDelegate private final CommonOptions common = new CommonOptions();
@@ -50,11 +51,11 @@
       throw new ParameterException("no logs were named, expected FILE, DIRECTORY or -");
     }
     try {
-      OwedRequests known = owed == null ? OwedRequests.UNKNOWN : OwedRequests.read(owed);
-      LossReport report = LossCounter.of(sources, System.in, known, by);
+      OwedRequests owedRequests = owed == null ? OwedRequests.UNKNOWN : OwedRequests.read(owed);
+      LossReport report = LossCounter.of(sources, System.in, owedRequests, by);
       if (report.lines() == 0) {
         return CommandResult.failed(
-            ExitStatus.WRONG_COMMAND_LINE, "no line of %s is an event".formatted(sources));
+            ExitStatus.WRONG_COMMAND_LINE, "%s contains no event".formatted(sources));
       }
       if (plot != null) {
         LossPlot.write(report, plot);
@@ -62,7 +63,7 @@
       if (against == null) {
         return CommandResult.ok(report);
       }
-      LossReport before = LossCounter.of(List.of(against), System.in, known, by);
+      LossReport before = LossCounter.of(List.of(against), System.in, owedRequests, by);
       return CommandResult.ok(report.against(before));
     } catch (IOException e) {
       return CommandResult.failed(ExitStatus.WRONG_FILE, String.valueOf(e.getMessage()));
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/PlatformOptions.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/PlatformOptions.java
@@ -7,24 +7,24 @@
 import org.jspecify.annotations.Nullable;
 import org.teaseldeal.ledger.Streams;
 
-/** Where the platform is, and how long to try. */
+/** Options for the address of the platform, the timeout and the number of streams. */
 final class PlatformOptions {
   static final String ENVIRONMENT_VARIABLE = "TEASELDEAL_PLATFORM";
 
   @Parameter(
       names = "--platform",
       description =
-          "The platform's address, IP:PORT; else environment variable " + ENVIRONMENT_VARIABLE)
+          "The platform's address, IP:PORT; default: environment variable " + ENVIRONMENT_VARIABLE)
   private @Nullable String address;
 
   @Parameter(
       names = "--timeout",
-      description = "How long to wait while the platform gives nothing new",
+      description = "How long to wait without any progress at the platform",
       defaultValueDescription = "10s",
       converter = DurationConverter.class)
   private Duration timeout = Duration.ofSeconds(10);
 
-  @Parameter(names = "--streams", description = "The number of the ledger's streams")
+  @Parameter(names = "--streams", description = "Number of streams of the ledger")
   private int streams = 1;
 
   String address(Map<String, String> environment) {
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/PoolWarnings.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/PoolWarnings.java
@@ -12,15 +12,18 @@
 import org.teaseldeal.settings.TeamSettings;
 
 /**
- * Names services whose pool the fleet doesn't have.
+ * Warns of services whose pool is missing from the settings of the fleet.
  *
- * <p>The ledger's verdict on a subtree depends on that subtree alone, so it can't refuse them; the
- * services would get no server, and nobody would see why.
+ * <p>The ledger decides on a subtree from that subtree alone, so it can't refuse such a service.
+ * The service would get no backend server, with no visible reason.
  */
 final class PoolWarnings {
   private PoolWarnings() {}
 
-  /** A warning for each service of {@code toml} that {@code fleet} has no fitting pool for. */
+  /**
+   * Returns a warning for each service in {@code toml} for which {@code fleet} has no pool of the
+   * same name and kind.
+   */
   static List<String> of(SubtreeId subtree, String toml, Optional<FleetSettings> fleet) {
     if (subtree.isFleet()
         || !(SettingsParser.parseTeam(subtree, toml)
@@ -43,7 +46,7 @@
   }
 
   private static String warning(ServiceSettings service) {
-    return "%s names pool %s, but the fleet's settings have no such pool of its kind"
+    return "%s names pool %s, but the fleet settings have no pool of that name and its kind"
         .formatted(service.id(), service.pool());
   }
 }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/PositionalArguments.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/PositionalArguments.java
@@ -4,29 +4,33 @@
 import java.util.List;
 import java.util.function.Function;
 
-/** The arguments of a command that have no option's name, by position. */
+/** The positional arguments of a command. */
 final class PositionalArguments {
   private final List<String> values;
 
-  private PositionalArguments(List<String> given) {
-    this.values = given;
+  private PositionalArguments(List<String> positional) {
+    this.values = positional;
   }
 
-  /** Checks that {@code given} has one argument for each name; names in brackets may be missing. */
-  static PositionalArguments check(List<String> given, String... names) {
-    for (String argument : given) {
+  /**
+   * Checks that {@code positional} has one argument for each name; arguments whose names are in
+   * brackets are optional.
+   */
+  static PositionalArguments check(List<String> positional, String... names) {
+    for (String argument : positional) {
       if (argument.startsWith("--")) {
-        throw new ParameterException("option was '%s', expected a known one".formatted(argument));
+        throw new ParameterException("unknown option '%s'".formatted(argument));
       }
     }
     long required = List.of(names).stream().filter(name -> !name.startsWith("[")).count();
-    if (given.size() < required || given.size() > names.length) {
+    if (positional.size() < required || positional.size() > names.length) {
       throw new ParameterException(
           "arguments were '%s', expected %s"
               .formatted(
-                  String.join(" ", given), names.length == 0 ? "none" : String.join(" ", names)));
+                  String.join(" ", positional),
+                  names.length == 0 ? "none" : String.join(" ", names)));
     }
-    return new PositionalArguments(given);
+    return new PositionalArguments(positional);
   }
 
   boolean has(int position) {
@@ -37,7 +41,10 @@
     return values.get(position);
   }
 
-  /** The argument as a value whose constructor complains of what is wrong. */
+  /**
+   * Converts an argument with a constructor that throws an {@link IllegalArgumentException} for an
+   * invalid value.
+   */
   <T> T parse(int position, Function<String, T> constructor) {
     try {
       return constructor.apply(values.get(position));
@@ -46,7 +53,7 @@
     }
   }
 
-  /** A number of tokens; underscores between digits are allowed, as in settings. */
+  /** Parses a number of tokens; underscores between digits are allowed, as in settings files. */
   long tokens(int position) {
     String text = values.get(position).replace("_", "");
     if (!text.matches("[1-9][0-9]{0,17}")) {
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/SettingsCheck.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/SettingsCheck.java
@@ -9,15 +9,17 @@
 import org.teaseldeal.operator.report.Report;
 import org.teaseldeal.settings.SubtreeId;
 
-/** Checks a file without talking to anyone. */
-@Parameters(commandNames = "check", commandDescription = "Check a file as every instance will")
+/** Validates a settings file without any network access. */
+@Parameters(
+    commandNames = "check",
+    commandDescription = "Check a settings file by the rules that every instance applies")
 public final class SettingsCheck implements Command {
   @Parameter(description = "SUBTREE FILE (SUBTREE is fleet or team/NAME)")
   private List<String> arguments = new ArrayList<>();
 
   @ParametersDelegate private final CommonOptions common = new CommonOptions();
 
-  /** The file is a valid subtree. */
+  /** The file contains a valid subtree. */
   record Checked(String subtree, String file) implements Report {
     @Override
     public String text() {
@@ -27,11 +29,11 @@
 
   @Override
   public CommandResult run(CommandContext context) {
-    PositionalArguments given = PositionalArguments.check(arguments, "SUBTREE", "FILE");
-    SubtreeId subtree = given.parse(0, SubtreeId::new);
-    return switch (SettingsFile.read(subtree, given.text(1))) {
+    PositionalArguments positional = PositionalArguments.check(arguments, "SUBTREE", "FILE");
+    SubtreeId subtree = positional.parse(0, SubtreeId::new);
+    return switch (SettingsFile.read(subtree, positional.text(1))) {
       case SettingsFile.Valid valid ->
-          CommandResult.ok(new Checked(subtree.value(), given.text(1)));
+          CommandResult.ok(new Checked(subtree.value(), positional.text(1)));
       case SettingsFile.Invalid(CommandResult result) -> result;
     };
   }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/SettingsDiff.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/SettingsDiff.java
@@ -32,7 +32,7 @@
 
   @Parameter(
       names = "--from",
-      description = "The older revision, 0 for none; else the one in force")
+      description = "The older revision, 0 for none; default: the revision in force")
   private @Nullable Long from;
 
   @Parameter(names = "--to", description = "The newer revision, if no file is given")
@@ -41,7 +41,7 @@
   @ParametersDelegate private final PlatformOptions platform = new PlatformOptions();
   @ParametersDelegate private final CommonOptions common = new CommonOptions();
 
-  /** The lines of both texts; none if they are the same. */
+  /** The lines of both texts, marked as common, removed or added; empty if the texts are equal. */
   record Difference(String subtree, String from, String to, List<String> lines) implements Report {
     @Override
     public String text() {
@@ -52,22 +52,27 @@
     }
   }
 
-  /** A text and where it is from. */
+  /**
+   * One of the two texts compared, with the name of its source; {@code toml} is empty if the log
+   * does not have the revision.
+   */
   private record DiffSide(String name, Optional<String> toml) {}
 
   @Override
   public CommandResult run(CommandContext context) {
-    PositionalArguments given = PositionalArguments.check(arguments, "SUBTREE", "[FILE]");
-    SubtreeId subtree = given.parse(0, SubtreeId::new);
+    PositionalArguments positional = PositionalArguments.check(arguments, "SUBTREE", "[FILE]");
+    SubtreeId subtree = positional.parse(0, SubtreeId::new);
     Optional<DiffSide> file = Optional.empty();
-    if (given.has(1)) {
+    if (positional.has(1)) {
       try {
         file =
             Optional.of(
-                new DiffSide(given.text(1), Optional.of(Files.readString(Path.of(given.text(1))))));
+                new DiffSide(
+                    positional.text(1),
+                    Optional.of(Files.readString(Path.of(positional.text(1))))));
       } catch (IOException e) {
         return CommandResult.failed(
-            ExitStatus.WRONG_FILE, "%s can't be read as UTF-8 text".formatted(given.text(1)));
+            ExitStatus.WRONG_FILE, "%s can't be read as UTF-8 text".formatted(positional.text(1)));
       }
     }
     LedgerSessions ledgers = context.ledgers(platform);
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/SettingsFile.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/SettingsFile.java
@@ -14,15 +14,17 @@
 import org.teaseldeal.settings.SettingsProblem;
 import org.teaseldeal.settings.SubtreeId;
 
-/** A subtree's text out of a file, checked as every reader of the log will check it. */
+/**
+ * The text of a subtree from a file, validated by the rules that every reader of the log applies.
+ */
 sealed interface SettingsFile {
-  /** A text that may be published. */
+  /** A valid text, which may be published. */
   record Valid(String toml) implements SettingsFile {}
 
-  /** A text that may not, or no text at all. */
+  /** The file is invalid or can't be read; {@code result} is the result of the command. */
   record Invalid(CommandResult result) implements SettingsFile {}
 
-  /** What is wrong with a file. */
+  /** The problems of an invalid file. */
   record Problems(String file, List<SettingsProblem> problems) implements Report {
     public Problems {
       problems = List.copyOf(problems);
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/SettingsHistory.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/SettingsHistory.java
@@ -15,10 +15,10 @@
 import org.teaseldeal.operator.session.Publications.Publication;
 import org.teaseldeal.settings.SubtreeId;
 
-/** Lists the revisions of a subtree that were in force. */
+/** Lists the revisions of a subtree that are or were in force. */
 @Parameters(
     commandNames = "history",
-    commandDescription = "List the revisions of a subtree, as far back as the log keeps records")
+    commandDescription = "List the revisions of a subtree, as far back as the log retains records")
 public final class SettingsHistory implements Command {
   @Parameter(description = "SUBTREE")
   private List<String> arguments = new ArrayList<>();
@@ -26,12 +26,12 @@
   @ParametersDelegate private final PlatformOptions platform = new PlatformOptions();
   @ParametersDelegate private final CommonOptions common = new CommonOptions();
 
-  /** The revisions, the one in force first. */
+  /** The revisions, starting with the one in force. */
   record History(String subtree, List<Publication> revisions) implements Report {
     @Override
     public String text() {
       if (revisions.isEmpty()) {
-        return "%s: the log keeps no publication of it any more".formatted(subtree);
+        return "%s: the log no longer retains a publication of it".formatted(subtree);
       }
       TextTable table = new TextTable("REVISION", "BASED ON", "PUBLISHED AT", "AUTHOR");
       revisions.forEach(
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/SettingsPublish.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/SettingsPublish.java
@@ -27,17 +27,21 @@
 import org.teaseldeal.settings.SubtreeId;
 
 /**
- * Publishes a subtree and waits until it is in force everywhere.
+ * Publishes a subtree and waits until it is in force at every live instance.
  *
- * <p>The text names the revision that it was based on; if another was put in force since, it is
- * refused and says by whom. A repeat after a lost answer is safe: if the same text is in force
- * already, nothing is written.
+ * <p>A publication names the revision on which its text is based. If another revision has come into
+ * force since, the publication is refused and the report names the author of that revision. It is
+ * safe to repeat the command after a lost response: if the same text is already in force, nothing
+ * is written.
  */
 @Parameters(
     commandNames = "publish",
-    commandDescription = "Publish a subtree and wait until it is in force everywhere")
+    commandDescription = "Publish a subtree and wait until it is in force at every live instance")
 public final class SettingsPublish implements Command {
-  /** Well over what a live instance takes to answer, and short against the time to wait. */
+  /**
+   * Well above the time in which a live instance responds, and short compared with the time to wait
+   * for all instances.
+   */
   private static final Duration PROGRESS_QUERY_TIMEOUT = Duration.ofSeconds(1);
 
   @Parameter(description = "SUBTREE FILE (SUBTREE is fleet or team/NAME)")
@@ -46,12 +50,12 @@
   @Parameter(
       names = "--base",
       description =
-          "The revision that the file was based on, 0 for none; else the one in force at the start")
+          "Revision that the file is based on, 0 for none; default: the revision in force at the start")
   private @Nullable Long base;
 
   @Parameter(
       names = "--wait",
-      description = "How long to wait until it is in force everywhere",
+      description = "How long to wait until it is in force at every live instance",
       defaultValueDescription = "30s",
       converter = DurationConverter.class)
   private Duration wait = Duration.ofSeconds(30);
@@ -61,24 +65,27 @@
   @ParametersDelegate private final PlatformOptions platform = new PlatformOptions();
   @ParametersDelegate private final CommonOptions common = new CommonOptions();
 
-  /** An instance, as far as the publication has come there; the offset is -1 if it is unknown. */
+  /** The progress of the publication at one instance; {@code foldedTo} is -1 if it is unknown. */
   record InstanceStatus(String instance, String incarnation, long foldedTo, String note) {
-    static InstanceStatus of(InstanceProgress sight) {
+    static InstanceStatus of(InstanceProgress instance) {
       return new InstanceStatus(
-          sight.instance(),
-          sight.incarnation(),
-          sight.progress().offset().orElse(-1),
-          sight.progress().note());
+          instance.instance(),
+          instance.incarnation(),
+          instance.progress().offset().orElse(-1),
+          instance.progress().note());
     }
 
     String line(long offset) {
-      String progress = foldedTo < 0 ? "has told nothing" : "has folded to offset " + foldedTo;
+      String progress =
+          foldedTo < 0 ? "has reported no offset" : "has folded to offset " + foldedTo;
       return "  %s (%s) %s, expected %d%s"
           .formatted(instance, incarnation, progress, offset, note.isEmpty() ? "" : "; it " + note);
     }
   }
 
-  /** The text is in force on the log, and how far at the instances. */
+  /**
+   * The text is in force on the log; the lists say at which instances it is known to be in force.
+   */
   record Published(
       String subtree,
       long revision,
@@ -101,31 +108,32 @@
       String head =
           writtenNow
               ? "%s: revision %d by %s is accepted".formatted(subtree, revision, author)
-              : "%s: the same text is in force already, revision %d by %s"
+              : "%s: the same text is already in force, revision %d by %s"
                   .formatted(subtree, revision, author);
       if (listProblem != null) {
-        return head + "\nwhere it is in force isn't known: " + listProblem;
+        return head + "\nit is unknown at which instances it is in force: " + listProblem;
       }
       if (inForce.isEmpty() && lagging.isEmpty()) {
-        return head + "\nno instance is live; each will have it in force before it is ready";
+        return head
+            + "\nno instance is live; an instance that starts has it in force before it is ready";
       }
       if (lagging.isEmpty()) {
         return head + "\nin force at all %d live instances".formatted(inForce.size());
       }
       return head
-          + "\nin force at %d live instances, not known to be at %d:\n"
+          + "\nin force at %d live instances, not confirmed at %d:\n"
               .formatted(inForce.size(), lagging.size())
           + lagging.stream().map(i -> i.line(offset)).collect(Collectors.joining("\n"));
     }
   }
 
-  /** Another revision was put in force first. */
+  /** The publication was refused because another revision had come into force. */
   record Outdated(String subtree, long base, long currentRevision, String winner)
       implements Report {
     @Override
     public String text() {
       return """
-          %1$s: refused, nothing was changed: based on revision %2$d, but %3$s has put revision %4$d in force
+          %1$s: refused, nothing was changed: the file is based on revision %2$d, but %3$s has published revision %4$d
           see `settings diff %1$s --from %2$d --to %4$d`, merge, and publish with --base %4$d"""
           .formatted(subtree, base, winner, currentRevision);
     }
@@ -133,9 +141,9 @@
 
   @Override
   public CommandResult run(CommandContext context) {
-    PositionalArguments given = PositionalArguments.check(arguments, "SUBTREE", "FILE");
-    SubtreeId subtree = given.parse(0, SubtreeId::new);
-    return switch (SettingsFile.read(subtree, given.text(1))) {
+    PositionalArguments positional = PositionalArguments.check(arguments, "SUBTREE", "FILE");
+    SubtreeId subtree = positional.parse(0, SubtreeId::new);
+    return switch (SettingsFile.read(subtree, positional.text(1))) {
       case SettingsFile.Invalid(CommandResult result) -> result;
       case SettingsFile.Valid(String toml) -> {
         LedgerSessions ledgers = context.ledgers(platform);
@@ -156,7 +164,7 @@
     private final LedgerSession session;
     private final SubtreeId subtree;
     private final String toml;
-    private final String signer;
+    private final String authorName;
     private List<String> warnings = List.of();
 
     PublishRun(CommandContext context, LedgerSession session, SubtreeId subtree, String toml) {
@@ -164,7 +172,7 @@
       this.session = session;
       this.subtree = subtree;
       this.toml = toml;
-      this.signer = author.author(context.environment());
+      this.authorName = author.author(context.environment());
     }
 
     CommandResult run(LedgerSession fleet) {
@@ -183,7 +191,7 @@
       }
       long revision = current.map(SubtreeView::revision).orElse(0L);
       long basedOn = base == null ? revision : base;
-      var entry = new Entry.PublishSettings(subtree, basedOn, signer, toml);
+      var entry = new Entry.PublishSettings(subtree, basedOn, authorName, toml);
       return switch (session.submit(List.of(entry))) {
         case SubmissionResult.NotWritten(String detail) -> notWritten(detail);
         case SubmissionResult.Unknown(String detail) -> unknown(basedOn, detail);
@@ -194,7 +202,7 @@
 
     private CommandResult outcome(long basedOn, Outcome outcome) {
       return switch (outcome) {
-        case Outcome.SettingsAccepted accepted -> await(accepted.revision(), signer, true);
+        case Outcome.SettingsAccepted accepted -> await(accepted.revision(), authorName, true);
         case Outcome.SettingsOutdated outdated ->
             new CommandResult(
                 ExitStatus.REFUSED,
@@ -207,7 +215,7 @@
       };
     }
 
-    private CommandResult await(long revision, String by, boolean writtenNow) {
+    private CommandResult await(long revision, String authorOfRevision, boolean writtenNow) {
       long offset = Publications.offsetOf(revision);
       InForceWatch watch =
           new InForceWatch(
@@ -221,7 +229,7 @@
               subtree.value(),
               revision,
               offset,
-              by,
+              authorOfRevision,
               writtenNow,
               inForce.inForce().stream().map(InstanceStatus::of).toList(),
               inForce.lagging().stream().map(InstanceStatus::of).toList(),
@@ -240,8 +248,8 @@
       return CommandResult.failed(
           ExitStatus.UNREACHABLE,
           """
-          %s: it isn't known whether it was published, or will be: %s
-          publish the same file again with --base %d: it takes effect once"""
+          %s: it is unknown whether it was published or will still be published: %s
+          publish the same file again with --base %d: it takes effect only once"""
               .formatted(subtree, detail, basedOn));
     }
   }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/SettingsShow.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/SettingsShow.java
@@ -15,10 +15,10 @@
 import org.teaseldeal.operator.session.LedgerSessions;
 import org.teaseldeal.settings.SubtreeId;
 
-/** Shows a subtree in force, or which there are. */
+/** Shows the settings of a subtree in force, or lists all subtrees. */
 @Parameters(
     commandNames = "show",
-    commandDescription = "Show a subtree in force, or list all of them")
+    commandDescription = "Show the settings of a subtree in force, or list all subtrees")
 public final class SettingsShow implements Command {
   @Parameter(description = "[SUBTREE]")
   private List<String> arguments = new ArrayList<>();
@@ -26,7 +26,7 @@
   @ParametersDelegate private final PlatformOptions platform = new PlatformOptions();
   @ParametersDelegate private final CommonOptions common = new CommonOptions();
 
-  /** A subtree in force; its text for people is TOML again. */
+  /** A subtree in force; its text for people is valid TOML. */
   record Subtree(String subtree, long revision, String author, String toml) implements Report {
     @Override
     public String text() {
@@ -35,10 +35,10 @@
     }
   }
 
-  /** One line of the list. */
+  /** One subtree in the list. */
   record Row(String subtree, long revision, String author) {}
 
-  /** All subtrees. */
+  /** All subtrees in force. */
   record Subtrees(List<Row> subtrees) implements Report {
     @Override
     public String text() {
@@ -50,12 +50,12 @@
 
   @Override
   public CommandResult run(CommandContext context) {
-    PositionalArguments given = PositionalArguments.check(arguments, "[SUBTREE]");
-    if (!given.has(0)) {
+    PositionalArguments positional = PositionalArguments.check(arguments, "[SUBTREE]");
+    if (!positional.has(0)) {
       LedgerSessions ledgers = context.ledgers(platform);
       return LedgerReads.withAllStates(ledgers, SettingsShow::list);
     }
-    SubtreeId subtree = given.parse(0, SubtreeId::new);
+    SubtreeId subtree = positional.parse(0, SubtreeId::new);
     LedgerSessions ledgers = context.ledgers(platform);
     return LedgerReads.withState(ledgers.session(subtree), state -> show(state, subtree));
   }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/package-info.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/package-info.java
@@ -1,4 +1,4 @@
-/** One class for each command: its options, and what it does with them. */
+/** The commands: each class holds the options of one command and runs it. */
 @NullMarked
 package org.teaseldeal.operator.command;
 
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/explain/Cause.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/explain/Cause.java
@@ -3,47 +3,54 @@
 import java.util.Locale;
 import java.util.function.Function;
 
-/** Why requests end as they do, by the outcome in the log; the sentence names what decided. */
+/**
+ * Explains the outcomes of requests. Each constant is named after an outcome in the log; its
+ * sentence says what led to the outcome.
+ */
 enum Cause {
   ANSWERED(
-      story ->
+      history ->
           "A backend server answered with status %d on attempt %d."
-              .formatted(story.end().number("status"), story.end().number("attempts"))),
+              .formatted(history.end().number("status"), history.end().number("attempts"))),
   BUDGET_EXHAUSTED(
-      story ->
-          "The prepaid total of %s did not cover it: %s."
-              .formatted(story.end().text("customer"), story.end().text("detail"))),
+      history ->
+          "The prepaid total of %s did not cover the request: %s."
+              .formatted(history.end().text("customer"), history.end().text("detail"))),
   NO_LEASE(Cause::noLease),
   UNAUTHENTICATED(
-      story -> "Its key is in no plan up to version %d.".formatted(story.end().number("plan"))),
+      history ->
+          "No plan up to version %d contains its key.".formatted(history.end().number("plan"))),
   UNKNOWN_SERVICE(
-      story ->
-          "No route of plan version %d takes its host and path."
-              .formatted(story.end().number("plan"))),
+      history ->
+          "No route of plan version %d matches its host and path."
+              .formatted(history.end().number("plan"))),
   BACKEND_FAILED(
-      story ->
-          "It may have run, so it was not sent again; %s."
-              .formatted(story.lastFailure("no attempt's failure is in the logs"))),
+      history ->
+          "It may have run at a backend server, so it was not retried; %s."
+              .formatted(history.lastFailure("the logs contain no failed attempt"))),
   NO_BACKEND_SERVER(
-      story ->
-          "No backend server could take it; %s."
-              .formatted(story.lastFailure("none of its service was listed as ready"))),
-  OVERLOADED(story -> "Its servers were full; %s.".formatted(story.lastFailure("none took it"))),
+      history ->
+          "No backend server could accept it; %s."
+              .formatted(history.lastFailure("no server of its service was listed as ready"))),
+  OVERLOADED(
+      history ->
+          "The backend servers of its service had no free capacity; %s."
+              .formatted(history.lastFailure("none accepted it"))),
   DEADLINE_PASSED(
-      story ->
-          "It ran at a backend server and had no whole answer by its deadline; %s."
-              .formatted(story.lastFailure("no attempt failed before"))),
-  EXPIRED_WAITING(story -> "It waited until its deadline and was not run."),
+      history ->
+          "It ran at a backend server, but its answer was not complete by its deadline; %s."
+              .formatted(history.lastFailure("no earlier attempt had failed"))),
+  EXPIRED_WAITING(history -> "It was still waiting at its deadline and was not run."),
   CALLER_GONE(
-      story ->
+      history ->
           "Its caller closed the connection after %.0f ms."
-              .formatted(story.end().fields().path("took_ms").asDouble())),
+              .formatted(history.end().fields().path("took_ms").asDouble())),
   STREAM_BROKEN(
-      story ->
-          "Its answer broke off midway and could not be gone on with: %s."
-              .formatted(story.end().text("detail"))),
-  QUARANTINED(story -> "It had crashed several backend servers and is not sent any more."),
-  NOT_READY(story -> "The instance had no plan yet: it was starting.");
+      history ->
+          "Its answer was cut off midway and could not be resumed: %s."
+              .formatted(history.end().text("detail"))),
+  QUARANTINED(history -> "It had crashed several backend servers, so it is no longer sent to any."),
+  NOT_READY(history -> "The instance was starting and had no plan yet.");
 
   private final Function<RequestHistory, String> sentence;
 
@@ -51,34 +58,34 @@
     this.sentence = sentence;
   }
 
-  /** One sentence on why the request of {@code story} ended. */
-  static String of(RequestHistory story) {
-    String outcome = story.end().text("outcome");
+  /** Returns one sentence on why the request of {@code history} ended as it did. */
+  static String of(RequestHistory history) {
+    String outcome = history.end().text("outcome");
     String name = outcome.toUpperCase(Locale.ROOT).replace('-', '_');
     for (Cause cause : values()) {
       if (cause.name().equals(name)) {
-        return cause.sentence.apply(story);
+        return cause.sentence.apply(history);
       }
     }
-    return "It ended as %s: %s.".formatted(outcome, story.end().text("detail"));
+    return "Its outcome was %s: %s.".formatted(outcome, history.end().text("detail"));
   }
 
-  private static String noLease(RequestHistory story) {
-    String customer = story.end().text("customer");
-    String tokens = "The instance had too few tokens of %s at hand".formatted(customer);
-    String needed = ": " + story.end().text("detail") + ".";
-    if (!story.unreachableDependencies().isEmpty()) {
-      return tokens
-          + " and could not be granted more, as it did not reach "
-          + String.join(", ", story.unreachableDependencies())
-          + needed;
+  private static String noLease(RequestHistory history) {
+    String customer = history.end().text("customer");
+    String tooFewTokens = "The instance held too few tokens of %s".formatted(customer);
+    String tokensNeeded = ": " + history.end().text("detail") + ".";
+    if (!history.unreachableDependencies().isEmpty()) {
+      return tooFewTokens
+          + " and could not obtain more because it could not reach "
+          + String.join(", ", history.unreachableDependencies())
+          + tokensNeeded;
     }
-    long lost = story.accountNumber("lostByAll");
-    return lost > 0
-        ? tokens
-            + ", and of the rest %d were lost with processes that were killed, or lost power"
-                .formatted(lost)
-            + needed
-        : tokens + ", and the rest of the total was held by other instances" + needed;
+    long tokensLost = history.accountNumber("lostByAll");
+    return tokensLost > 0
+        ? tooFewTokens
+            + ", and %d of the other tokens were lost with processes that were killed or lost power"
+                .formatted(tokensLost)
+            + tokensNeeded
+        : tooFewTokens + ", and the rest of the total was held by other instances" + tokensNeeded;
   }
 }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/explain/EventLine.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/explain/EventLine.java
@@ -10,16 +10,16 @@
 /**
  * One event of an instance's log.
  *
- * @param fields of the event, time, instance and its kind among them
+ * @param fields all fields of the event, including the time, the instance and the event's type
  */
 public record EventLine(Instant time, String instance, String event, JsonNode fields) {
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
   /**
-   * Reads a line; empty if it is no event, such as a warning in plain text. Whatever a collector
-   * put before the JSON is passed over.
+   * Parses a line; the result is empty if the line is no event, such as a warning in plain text. A
+   * prefix that a log collector put before the JSON is skipped.
    *
-   * @throws IllegalArgumentException if it looks like an event and can't be read
+   * @throws IllegalArgumentException if the line looks like an event but cannot be parsed
    */
   static Optional<EventLine> read(String line) {
     int start = line.indexOf("{\"time\"");
@@ -47,7 +47,7 @@
     return fields.path(field).asLong();
   }
 
-  /** The event and its fields, without time and instance. */
+  /** Returns the event and its fields as text, without the time, the instance and the request. */
   String summary() {
     StringBuilder text = new StringBuilder(event);
     fields
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/explain/Explanation.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/explain/Explanation.java
@@ -6,10 +6,12 @@
 /**
  * Why a request ended as it did.
  *
- * @param cause one sentence
- * @param beliefs what its instance last logged of what the request rested on
- * @param events of the request itself
- * @param unreadableLines in the files, which might hold more
+ * @param cause the explanation, in one sentence
+ * @param beliefs the last events, before the request ended, that show the state on which its
+ *     instance based its decisions
+ * @param events the events of the request itself
+ * @param unreadableLines the number of lines in the files that could not be parsed and might
+ *     contain further events
  */
 public record Explanation(
     String request,
@@ -19,13 +21,13 @@
     List<String> events,
     int unreadableLines)
     implements Report {
-  static Explanation of(String request, RequestHistory story, int unreadableLines) {
+  static Explanation of(String request, RequestHistory history, int unreadableLines) {
     return new Explanation(
         request,
-        story.end().instance(),
-        Cause.of(story),
-        story.knownState().stream().map(Explanation::timed).toList(),
-        story.lines().stream().map(Explanation::timed).toList(),
+        history.end().instance(),
+        Cause.of(history),
+        history.knownState().stream().map(Explanation::timed).toList(),
+        history.lines().stream().map(Explanation::timed).toList(),
         unreadableLines);
   }
 
@@ -37,9 +39,9 @@
   public String text() {
     StringBuilder text = new StringBuilder();
     text.append(request).append(" at ").append(instance).append(": ").append(cause);
-    text.append("\n\nWhat the instance believed:");
+    text.append("\n\nState known to the instance:");
     beliefs.forEach(line -> text.append("\n  ").append(line));
-    text.append("\n\nWhat became of the request:");
+    text.append("\n\nEvents of the request:");
     events.forEach(line -> text.append("\n  ").append(line));
     if (unreadableLines > 0) {
       text.append("\n\n%d lines could not be read.".formatted(unreadableLines));
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/explain/LogFiles.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/explain/LogFiles.java
@@ -12,7 +12,8 @@
 /**
  * The events of several log files.
  *
- * @param unreadable lines that look like events and aren't; a process that is killed cuts its last
+ * @param unreadable the number of lines that look like events but cannot be parsed, for instance
+ *     because the process was killed while it wrote its last line
  */
 public record LogFiles(List<EventLine> events, int unreadable) {
   public LogFiles {
@@ -20,9 +21,9 @@
   }
 
   /**
-   * Reads files.
+   * Reads all {@code files}.
    *
-   * @throws IOException with the file's name, if one can't be read
+   * @throws IOException with the name of the file, if a file can't be read
    */
   public static LogFiles read(List<String> files) throws IOException {
     List<EventLine> events = new ArrayList<>();
@@ -48,9 +49,9 @@
     }
   }
 
-  /** Explains how {@code request} ended; empty if the files don't say it. */
+  /** Explains how {@code request} ended; empty if the files contain no event that says so. */
   public Optional<Explanation> explain(String request) {
     return RequestHistory.find(request, events)
-        .map(story -> Explanation.of(request, story, unreadable));
+        .map(history -> Explanation.of(request, history, unreadable));
   }
 }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/explain/RequestHistory.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/explain/RequestHistory.java
@@ -11,38 +11,39 @@
 import java.util.Set;
 
 /**
- * What the logs tell of one request, and of what its instance believed when it ended.
+ * The logged events of one request, and the state that its instance knew when the request ended.
  *
- * @param lines of the request, in order of time
- * @param knownState the newest line of each kind at the instance that ended it, before its end
- * @param end how it ended
+ * @param lines the events of the request, in order of time
+ * @param knownState the latest event of each kind at the instance that ended the request, up to its
+ *     end
+ * @param end the event that ended the request
  */
 record RequestHistory(List<EventLine> lines, List<EventLine> knownState, EventLine end) {
   private static final String ENDED = "RequestEnded";
 
-  /** Finds the story of {@code request}; empty if no line says how it ended. */
+  /** Finds the history of {@code request}; empty if no event says how it ended. */
   static Optional<RequestHistory> find(String request, List<EventLine> all) {
     List<EventLine> sorted = new ArrayList<>(all);
     sorted.sort(Comparator.comparing(EventLine::time));
-    List<EventLine> own =
+    List<EventLine> requestLines =
         sorted.stream().filter(line -> line.text("request").equals(request)).toList();
-    return own.stream()
+    return requestLines.stream()
         .filter(line -> line.event().equals(ENDED))
         .findFirst()
-        .map(end -> new RequestHistory(own, knownState(own, end, sorted), end));
+        .map(end -> new RequestHistory(requestLines, knownState(requestLines, end, sorted), end));
   }
 
   private static List<EventLine> knownState(
-      List<EventLine> own, EventLine end, List<EventLine> sorted) {
+      List<EventLine> requestLines, EventLine end, List<EventLine> sorted) {
     Set<String> servers = new HashSet<>();
-    own.forEach(line -> servers.add(line.text("server")));
+    requestLines.forEach(line -> servers.add(line.text("server")));
     Map<String, EventLine> newest = new LinkedHashMap<>();
     for (EventLine line : sorted) {
       if (line.time().isAfter(end.time()) || !line.instance().equals(end.instance())) {
         continue;
       }
       if (line.event().equals("InstanceState") && line.text("state").equals("starting")) {
-        // What an earlier process believed, this one didn't know.
+        // A new process does not know the state of the process before it.
         newest.clear();
       }
       stateKey(line, end.text("customer"), servers).ifPresent(name -> newest.put(name, line));
@@ -50,7 +51,10 @@
     return newest.values().stream().sorted(Comparator.comparing(EventLine::time)).toList();
   }
 
-  /** What a line is about, if the request rested on it; a later line on the same replaces it. */
+  /**
+   * Returns the key of the state that an event reports, if the request depended on that state; a
+   * later event with the same key replaces the earlier one.
+   */
   private static Optional<String> stateKey(EventLine line, String customer, Set<String> servers) {
     return switch (line.event()) {
       case "PlanInForce", "InstanceState" -> Optional.of(line.event());
@@ -65,12 +69,12 @@
     };
   }
 
-  /** The dependencies that were lost when the request ended. */
+  /** Returns the names of the dependencies that were unreachable when the request ended. */
   List<String> unreachableDependencies() {
     Map<String, Boolean> reachable = new HashMap<>();
-    for (EventLine belief : knownState) {
-      if (belief.event().equals("Dependency")) {
-        reachable.put(belief.text("name"), belief.fields().path("reachable").asBoolean());
+    for (EventLine state : knownState) {
+      if (state.event().equals("Dependency")) {
+        reachable.put(state.text("name"), state.fields().path("reachable").asBoolean());
       }
     }
     return reachable.entrySet().stream()
@@ -80,7 +84,7 @@
         .toList();
   }
 
-  /** What happened to the last attempt that failed, or {@code otherwise}. */
+  /** Describes the last failed attempt; returns {@code otherwise} if no attempt failed. */
   String lastFailure(String otherwise) {
     return lines.reversed().stream()
         .filter(line -> line.event().equals("AttemptFailed"))
@@ -97,11 +101,11 @@
         .orElse(otherwise);
   }
 
-  /** A number of the customer's account as the instance last logged it; 0 if it didn't. */
+  /** Returns a field of the last logged level of the customer's account; 0 if none was logged. */
   long accountNumber(String field) {
     return knownState.stream()
-        .filter(belief -> belief.event().equals("AccountLevel"))
-        .mapToLong(belief -> belief.number(field))
+        .filter(state -> state.event().equals("AccountLevel"))
+        .mapToLong(state -> state.number(field))
         .findFirst()
         .orElse(0);
   }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/explain/package-info.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/explain/package-info.java
@@ -1,4 +1,4 @@
-/** Finds the cause of a request's end in the logs of several instances. */
+/** Explains from the logs of several instances why a request ended as it did. */
 @NullMarked
 package org.teaseldeal.operator.explain;
 
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/fleet/FoldProgress.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/fleet/FoldProgress.java
@@ -3,10 +3,10 @@
 import java.util.OptionalLong;
 
 /**
- * How far an instance is known to have folded a stream.
+ * The last offset of a stream that an instance is known to have folded into its state.
  *
- * @param offset the last offset it is known to have folded; empty if nothing is known
- * @param note why no more is known; empty if the instance said so itself
+ * @param offset the last offset that the instance is known to have folded; empty if none is known
+ * @param note why the progress isn't known more exactly; empty if the instance reported it itself
  */
 public record FoldProgress(OptionalLong offset, String note) {
   static FoldProgress known(long offset) {
@@ -17,13 +17,16 @@
     return new FoldProgress(OptionalLong.empty(), note);
   }
 
-  /** Whether the record at {@code wanted} is known to have been folded. */
-  public boolean reaches(long wanted) {
-    return offset.isPresent() && offset.getAsLong() >= wanted;
+  /** Returns whether the instance is known to have folded the record at offset {@code target}. */
+  public boolean reaches(long target) {
+    return offset.isPresent() && offset.getAsLong() >= target;
   }
 
-  /** This, or what the instance's own records say if nothing else is known. */
-  FoldProgress orElseRecorded(OptionalLong written) {
-    return offset.isPresent() ? this : new FoldProgress(written, note);
+  /**
+   * Returns this progress if it has an offset, and otherwise the offset that the records of the
+   * instance itself prove.
+   */
+  FoldProgress orElseRecorded(OptionalLong recorded) {
+    return offset.isPresent() ? this : new FoldProgress(recorded, note);
   }
 }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/fleet/HttpFetcher.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/fleet/HttpFetcher.java
@@ -13,11 +13,14 @@
 import org.teaseldeal.net.HttpCallRequest;
 import org.teaseldeal.net.HttpClient;
 
-/** Waits for whole answers of an {@link HttpClient}. */
+/** Performs HTTP calls with an {@link HttpClient} and waits for the complete response. */
 public final class HttpFetcher {
   private static final byte[] NO_BODY = {};
 
-  /** The client's own timeout ends a call; this only bounds the wait for that to be told. */
+  /**
+   * The time to wait beyond the client's own timeout, which normally ends a call. It bounds the
+   * wait if the client never completes the call.
+   */
   private static final Duration COMPLETION_GRACE = Duration.ofSeconds(5);
 
   private final HttpClient client;
@@ -27,19 +30,24 @@
     this.client = client;
   }
 
-  /** The answer to a GET, with {@code token} as the bearer token. */
+  /** Returns the response to a GET that carries {@code token} as the bearer token. */
   public HttpAnswer get(String address, String path, Optional<String> token, Duration timeout)
       throws IOException {
     return call(address, "GET", path, token, timeout);
   }
 
-  /** The answer to a POST without a body, with {@code token} as the bearer token. */
+  /**
+   * Returns the response to a POST without a body that carries {@code token} as the bearer token.
+   */
   public HttpAnswer post(String address, String path, Optional<String> token, Duration timeout)
       throws IOException {
     return call(address, "POST", path, token, timeout);
   }
 
-  /** Begins a call, which ends within {@code timeout}, with {@code token} as the bearer token. */
+  /**
+   * Starts a call that carries {@code token} as the bearer token and completes within {@code
+   * timeout}.
+   */
   CompletableFuture<HttpAnswer> start(
       String address, String method, String path, Optional<String> token, Duration timeout) {
     Map<String, String> headers = new HashMap<>();
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/fleet/InForceWatch.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/fleet/InForceWatch.java
@@ -23,15 +23,19 @@
 /**
  * Waits until a record of the ledger is in force at every live instance.
  *
- * <p>Live is who stands on the platform's list, and who joined the ledger and wrote to it lately:
- * the list lags, and an instance that has just started may not be on it yet. An instance has the
- * record in force once it has folded the record's offset. That is taken from its admin listener or,
- * as a proof that needs no connection, from what its own later records say.
+ * <p>An instance is live if the platform lists it, or if it joined the ledger and wrote a record
+ * recently: the platform's list lags, so an instance that has just started may not be listed yet. A
+ * record is in force at an instance once the instance has folded the record's offset. This is read
+ * from the instance's admin listener or, without a connection, proved by the offset in later
+ * records of the instance.
  */
 public final class InForceWatch {
   private static final Duration CHECK_INTERVAL = Duration.ofMillis(100);
 
-  /** Longer than the platform's list lags, short enough not to wait for instances long dead. */
+  /**
+   * Longer than the lag of the platform's list, and short enough not to wait for instances that
+   * ended long ago.
+   */
   private static final Duration RECENT_RECORD_AGE = Duration.ofSeconds(60);
 
   private final PlatformList list;
@@ -48,10 +52,16 @@
     this.clock = clock;
   }
 
-  /** One live instance and how far it is. */
+  /** The progress of one live instance. */
   public record InstanceProgress(String instance, String incarnation, FoldProgress progress) {}
 
-  /** How far a record is in force. */
+  /**
+   * The progress of a record through the fleet.
+   *
+   * @param inForce the instances at which the record is known to be in force
+   * @param lagging the other live instances
+   * @param listProblem why the platform's list couldn't be read; empty if it was read
+   */
   public record InForceStatus(
       List<InstanceProgress> inForce,
       List<InstanceProgress> lagging,
@@ -61,19 +71,22 @@
       lagging = List.copyOf(lagging);
     }
 
-    /** Whether every live instance is known to have the record in force. */
+    /** Returns whether the record is known to be in force at every live instance. */
     public boolean everywhere() {
       return lagging.isEmpty() && listProblem.isEmpty();
     }
   }
 
-  /** Asks until the record at {@code offset} is in force everywhere or {@code limit} is over. */
-  public InForceStatus await(StreamId stream, long offset, Duration limit) {
-    Instant deadline = clock.instant().plus(limit);
+  /**
+   * Checks repeatedly until the record at {@code offset} is in force everywhere or {@code timeout}
+   * has passed.
+   */
+  public InForceStatus await(StreamId stream, long offset, Duration timeout) {
+    Instant deadline = clock.instant().plus(timeout);
     while (true) {
-      InForceStatus inForce = check(stream, offset);
-      if (inForce.everywhere() || !clock.instant().isBefore(deadline) || !sleepBetweenChecks()) {
-        return inForce;
+      InForceStatus status = check(stream, offset);
+      if (status.everywhere() || !clock.instant().isBefore(deadline) || !sleepBetweenChecks()) {
+        return status;
       }
     }
   }
@@ -83,49 +96,50 @@
     return switch (list.read()) {
       case Listing.Unreachable(String detail) ->
           new InForceStatus(List.of(), List.of(), Optional.of(detail));
-      case Listing.Found(List<ListedInstance> routers) -> check(routers, joined, stream, offset);
+      case Listing.Found(List<ListedInstance> listed) -> check(listed, joined, stream, offset);
     };
   }
 
   private InForceStatus check(
-      List<ListedInstance> routers,
+      List<ListedInstance> listed,
       Map<IncarnationId, InstanceView> joined,
       StreamId stream,
       long offset) {
-    // All are asked at once: one that doesn't answer must not hold up what is known of others.
-    List<CompletableFuture<InstanceProgress>> asked = new ArrayList<>();
-    for (ListedInstance router : routers) {
-      OptionalLong written = recordedOffset(joined.remove(router.incarnation()));
-      asked.add(
-          queryProgress(router, stream, offset, written)
+    // All instances are queried concurrently, so that an instance that does not respond does not
+    // delay the results of the others.
+    List<CompletableFuture<InstanceProgress>> queries = new ArrayList<>();
+    for (ListedInstance instance : listed) {
+      OptionalLong recorded = recordedOffset(joined.remove(instance.incarnation()));
+      queries.add(
+          queryProgress(instance, stream, offset, recorded)
               .thenApply(
                   folded ->
                       new InstanceProgress(
-                          router.instance().name(), router.incarnation().value(), folded)));
+                          instance.instance().name(), instance.incarnation().value(), folded)));
     }
-    List<InstanceProgress> sights = new ArrayList<>();
-    asked.forEach(sight -> sights.add(sight.join()));
-    joined.values().forEach(view -> sights.add(unlistedProgress(view)));
-    Map<Boolean, List<InstanceProgress>> sorted =
-        sights.stream().collect(Collectors.partitioningBy(s -> s.progress().reaches(offset)));
+    List<InstanceProgress> progresses = new ArrayList<>();
+    queries.forEach(query -> progresses.add(query.join()));
+    joined.values().forEach(view -> progresses.add(unlistedProgress(view)));
+    Map<Boolean, List<InstanceProgress>> byInForce =
+        progresses.stream().collect(Collectors.partitioningBy(s -> s.progress().reaches(offset)));
     return new InForceStatus(
-        sorted.getOrDefault(true, List.of()),
-        sorted.getOrDefault(false, List.of()),
+        byInForce.getOrDefault(true, List.of()),
+        byInForce.getOrDefault(false, List.of()),
         Optional.empty());
   }
 
   private CompletableFuture<FoldProgress> queryProgress(
-      ListedInstance router, StreamId stream, long offset, OptionalLong written) {
-    FoldProgress byRecord = new FoldProgress(written, "has registered no admin address");
-    if (byRecord.reaches(offset)) {
-      return CompletableFuture.completedFuture(new FoldProgress(written, ""));
+      ListedInstance instance, StreamId stream, long offset, OptionalLong recorded) {
+    FoldProgress fromRecords = new FoldProgress(recorded, "has registered no admin address");
+    if (fromRecords.reaches(offset)) {
+      return CompletableFuture.completedFuture(new FoldProgress(recorded, ""));
     }
-    return router
+    return instance
         .adminAddress()
         .map(
             address ->
-                admin.foldProgress(address, stream).thenApply(f -> f.orElseRecorded(written)))
-        .orElseGet(() -> CompletableFuture.completedFuture(byRecord));
+                admin.foldProgress(address, stream).thenApply(f -> f.orElseRecorded(recorded)))
+        .orElseGet(() -> CompletableFuture.completedFuture(fromRecords));
   }
 
   private static InstanceProgress unlistedProgress(InstanceView view) {
@@ -136,7 +150,10 @@
             OptionalLong.of(view.foldedTo()), "joined, but isn't on the platform's list yet"));
   }
 
-  /** Instances that joined the ledger, without those that neither are listed nor wrote lately. */
+  /**
+   * Returns the instances that joined the ledger and wrote a record recently. If the ledger cannot
+   * be read, the result is empty.
+   */
   private Map<IncarnationId, InstanceView> recentlyJoined() {
     Map<IncarnationId, InstanceView> joined = new HashMap<>();
     if (session.catchUp() instanceof CatchUpResult.Done(LedgerState state)) {
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/fleet/ListedInstance.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/fleet/ListedInstance.java
@@ -6,9 +6,11 @@
 import org.teaseldeal.api.InstanceId;
 
 /**
- * One entry instance as the platform lists it.
+ * One entry instance on the platform's list.
  *
- * @param adminAddress {@code host:port} of its admin listener, if it registered one
+ * @param leaving whether the platform lists the instance as leaving
+ * @param adminAddress {@code host:port} of the instance's admin listener; empty if it registered
+ *     none
  */
 public record ListedInstance(
     InstanceId instance,
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/fleet/PlatformList.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/fleet/PlatformList.java
@@ -12,7 +12,7 @@
 import org.teaseldeal.api.InstanceId;
 import org.teaseldeal.net.HttpAnswer;
 
-/** The platform's list of instances, which lags behind what is the case. */
+/** Reads the platform's list of instances, which lags behind the actual state of the fleet. */
 public final class PlatformList {
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final int STATUS_OK = 200;
@@ -21,23 +21,23 @@
   private final String address;
   private final Duration timeout;
 
-  /** Creates a reader of the list at the platform's {@code address}. */
+  /** Creates a reader of the list of the platform at {@code address}. */
   public PlatformList(HttpFetcher http, String address, Duration timeout) {
     this.http = http;
     this.address = address;
     this.timeout = timeout;
   }
 
-  /** Either the list or why it couldn't be read. */
+  /** The result of reading the list. */
   public sealed interface Listing {
-    /** The entry instances listed, ordered by name. */
+    /** The entry instances on the list, ordered by name. */
     record Found(List<ListedInstance> instances) implements Listing {
       public Found {
         instances = List.copyOf(instances);
       }
     }
 
-    /** The list couldn't be read. */
+    /** The list couldn't be read; {@code detail} says why. */
     record Unreachable(String detail) implements Listing {}
   }
 
@@ -54,14 +54,14 @@
   }
 
   private static Listing parse(byte[] body) throws IOException {
-    List<ListedInstance> routers = new ArrayList<>();
+    List<ListedInstance> instances = new ArrayList<>();
     for (JsonNode entry : MAPPER.readTree(body).path("instances")) {
       if (entry.path("role").asText().equals("router")) {
-        routers.add(listedInstance(entry));
+        instances.add(listedInstance(entry));
       }
     }
-    routers.sort((a, b) -> a.instance().compareTo(b.instance()));
-    return new Listing.Found(routers);
+    instances.sort((a, b) -> a.instance().compareTo(b.instance()));
+    return new Listing.Found(instances);
   }
 
   private static ListedInstance listedInstance(JsonNode entry) throws IOException {
@@ -73,7 +73,7 @@
           entry.path("state").asText().equals("leaving"),
           Optional.ofNullable(entry.get("admin_address")).map(JsonNode::asText));
     } catch (IllegalArgumentException e) {
-      throw new IOException("entry of the list is wrong: " + e.getMessage(), e);
+      throw new IOException("malformed list entry: " + e.getMessage(), e);
     }
   }
 }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/fleet/package-info.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/fleet/package-info.java
@@ -1,4 +1,4 @@
-/** The platform's list of instances, and their admin listeners. */
+/** Access to the platform's list of instances and to the admin listeners of the instances. */
 @NullMarked
 package org.teaseldeal.operator.fleet;
 
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/AttemptRecord.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/AttemptRecord.java
@@ -4,12 +4,14 @@
 import java.time.Instant;
 
 /**
- * What became of one attempt of a caller.
+ * One attempt of a caller to have a request answered, and how it ended.
  *
- * @param fingerprint the same for each attempt of a request
- * @param kind of request, such as {@code stream 400 ms}
- * @param arrived when its instance took it
- * @param stateAge how old the belief was that decided it; negative if none did or it isn't known
+ * @param fingerprint identifies the request: equal for all of its attempts
+ * @param kind the kind of the request, such as {@code stream 400 ms}
+ * @param arrived when the instance accepted the attempt
+ * @param cause why the attempt wasn't answered in time; not meaningful if it was
+ * @param stateAge how old the information was on which the instance based the outcome; negative if
+ *     there was none or its age isn't logged
  */
 record AttemptRecord(
     String fingerprint,
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/CauseTotals.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/CauseTotals.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Adds up the requests that were lost for one cause. */
+/** Sums the requests that were lost for one cause. */
 final class CauseTotals {
   private final LossCause cause;
   private final Map<String, LossReport.Cell> byColumn = new TreeMap<>();
@@ -18,18 +18,18 @@
     this.cause = cause;
   }
 
-  /** Adds a request of {@code second} that was worth {@code worth}. */
+  /** Adds a request that arrived in {@code second} and whose loss cost {@code worth}. */
   void add(AttemptRecord request, double worth, String column, int second) {
-    LossReport.Cell one = new LossReport.Cell(1, worth);
-    total = total.plus(one);
-    byColumn.merge(column, one, LossReport.Cell::plus);
+    LossReport.Cell lost = new LossReport.Cell(1, worth);
+    total = total.plus(lost);
+    byColumn.merge(column, lost, LossReport.Cell::plus);
     worthBySecond.merge(second, worth, Double::sum);
     if (!request.stateAge().isNegative()) {
       stateAges.add(request.stateAge());
     }
   }
 
-  /** Adds requests of which nothing more is known. */
+  /** Adds requests of which only the number is known; each counts with a worth of 1. */
   void add(long requests) {
     total = total.plus(new LossReport.Cell(requests, requests));
   }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/InstanceLogAnalyzer.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/InstanceLogAnalyzer.java
@@ -11,13 +11,15 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Follows one instance's log: what it believed, and which requests it has. Tells each attempt of a
- * caller as it ends, with the cause if it wasn't answered in time.
+ * Analyses the log of one instance. It tracks the requests that the instance has not ended yet and
+ * what the instance knew about its dependencies and accounts. It reports each attempt of a caller
+ * when it ends, with the cause if it wasn't answered in time.
  */
 final class InstanceLogAnalyzer {
+  /** The assumed rate at which a backend server processes the tokens of a prompt. */
   private static final double PROMPT_TOKENS_PER_MS = 60;
 
-  /** A request that the instance has taken and not ended. */
+  /** A request that the instance has accepted and not ended yet. */
   private static final class OpenRequest {
     private final Instant firstEventAt;
     private String fingerprint = "";
@@ -28,12 +30,15 @@
     private boolean placed;
     private LogReader.@Nullable LogEntry lateAnswer;
 
-    private OpenRequest(Instant since) {
-      this.firstEventAt = since;
+    private OpenRequest(Instant firstEventAt) {
+      this.firstEventAt = firstEventAt;
     }
   }
 
-  /** Something that the instance has lost, and since when. */
+  /**
+   * The dependencies that the instance cannot reach, by name, and the time since which they are
+   * unreachable.
+   */
   private final Map<String, Instant> unreachableSince = new TreeMap<>();
 
   private final Map<String, OpenRequest> openRequests = new LinkedHashMap<>();
@@ -47,44 +52,44 @@
   private Instant loopStalledAt = Instant.MIN;
   private Duration loopStall = Duration.ZERO;
 
-  InstanceLogAnalyzer(String instance, Consumer<AttemptRecord> ended) {
+  InstanceLogAnalyzer(String instance, Consumer<AttemptRecord> endedAttempts) {
     this.instance = instance;
-    this.endedAttempts = ended;
+    this.endedAttempts = endedAttempts;
   }
 
-  void accept(LogReader.LogEntry line) {
-    switch (line.event()) {
-      case "InstanceState" -> onState(line);
-      case "Dependency" -> onDependency(line);
+  void accept(LogReader.LogEntry entry) {
+    switch (entry.event()) {
+      case "InstanceState" -> onState(entry);
+      case "Dependency" -> onDependency(entry);
       case "AccountLevel" -> {
-        tokensLostByAll.put(line.text("customer"), (long) line.number("lostByAll"));
-        accountLevelAt.put(line.text("customer"), line.time());
+        tokensLostByAll.put(entry.text("customer"), (long) entry.number("lostByAll"));
+        accountLevelAt.put(entry.text("customer"), entry.time());
       }
-      case "HolderUnreachable" -> holderUnreachableAt.put(line.text("customer"), line.time());
+      case "HolderUnreachable" -> holderUnreachableAt.put(entry.text("customer"), entry.time());
       case "LoopStalled" -> {
-        loopStalledAt = line.time();
-        loopStall = millis(line, "late_ms");
+        loopStalledAt = entry.time();
+        loopStall = millis(entry, "late_ms");
       }
-      case "WaitsForTokens" -> openRequest(line).customer = line.text("customer");
-      case "Placed" -> onPlaced(line);
-      case "AttemptFailed" -> openRequest(line).lastFailure = line.text("failure");
-      case "AnsweredLate" -> openRequest(line).lateAnswer = line;
-      case "RequestEnded" -> onEnded(line);
+      case "WaitsForTokens" -> openRequest(entry).customer = entry.text("customer");
+      case "Placed" -> onPlaced(entry);
+      case "AttemptFailed" -> openRequest(entry).lastFailure = entry.text("failure");
+      case "AnsweredLate" -> openRequest(entry).lateAnswer = entry;
+      case "RequestEnded" -> onEnded(entry);
       default -> {}
     }
   }
 
-  /** Tells what was open when the logs end, as its process had. */
+  /** Reports the requests that are still open at the end of the logs as lost with the process. */
   void finish() {
     openRequests.values().forEach(this::reportLostWithProcess);
     openRequests.clear();
   }
 
-  private void onState(LogReader.LogEntry line) {
-    switch (line.text("state")) {
+  private void onState(LogReader.LogEntry entry) {
+    switch (entry.text("state")) {
       case "starting" -> {
         finish();
-        dataCentre = line.text("detail");
+        dataCentre = entry.text("detail");
         unreachableSince.clear();
         stopping = false;
       }
@@ -93,24 +98,24 @@
     }
   }
 
-  private void onDependency(LogReader.LogEntry line) {
-    if (line.fields().path("reachable").asBoolean()) {
-      unreachableSince.remove(line.text("name"));
+  private void onDependency(LogReader.LogEntry entry) {
+    if (entry.fields().path("reachable").asBoolean()) {
+      unreachableSince.remove(entry.text("name"));
     } else {
-      unreachableSince.putIfAbsent(line.text("name"), line.time());
+      unreachableSince.putIfAbsent(entry.text("name"), entry.time());
     }
   }
 
-  private OpenRequest openRequest(LogReader.LogEntry line) {
-    return openRequests.computeIfAbsent(line.text("request"), id -> new OpenRequest(line.time()));
+  private OpenRequest openRequest(LogReader.LogEntry entry) {
+    return openRequests.computeIfAbsent(entry.text("request"), id -> new OpenRequest(entry.time()));
   }
 
-  private void onPlaced(LogReader.LogEntry line) {
-    OpenRequest request = openRequest(line);
+  private void onPlaced(LogReader.LogEntry entry) {
+    OpenRequest request = openRequest(entry);
     request.placed = true;
-    request.fingerprint = line.text("fingerprint");
-    request.promptTokensReread = line.number("readAgain");
-    request.serverStateAge = millis(line, "heardAgo_ms");
+    request.fingerprint = entry.text("fingerprint");
+    request.promptTokensReread = entry.number("readAgain");
+    request.serverStateAge = millis(entry, "heardAgo_ms");
   }
 
   private void reportLostWithProcess(OpenRequest request) {
@@ -128,114 +133,117 @@
             Duration.ofNanos(-1)));
   }
 
-  private void onEnded(LogReader.LogEntry line) {
+  private void onEnded(LogReader.LogEntry entry) {
     OpenRequest request =
-        Optional.ofNullable(openRequests.remove(line.text("request")))
-            .orElse(new OpenRequest(line.time()));
-    Duration took = millis(line, "took_ms");
-    Assessment judged = assess(request, line);
+        Optional.ofNullable(openRequests.remove(entry.text("request")))
+            .orElse(new OpenRequest(entry.time()));
+    Duration duration = millis(entry, "took_ms");
+    Assessment assessment = assess(request, entry);
     String kind =
-        line.text("kind").isEmpty()
+        entry.text("kind").isEmpty()
             ? ""
-            : "%s %.0f ms".formatted(line.text("kind"), line.number("aim_ms"));
+            : "%s %.0f ms".formatted(entry.text("kind"), entry.number("aim_ms"));
     endedAttempts.accept(
         new AttemptRecord(
-            line.text("fingerprint"),
+            entry.text("fingerprint"),
             kind,
-            line.text("customer"),
+            entry.text("customer"),
             instance,
             dataCentre,
-            line.time().minus(took),
-            line.time(),
-            judged.outcome(),
-            judged.cause(),
-            judged.stateAge()));
+            entry.time().minus(duration),
+            entry.time(),
+            assessment.outcome(),
+            assessment.cause(),
+            assessment.stateAge()));
   }
 
   private record Assessment(AttemptOutcome outcome, LossCause cause, Duration stateAge) {}
 
-  private Assessment assess(OpenRequest request, LogReader.LogEntry line) {
-    Duration unknown = Duration.ofNanos(-1);
-    String customer = line.text("customer");
-    return switch (line.text("outcome")) {
-      case "answered" -> assessAnswered(request, line);
+  private Assessment assess(OpenRequest request, LogReader.LogEntry entry) {
+    Duration noAge = Duration.ofNanos(-1);
+    String customer = entry.text("customer");
+    return switch (entry.text("outcome")) {
+      case "answered" -> assessAnswered(request, entry);
       case "budget-exhausted" ->
           new Assessment(
-              AttemptOutcome.REFUSED, LossCause.REFUSED_TOTAL_USED_UP, accountLevelAge(line));
-      case "no-lease" -> assessNoTokens(customer, line);
+              AttemptOutcome.REFUSED, LossCause.REFUSED_TOTAL_USED_UP, accountLevelAge(entry));
+      case "no-lease" -> assessNoTokens(customer, entry);
       case "expired-waiting" ->
           request.placed
               ? new Assessment(
                   AttemptOutcome.REFUSED, LossCause.WAITED_FOR_SERVER, request.serverStateAge)
-              : assessNoTokens(customer, line);
-      case "deadline-passed" -> assessFailed(request, LossCause.QUEUED_AT_SERVER, line);
+              : assessNoTokens(customer, entry);
+      case "deadline-passed" -> assessFailed(request, LossCause.QUEUED_AT_SERVER, entry);
       case "no-backend-server" ->
           new Assessment(
-              AttemptOutcome.REFUSED, isolatedOr(LossCause.NO_SERVER), longestUnreachable(line));
+              AttemptOutcome.REFUSED, isolatedOr(LossCause.NO_SERVER), longestUnreachable(entry));
       case "overloaded" ->
           new Assessment(
               AttemptOutcome.REFUSED, LossCause.WAITED_FOR_SERVER, request.serverStateAge);
-      case "draining" ->
-          new Assessment(AttemptOutcome.REFUSED, LossCause.INSTANCE_STOPPING, unknown);
+      case "draining" -> new Assessment(AttemptOutcome.REFUSED, LossCause.INSTANCE_STOPPING, noAge);
       case "not-ready", "unauthenticated", "unknown-service" ->
-          new Assessment(AttemptOutcome.REFUSED, LossCause.PLAN_NOT_THERE, unknown);
-      case "caller-gone" -> new Assessment(AttemptOutcome.FAILED, LossCause.CALLER_LEFT, unknown);
+          new Assessment(AttemptOutcome.REFUSED, LossCause.PLAN_NOT_THERE, noAge);
+      case "caller-gone" -> new Assessment(AttemptOutcome.FAILED, LossCause.CALLER_LEFT, noAge);
       case "backend-failed", "stream-broken" ->
-          assessFailed(request, LossCause.SERVER_FAILED, line);
-      default -> new Assessment(AttemptOutcome.REFUSED, LossCause.LIMIT, unknown);
+          assessFailed(request, LossCause.SERVER_FAILED, entry);
+      default -> new Assessment(AttemptOutcome.REFUSED, LossCause.LIMIT, noAge);
     };
   }
 
-  /** Of what was answered late, the part of the time that alone made it so, or else the longest. */
-  private Assessment assessAnswered(OpenRequest request, LogReader.LogEntry line) {
-    if (line.number("status") >= 500) {
+  /**
+   * Returns the outcome of an answered request. If it was answered late, the cause is the part of
+   * the time that alone exceeded the target, or otherwise the longest part.
+   */
+  private Assessment assessAnswered(OpenRequest request, LogReader.LogEntry entry) {
+    if (entry.number("status") >= 500) {
       return new Assessment(AttemptOutcome.FAILED, LossCause.SERVER_FAILED, Duration.ofNanos(-1));
     }
-    LogReader.LogEntry late = request.lateAnswer;
-    if (late == null) {
+    LogReader.LogEntry lateAnswer = request.lateAnswer;
+    if (lateAnswer == null) {
       return new Assessment(AttemptOutcome.IN_TIME, LossCause.UNKNOWN, Duration.ofNanos(-1));
     }
-    Duration waited = millis(late, "waited_ms");
-    Duration placed = millis(late, "placed_ms");
-    Duration began = millis(late, "began_ms");
-    Duration aim = millis(line, "aim_ms");
-    if (loopStalledAt.isAfter(line.time().minus(millis(line, "took_ms")))
-        && loopStall.multipliedBy(2).compareTo(began.minus(aim)) > 0) {
+    Duration waitedForTokens = millis(lateAnswer, "waited_ms");
+    Duration placedAfter = millis(lateAnswer, "placed_ms");
+    Duration answerBeganAfter = millis(lateAnswer, "began_ms");
+    Duration target = millis(entry, "aim_ms");
+    if (loopStalledAt.isAfter(entry.time().minus(millis(entry, "took_ms")))
+        && loopStall.multipliedBy(2).compareTo(answerBeganAfter.minus(target)) > 0) {
       return new Assessment(AttemptOutcome.LATE, LossCause.LOOP_STALLED, Duration.ofNanos(-1));
     }
-    Duration atServer = began.minus(placed);
-    Duration forServer = placed.minus(waited);
-    if (waited.compareTo(atServer) > 0 && waited.compareTo(forServer) > 0) {
+    Duration timeAtServer = answerBeganAfter.minus(placedAfter);
+    Duration waitedForServer = placedAfter.minus(waitedForTokens);
+    if (waitedForTokens.compareTo(timeAtServer) > 0
+        && waitedForTokens.compareTo(waitedForServer) > 0) {
       return new Assessment(
-          AttemptOutcome.LATE, LossCause.WAITED_FOR_TOKENS, accountLevelAge(line));
+          AttemptOutcome.LATE, LossCause.WAITED_FOR_TOKENS, accountLevelAge(entry));
     }
-    if (forServer.compareTo(atServer) > 0) {
+    if (waitedForServer.compareTo(timeAtServer) > 0) {
       LossCause cause =
           request.lastFailure.isEmpty() ? LossCause.WAITED_FOR_SERVER : LossCause.SERVER_FAILED;
       return new Assessment(AttemptOutcome.LATE, cause, request.serverStateAge);
     }
-    Duration readingAgain =
+    Duration rereadingTime =
         Duration.ofMillis((long) (request.promptTokensReread / PROMPT_TOKENS_PER_MS));
     LossCause cause =
-        began.minus(readingAgain).compareTo(aim) <= 0 && !readingAgain.isZero()
+        answerBeganAfter.minus(rereadingTime).compareTo(target) <= 0 && !rereadingTime.isZero()
             ? LossCause.PROMPT_READ_AGAIN
             : LossCause.QUEUED_AT_SERVER;
     return new Assessment(AttemptOutcome.LATE, cause, request.serverStateAge);
   }
 
   private Assessment assessFailed(
-      OpenRequest request, LossCause otherwise, LogReader.LogEntry line) {
+      OpenRequest request, LossCause otherwise, LogReader.LogEntry entry) {
     LossCause cause = request.lastFailure.equals("NOT_SENT") ? isolatedOr(otherwise) : otherwise;
     return new Assessment(
         AttemptOutcome.FAILED,
         stopping ? LossCause.INSTANCE_STOPPING : cause,
-        longestUnreachable(line));
+        longestUnreachable(entry));
   }
 
-  private Assessment assessNoTokens(String customer, LogReader.LogEntry line) {
-    Instant asked = holderUnreachableAt.getOrDefault(customer, Instant.MIN);
+  private Assessment assessNoTokens(String customer, LogReader.LogEntry entry) {
+    Instant unreachableAt = holderUnreachableAt.getOrDefault(customer, Instant.MIN);
     LossCause cause;
-    if (!asked.isBefore(line.time().minus(millis(line, "took_ms")))) {
+    if (!unreachableAt.isBefore(entry.time().minus(millis(entry, "took_ms")))) {
       cause = LossCause.HOLDER_UNREACHABLE;
     } else if (unreachableSince.isEmpty()) {
       cause =
@@ -248,27 +256,30 @@
     return new Assessment(
         AttemptOutcome.REFUSED,
         cause,
-        unreachableSince.isEmpty() ? accountLevelAge(line) : longestUnreachable(line));
+        unreachableSince.isEmpty() ? accountLevelAge(entry) : longestUnreachable(entry));
   }
 
-  /** An instance that has lost all that it depends on is cut off. */
+  /**
+   * Returns {@link LossCause#CUT} if the instance has lost more than one dependency, which is taken
+   * to mean that its network is isolated; otherwise {@code otherwise}.
+   */
   private LossCause isolatedOr(LossCause otherwise) {
     return unreachableSince.size() > 1 ? LossCause.CUT : otherwise;
   }
 
-  private Duration longestUnreachable(LogReader.LogEntry line) {
+  private Duration longestUnreachable(LogReader.LogEntry entry) {
     return unreachableSince.values().stream()
         .min(Instant::compareTo)
-        .map(since -> Duration.between(since, line.time()))
+        .map(since -> Duration.between(since, entry.time()))
         .orElse(Duration.ofNanos(-1));
   }
 
-  private Duration accountLevelAge(LogReader.LogEntry line) {
-    Instant at = accountLevelAt.get(line.text("customer"));
-    return at == null ? Duration.ofNanos(-1) : Duration.between(at, line.time());
+  private Duration accountLevelAge(LogReader.LogEntry entry) {
+    Instant at = accountLevelAt.get(entry.text("customer"));
+    return at == null ? Duration.ofNanos(-1) : Duration.between(at, entry.time());
   }
 
-  private static Duration millis(LogReader.LogEntry line, String field) {
-    return Duration.ofNanos((long) (line.number(field) * 1e6));
+  private static Duration millis(LogReader.LogEntry entry, String field) {
+    return Duration.ofNanos((long) (entry.number(field) * 1e6));
   }
 }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/LogReader.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/LogReader.java
@@ -23,13 +23,14 @@
 import java.util.stream.Stream;
 
 /**
- * Reads instances' logs line by line; none of them is kept.
+ * Reads the logs of instances line by line, without keeping the lines in memory.
  *
- * <p>A collector may have put the seconds since the start of the load and a name before each line.
- * Its clock is then taken for the instance's own, which may be set.
+ * <p>A log collector may have prefixed each line with the seconds since the start of the load and
+ * with a name. The time of the collector then replaces the time that the instance wrote, because
+ * the clock of an instance may be adjusted.
  */
 final class LogReader {
-  /** An event of an instance. */
+  /** One event from the log of an instance. */
   record LogEntry(Instant time, String instance, String event, JsonNode fields) {
     String text(String field) {
       return fields.path(field).asText();
@@ -42,7 +43,7 @@
 
   private static final String STDIN = "-";
 
-  /** How many lines that can't be read are named; all are counted. */
+  /** The number of unreadable lines that are reported by file and line; all of them are counted. */
   private static final int MAX_NAMED_UNREADABLE_LINES = 10;
 
   private static final Pattern COLLECTOR_PREFIX = Pattern.compile("\\s*(-?\\d+\\.\\d+)\\s.*");
@@ -57,25 +58,25 @@
     this.consumer = consumer;
   }
 
-  /** Lines that were events. */
+  /** Returns the number of lines that were read as events. */
   long read() {
     return read;
   }
 
-  /** Lines that look like events and aren't. */
+  /** Returns the number of lines that look like events but cannot be parsed. */
   long unreadableCount() {
     return unreadableCount;
   }
 
-  /** The first of those, as file and line. */
+  /** Returns the first unreadable lines, as file and line number. */
   List<String> unreadableLines() {
     return unreadableLines;
   }
 
   /**
-   * Reads files, all files of directories, or standard input for a dash.
+   * Reads each source: a file, all files of a directory, or standard input for a dash.
    *
-   * @throws IOException with its name, if one can't be read
+   * @throws IOException with the name of the source, if a source can't be read
    */
   void readAll(List<String> sources, InputStream standardInput) throws IOException {
     for (String source : sources) {
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/LossCounter.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/LossCounter.java
@@ -10,9 +10,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** Counts the requests of some logs that weren't answered in time, by cause. */
+/** Counts the requests in instance logs that weren't answered in time, by cause. */
 public final class LossCounter {
-  /** Times before this are seconds since the load began, later ones are times of day. */
+  /**
+   * Log times before this limit are seconds since the start of the load; later ones are times of
+   * day.
+   */
   private static final Instant RELATIVE_TIME_LIMIT = Instant.EPOCH.plus(Duration.ofDays(1));
 
   private final Map<String, InstanceLogAnalyzer> analyzers = new HashMap<>();
@@ -24,26 +27,26 @@
 
   private LossCounter() {}
 
-  private void accept(LogReader.LogEntry line) {
-    firstEventAt = line.time().isBefore(firstEventAt) ? line.time() : firstEventAt;
+  private void accept(LogReader.LogEntry entry) {
+    firstEventAt = entry.time().isBefore(firstEventAt) ? entry.time() : firstEventAt;
     analyzers
-        .computeIfAbsent(line.instance(), name -> new InstanceLogAnalyzer(name, chains::add))
-        .accept(line);
+        .computeIfAbsent(entry.instance(), name -> new InstanceLogAnalyzer(name, chains::add))
+        .accept(entry);
   }
 
   /**
-   * Counts what the logs tell.
+   * Reads the logs and counts their requests.
    *
    * @param sources files, directories, or a dash for {@code standardInput}
-   * @throws IOException with its name, if a source can't be read
+   * @throws IOException with the name of the source, if a source can't be read
    */
   public static LossReport of(
       List<String> sources, InputStream standardInput, OwedRequests owed, LossDimension by)
       throws IOException {
-    LossCounter count = new LossCounter();
-    count.logReader.readAll(sources, standardInput);
-    count.analyzers.values().forEach(InstanceLogAnalyzer::finish);
-    return count.report(owed, by);
+    LossCounter counter = new LossCounter();
+    counter.logReader.readAll(sources, standardInput);
+    counter.analyzers.values().forEach(InstanceLogAnalyzer::finish);
+    return counter.report(owed, by);
   }
 
   private LossReport report(OwedRequests owed, LossDimension by) {
@@ -76,7 +79,10 @@
             (int) Duration.between(start, request.arrived()).toSeconds());
   }
 
-  /** What was owed and isn't among the causes; what the logs have beyond it was not owed. */
+  /**
+   * Adds a row for the owed requests that no row accounts for. If the logs contain more lost
+   * requests than were owed, nothing is added: the excess was not owed.
+   */
   private void addNotSeen(long unserved) {
     long seen = totals.values().stream().mapToLong(CauseTotals::requests).sum();
     if (unserved > seen) {
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/LossDimension.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/LossDimension.java
@@ -4,7 +4,7 @@
 import java.time.Instant;
 import java.util.function.BiFunction;
 
-/** By what the losses are divided into columns. */
+/** The attribute of a request by which a loss report is divided into columns. */
 public enum LossDimension {
   KIND((request, start) -> request.kind().isEmpty() ? "not known" : request.kind()),
   CUSTOMER((request, start) -> request.customer().isEmpty() ? "none" : request.customer()),
@@ -19,7 +19,7 @@
     this.column = column;
   }
 
-  /** The column of a request; seconds are those since {@code start}. */
+  /** Returns the column of a request; {@link #SECOND} counts from {@code start}. */
   String column(AttemptRecord request, Instant start) {
     return column.apply(request, start);
   }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/LossPlot.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/LossPlot.java
@@ -12,12 +12,12 @@
 import org.knowm.xchart.style.Styler.LegendPosition;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** Draws the worth that was lost in each second, by cause. */
+/** Plots the worth that was lost in each second, by cause. */
 public final class LossPlot {
   private static final int WIDTH_PIXELS = 900;
   private static final int HEIGHT_PIXELS = 420;
 
-  /** More lines than that can't be told apart. */
+  /** The largest number of causes in a plot; more lines can't be told apart. */
   private static final int MAX_CAUSES = 8;
 
   private LossPlot() {}
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/LossReport.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/LossReport.java
@@ -11,12 +11,13 @@
 /**
  * The requests that weren't answered in time, by cause.
  *
- * @param rows the costliest first
- * @param answeredInTime requests that the logs have as answered in time
- * @param owedUnserved requests that were owed and not answered in time; -1 if that isn't known
- * @param lines that were read
- * @param unreadable lines that look like events and aren't
- * @param unreadableLines the first of those, as file and line
+ * @param rows one row for each cause, the greatest loss of worth first
+ * @param answeredInTime the number of requests that the logs record as answered in time
+ * @param owedUnserved the number of requests that were owed an answer and weren't answered in time;
+ *     -1 if it isn't known
+ * @param lines the number of log lines read as events
+ * @param unreadable the number of lines that look like events but cannot be parsed
+ * @param unreadableLines the first unreadable lines, as file and line number
  */
 public record LossReport(
     List<Row> rows,
@@ -26,10 +27,13 @@
     long unreadable,
     List<String> unreadableLines)
     implements Report {
-  /** Columns that fit beside each other; the rest is added up. */
+  /**
+   * The largest number of columns that fit beside each other; the total column still includes the
+   * others.
+   */
   private static final int MAX_COLUMNS = 10;
 
-  /** Requests and the worth that was lost with them. */
+  /** A number of requests and the worth that was lost with them. */
   public record Cell(long requests, double worth) {
     static final Cell NONE = new Cell(0, 0);
 
@@ -43,10 +47,12 @@
   }
 
   /**
-   * One cause.
+   * The losses for one cause.
    *
-   * @param medianBeliefAgeMs how old the belief was that decided it; -1 if none is logged
-   * @param bySecond worth lost, by second since the start of the load
+   * @param medianBeliefAgeMs the median age, in milliseconds, of the information on which instances
+   *     based the outcomes; -1 if no age is logged
+   * @param cells the losses by column
+   * @param bySecond the worth lost in each second since the start of the load
    */
   public record Row(
       String cause,
@@ -66,7 +72,7 @@
     unreadableLines = List.copyOf(unreadableLines);
   }
 
-  /** Requests of all rows. */
+  /** Returns the number of requests of all rows. */
   long requests() {
     return rows.stream().mapToLong(row -> row.all().requests()).sum();
   }
@@ -74,9 +80,9 @@
   @Override
   public String text() {
     List<String> columns = columns();
-    List<String> heads = new ArrayList<>(List.of("cause", "requests (worth)", "belief"));
-    heads.addAll(columns);
-    TextTable table = new TextTable(heads.toArray(String[]::new));
+    List<String> headers = new ArrayList<>(List.of("cause", "requests (worth)", "state age"));
+    headers.addAll(columns);
+    TextTable table = new TextTable(headers.toArray(String[]::new));
     for (Row row : rows) {
       List<Object> cells = new ArrayList<>();
       cells.add(row.cause());
@@ -91,7 +97,7 @@
             .formatted(requests() + answeredInTime, lines, answeredInTime));
     if (owedUnserved >= 0) {
       text.append(
-          "; %d that were owed were not answered in time, %d of the requests above were not owed"
+          "; %d owed requests were not answered in time, %d of the requests above were not owed"
               .formatted(owedUnserved, Math.max(0, requests() - owedUnserved)));
     }
     if (unreadable > 0) {
@@ -102,7 +108,7 @@
     return text.toString();
   }
 
-  /** The columns in which most is lost, in their own order. */
+  /** Returns the columns with the greatest loss of worth, in alphabetical order. */
   private List<String> columns() {
     Map<String, Double> worth = new HashMap<>();
     rows.forEach(
@@ -115,7 +121,7 @@
         .toList();
   }
 
-  /** This report beside another, with the difference by cause. */
+  /** Compares this report with an earlier one, by cause. */
   public Report against(LossReport before) {
     Map<String, Row> earlier = new TreeMap<>();
     before.rows.forEach(row -> earlier.put(row.cause(), row));
@@ -140,6 +146,6 @@
     return new Difference(before, this, table.toString());
   }
 
-  /** Two days side by side. */
+  /** Two reports and the table of their differences. */
   record Difference(LossReport before, LossReport now, String text) implements Report {}
 }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/OwedRequests.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/OwedRequests.java
@@ -12,22 +12,23 @@
 import java.util.regex.Pattern;
 
 /**
- * What callers were owed, as somebody counted it who saw all of them.
+ * The requests that callers were owed an answer to, as counted by an observer of all callers, such
+ * as a load generator.
  *
- * @param byKind by the kind's name in the logs, such as {@code stream 400 ms}
+ * @param byKind the kinds of requests by their name in the logs, such as {@code stream 400 ms}
  */
 public record OwedRequests(Map<String, Kind> byKind) {
-  /** Nothing is known; each request counts as one. */
+  /** The value if nothing is known: each request then has a worth of 1. */
   public static final OwedRequests UNKNOWN = new OwedRequests(Map.of());
 
   /**
    * One kind of request.
    *
-   * @param name that people use
-   * @param requests that were owed an answer
-   * @param inTime of them, answered in time
-   * @param worth of an answer in time
-   * @param lateWorth of a late one
+   * @param name the name of the kind for people
+   * @param requests the number of requests that were owed an answer
+   * @param inTime the number of those that were answered in time
+   * @param worth the worth of an answer in time
+   * @param lateWorth the worth of a late answer
    */
   public record Kind(String name, long requests, long inTime, double worth, double lateWorth) {}
 
@@ -40,10 +41,13 @@
   }
 
   /**
-   * Reads a file: {@code {"kinds":[{"kind":"stream 400 ms","name":…,"requests":…,"in_time":…,
-   * "worth":…,"late_worth":…}]}}.
+   * Reads a file of the form:
    *
-   * @throws IOException with the file's name and the field, if it can't be read
+   * <pre>{@code
+   * {"kinds":[{"kind":"stream 400 ms","name":…,"requests":…,"in_time":…,"worth":…,"late_worth":…}]}
+   * }</pre>
+   *
+   * @throws IOException with the name of the file and of the field, if the file can't be read
    */
   public static OwedRequests read(String file) throws IOException {
     try {
@@ -83,46 +87,51 @@
   }
 
   /**
-   * The kind that the logs call {@code label}. Their aim is the routes', which may leave some time
-   * for the way to the callers; so the nearest of the same sort within a third of it is taken.
+   * Returns the kind that the logs call {@code label}. The latency target in the logs is the one of
+   * the route, which may leave some time for the network between instance and caller and so differ
+   * from the target in the file. If no kind has exactly this label, the kind of the same sort whose
+   * target is nearest is used, if it lies within a third of the logged target.
    */
   private Optional<Kind> kind(String label) {
-    Matcher sought = KIND_PATTERN.matcher(label);
-    if (byKind.containsKey(label) || !sought.matches()) {
+    Matcher requested = KIND_PATTERN.matcher(label);
+    if (byKind.containsKey(label) || !requested.matches()) {
       return Optional.ofNullable(byKind.get(label));
     }
-    double aim = Double.parseDouble(sought.group(2));
+    double target = Double.parseDouble(requested.group(2));
     Kind nearest = null;
-    double distance = aim / 3;
+    double smallestDifference = target / 3;
     for (Map.Entry<String, Kind> entry : byKind.entrySet()) {
       Matcher known = KIND_PATTERN.matcher(entry.getKey());
-      if (known.matches() && known.group(1).equals(sought.group(1))) {
-        double away = Math.abs(Double.parseDouble(known.group(2)) - aim);
-        if (away <= distance) {
+      if (known.matches() && known.group(1).equals(requested.group(1))) {
+        double difference = Math.abs(Double.parseDouble(known.group(2)) - target);
+        if (difference <= smallestDifference) {
           nearest = entry.getValue();
-          distance = away;
+          smallestDifference = difference;
         }
       }
     }
     return Optional.ofNullable(nearest);
   }
 
-  /** The worth that is lost with a request of {@code kind}. */
-  double lostWorth(String kind, AttemptOutcome verdict) {
+  /** Returns the worth that is lost with a request of {@code kind}. */
+  double lostWorth(String kind, AttemptOutcome outcome) {
     Kind known = kind(kind).orElse(DEFAULT_KIND);
-    return switch (verdict) {
+    return switch (outcome) {
       case IN_TIME -> 0;
       case LATE -> known.worth() - known.lateWorth();
       case REFUSED, FAILED -> known.worth();
     };
   }
 
-  /** The name of a kind for people. */
+  /** Returns the name of a kind for people. */
   String displayName(String kind) {
     return kind(kind).map(Kind::name).orElse(kind);
   }
 
-  /** Requests that were owed and not answered in time; empty if it isn't known. */
+  /**
+   * Returns the number of requests that were owed an answer and not answered in time; empty if it
+   * is unknown.
+   */
   Optional<Long> unserved() {
     return byKind.isEmpty()
         ? Optional.empty()
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/RetryChains.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/RetryChains.java
@@ -9,11 +9,14 @@
 import java.util.function.Consumer;
 
 /**
- * Joins the attempts of callers to requests: one that was refused or failed may have come back, and
- * what became of it then counts.
+ * Groups the attempts of callers into requests. A caller may retry an attempt that was refused or
+ * failed; the outcome of the retry is then the outcome of the request.
  */
 final class RetryChains {
-  /** A caller that comes back does so within its deadline. */
+  /**
+   * The longest time between the end of an attempt and its retry: callers retry within the deadline
+   * of the request.
+   */
   private static final Duration MAX_RETRY_GAP = Duration.ofSeconds(15);
 
   private final Map<String, List<AttemptRecord>> byFingerprint = new HashMap<>();
@@ -27,7 +30,10 @@
     }
   }
 
-  /** Tells each request: its first attempt, with the verdict on all of them. */
+  /**
+   * Passes each request to {@code requests}: its first attempt, with the outcome of all its
+   * attempts.
+   */
   void forEach(Consumer<AttemptRecord> requests) {
     withoutFingerprint.forEach(requests);
     for (List<AttemptRecord> attempts : byFingerprint.values()) {
@@ -45,26 +51,26 @@
     }
   }
 
-  private static boolean isRetry(AttemptRecord before, AttemptRecord next) {
+  private static boolean isRetry(AttemptRecord previous, AttemptRecord next) {
     boolean unserved =
-        before.outcome() == AttemptOutcome.REFUSED || before.outcome() == AttemptOutcome.FAILED;
-    return unserved && next.arrived().isBefore(before.ended().plus(MAX_RETRY_GAP));
+        previous.outcome() == AttemptOutcome.REFUSED || previous.outcome() == AttemptOutcome.FAILED;
+    return unserved && next.arrived().isBefore(previous.ended().plus(MAX_RETRY_GAP));
   }
 
   private static AttemptRecord merge(AttemptRecord first, AttemptRecord next) {
-    AttemptOutcome verdict = first.outcome().better(next.outcome());
-    boolean served = verdict == AttemptOutcome.IN_TIME || verdict == AttemptOutcome.LATE;
-    AttemptRecord told = served && next.outcome() == AttemptOutcome.LATE ? next : first;
+    AttemptOutcome outcome = first.outcome().better(next.outcome());
+    boolean served = outcome == AttemptOutcome.IN_TIME || outcome == AttemptOutcome.LATE;
+    AttemptRecord decisive = served && next.outcome() == AttemptOutcome.LATE ? next : first;
     return new AttemptRecord(
         first.fingerprint(),
         first.kind().isEmpty() ? next.kind() : first.kind(),
         first.customer().isEmpty() ? next.customer() : first.customer(),
-        told.instance(),
-        told.dataCentre(),
+        decisive.instance(),
+        decisive.dataCentre(),
         first.arrived(),
         next.ended(),
-        verdict,
-        told.cause(),
-        told.stateAge());
+        outcome,
+        decisive.cause(),
+        decisive.stateAge());
   }
 }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/package-info.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/package-info.java
@@ -1,4 +1,4 @@
-/** Why callers' requests were lost, late or refused, counted from instances' logs. */
+/** Counts from the logs of instances why callers' requests were lost, late or refused. */
 @NullMarked
 package org.teaseldeal.operator.losses;
 
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/package-info.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/package-info.java
@@ -1,4 +1,4 @@
-/** The operator's command line: its entry point, how a line is parsed, and its exit codes. */
+/** The operator's command line: its entry point, its parser and its exit statuses. */
 @NullMarked
 package org.teaseldeal.operator;
 
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/report/LineDiff.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/report/LineDiff.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The difference of two texts, line by line. */
+/** Computes the line-by-line difference of two texts. */
 public final class LineDiff {
   private final List<String> before;
   private final List<String> after;
@@ -15,29 +15,32 @@
   }
 
   /**
-   * Every line of both texts, marked with a space where both have it, {@code -} where only {@code
-   * before} does and {@code +} where only {@code after} does; empty if they are the same.
+   * Returns every line of both texts, prefixed with a space if both texts contain it, with {@code
+   * -} if only {@code before} contains it and with {@code +} if only {@code after} contains it. The
+   * result is empty if the texts are equal.
    */
   public static List<String> between(String before, String after) {
     return before.equals(after) ? List.of() : new LineDiff(before, after).lines();
   }
 
   private List<String> lines() {
-    int shorter = Math.min(before.size(), after.size());
-    int head = 0;
-    while (head < shorter && before.get(head).equals(after.get(head))) {
-      head++;
+    int minSize = Math.min(before.size(), after.size());
+    int prefix = 0;
+    while (prefix < minSize && before.get(prefix).equals(after.get(prefix))) {
+      prefix++;
     }
-    int tail = 0;
-    while (tail < shorter - head
-        && before.get(before.size() - 1 - tail).equals(after.get(after.size() - 1 - tail))) {
-      tail++;
+    int suffix = 0;
+    while (suffix < minSize - prefix
+        && before.get(before.size() - 1 - suffix).equals(after.get(after.size() - 1 - suffix))) {
+      suffix++;
     }
-    // The table below grows with the product of the lines compared, so what both ends have in
-    // common is left out of it.
-    addCommon(before.subList(0, head));
-    compare(before.subList(head, before.size() - tail), after.subList(head, after.size() - tail));
-    addCommon(before.subList(before.size() - tail, before.size()));
+    // The comparison table grows with the product of the numbers of compared lines, so the common
+    // prefix and the common suffix are excluded from it.
+    addCommon(before.subList(0, prefix));
+    compare(
+        before.subList(prefix, before.size() - suffix),
+        after.subList(prefix, after.size() - suffix));
+    addCommon(before.subList(before.size() - suffix, before.size()));
     return diff;
   }
 
@@ -45,29 +48,33 @@
     lines.forEach(line -> diff.add("  " + line));
   }
 
-  private void compare(List<String> old, List<String> fresh) {
-    int[][] common = commonSubsequenceLengths(old, fresh);
+  private void compare(List<String> original, List<String> updated) {
+    int[][] common = commonSubsequenceLengths(original, updated);
     int i = 0;
     int j = 0;
-    while (i < old.size() || j < fresh.size()) {
-      if (i < old.size() && j < fresh.size() && old.get(i).equals(fresh.get(j))) {
-        diff.add("  " + old.get(i++));
+    while (i < original.size() || j < updated.size()) {
+      if (i < original.size() && j < updated.size() && original.get(i).equals(updated.get(j))) {
+        diff.add("  " + original.get(i++));
         j++;
-      } else if (j == fresh.size() || (i < old.size() && common[i + 1][j] >= common[i][j + 1])) {
-        diff.add("- " + old.get(i++));
+      } else if (j == updated.size()
+          || (i < original.size() && common[i + 1][j] >= common[i][j + 1])) {
+        diff.add("- " + original.get(i++));
       } else {
-        diff.add("+ " + fresh.get(j++));
+        diff.add("+ " + updated.get(j++));
       }
     }
   }
 
-  /** For each pair of positions, how many lines the rests of both texts have in common. */
-  private static int[][] commonSubsequenceLengths(List<String> old, List<String> fresh) {
-    int[][] common = new int[old.size() + 1][fresh.size() + 1];
-    for (int i = old.size() - 1; i >= 0; i--) {
-      for (int j = fresh.size() - 1; j >= 0; j--) {
+  /**
+   * Returns, for each pair of positions, the length of the longest common subsequence of the lines
+   * that follow in both texts.
+   */
+  private static int[][] commonSubsequenceLengths(List<String> original, List<String> updated) {
+    int[][] common = new int[original.size() + 1][updated.size() + 1];
+    for (int i = original.size() - 1; i >= 0; i--) {
+      for (int j = updated.size() - 1; j >= 0; j--) {
         common[i][j] =
-            old.get(i).equals(fresh.get(j))
+            original.get(i).equals(updated.get(j))
                 ? common[i + 1][j + 1] + 1
                 : Math.max(common[i + 1][j], common[i][j + 1]);
       }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/report/Report.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/report/Report.java
@@ -1,11 +1,12 @@
 package org.teaseldeal.operator.report;
 
 /**
- * What a command has to say.
+ * The output of a command.
  *
- * <p>Implementations are records; their components are the fields of the JSON, in snake case.
+ * <p>Implementations are records. Their components become the fields of the JSON output, in snake
+ * case.
  */
 public interface Report {
-  /** The report for people, without a line break at its end. */
+  /** Returns the report as text for people, without a line break at its end. */
   String text();
 }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/report/ReportPrinter.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/report/ReportPrinter.java
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.databind.SerializationFeature;
 import com.fasterxml.jackson.databind.json.JsonMapper;
 
-/** Renders reports as text or JSON. */
+/** Renders reports as JSON. */
 public final class ReportPrinter {
   private static final ObjectMapper MAPPER =
       JsonMapper.builder()
@@ -16,7 +16,7 @@
 
   private ReportPrinter() {}
 
-  /** The report as JSON. */
+  /** Returns the report as indented JSON. */
   public static String json(Report report) {
     try {
       return MAPPER.writeValueAsString(report);
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/report/TextTable.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/report/TextTable.java
@@ -4,18 +4,18 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** Rows of text in aligned columns. */
+/** A text table with aligned columns. */
 public final class TextTable {
   private static final String COLUMN_GAP = "  ";
 
   private final List<List<String>> rows = new ArrayList<>();
 
-  /** Creates a table with the heads of its columns. */
-  public TextTable(String... heads) {
-    rows.add(List.of(heads));
+  /** Creates a table with the given column headers. */
+  public TextTable(String... headers) {
+    rows.add(List.of(headers));
   }
 
-  /** Adds a row with one cell for each column. */
+  /** Adds a row, which must have one cell for each column. */
   public TextTable addRow(Object... cells) {
     List<String> row = new ArrayList<>();
     for (Object cell : cells) {
@@ -25,7 +25,7 @@
     return this;
   }
 
-  /** The table, without a line break at its end. */
+  /** Returns the table as text, without a line break at its end. */
   @Override
   public String toString() {
     int[] widths = new int[rows.getFirst().size()];
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/report/package-info.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/report/package-info.java
@@ -1,4 +1,4 @@
-/** What commands print, as records that are text for people and JSON for programs. */
+/** Reports of commands: records that are rendered as text for people or as JSON for programs. */
 @NullMarked
 package org.teaseldeal.operator.report;
 
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/session/CatchUpResult.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/session/CatchUpResult.java
@@ -2,11 +2,13 @@
 
 import org.teaseldeal.ledger.state.LedgerState;
 
-/** What came of reading the log to its end. */
+/** The result of reading a stream of the log to its end. */
 public sealed interface CatchUpResult {
-  /** The state after every record that was on the log when the reading began. */
+  /**
+   * The stream was read; {@code state} includes every record that was on it when the reading began.
+   */
   record Done(LedgerState state) implements CatchUpResult {}
 
-  /** The log couldn't be read in time. */
+  /** The stream couldn't be read within the timeout; {@code detail} says why. */
   record Unreachable(String detail) implements CatchUpResult {}
 }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/session/HttpLogClient.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/session/HttpLogClient.java
@@ -23,7 +23,7 @@
 import org.teaseldeal.net.HttpFailure;
 import org.teaseldeal.net.HttpFailureException;
 
-/** Carries out the ledger's commands at the platform's log over HTTP. */
+/** Executes the ledger's log commands over HTTP at the platform's log. */
 final class HttpLogClient {
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final int OK = 200;
@@ -31,7 +31,7 @@
   private static final int TOO_MANY_REQUESTS = 429;
   private static final int MAX_RECORDS_PER_READ = 1_000;
 
-  /** No longer than the ledger client waits before it tries again. */
+  /** Not longer than the time after which the ledger client retries. */
   private static final Duration CALL_TIMEOUT = Duration.ofSeconds(2);
 
   private static final byte[] NO_BODY = {};
@@ -44,7 +44,10 @@
     this.address = address;
   }
 
-  /** What came of an append, with whether any of it can have reached the log. */
+  /**
+   * The result of an append; {@code mayBeWritten} is false only if the record certainly did not
+   * reach the log.
+   */
   record AppendResult(LogEvent event, boolean mayBeWritten) {}
 
   CompletableFuture<AppendResult> append(LogCommand.Append append) {
@@ -52,7 +55,7 @@
         .handle((answer, failure) -> appendResult(append, answer, failure));
   }
 
-  /** Reads records, waiting up to {@code longPoll} for the first. */
+  /** Reads records; if there are none yet, the log waits up to {@code longPoll} for the first. */
   CompletableFuture<LogEvent> read(StreamId stream, long fromOffset, Duration longPoll) {
     String query =
         "?from=%d&max=%d&wait_ms=%d"
@@ -75,8 +78,8 @@
       return new AppendResult(failed(append, reason(failure)), !isNotSent(failure));
     }
     if (answer.status() != OK) {
-      // Only a refusal for the append rate is known to come before the write; a 503 may come from
-      // something between here and the log that gave up waiting after the write took effect.
+      // Only a 429, a refusal for the append rate, is certain to precede the write. A 503 may come
+      // from a proxy in front of the log that timed out after the write took effect.
       return new AppendResult(
           failed(append, "the log answered " + answer.status()),
           answer.status() != TOO_MANY_REQUESTS);
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/session/LedgerSession.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/session/LedgerSession.java
@@ -24,16 +24,16 @@
 import org.teaseldeal.settings.SubtreeId;
 
 /**
- * Drives a {@link LedgerClient} until the answer to a question is known.
+ * Drives a {@link LedgerClient} until the result of a read or a write is known.
  *
- * <p>Reading goes on for as long as the log gives something new within the session's timeout, as a
- * long log is no outage. Writing ends with the timeout: on a log that others write to, there is
- * always something new, even while it refuses what is written here. An entry counts as written only
- * once it has been read back. After a {@link SubmissionResult.Unknown} the session is to be given
- * up.
+ * <p>A read continues for as long as the log delivers at least one new record within each timeout,
+ * because a long log isn't an outage. A write ends when the timeout has passed: if other writers
+ * append to the log, there are always new records, even while the log refuses the appends of this
+ * session. An entry counts as written only once it has been read back. After a {@link
+ * SubmissionResult.Unknown} the session must not be used again.
  */
 public final class LedgerSession {
-  /** How often the client is asked whether one of its own timeouts has passed. */
+  /** The longest wait for a completion before the client's own timeouts are checked again. */
   private static final Duration COMPLETION_POLL_TIMEOUT = Duration.ofMillis(20);
 
   private static final Duration LONG_POLL_TIMEOUT = Duration.ofMillis(200);
@@ -53,7 +53,7 @@
   private String lastFailure = "no answer in time";
 
   LedgerSession(
-      IncarnationId self,
+      IncarnationId writer,
       StreamId stream,
       HttpLogClient log,
       Duration timeout,
@@ -63,22 +63,25 @@
     this.timeout = timeout;
     this.clock = clock;
     this.client =
-        new LedgerClient(self, stream, LedgerConfig.DEFAULT, SettingsValidator.STANDARD, clock);
+        new LedgerClient(writer, stream, LedgerConfig.DEFAULT, SettingsValidator.STANDARD, clock);
   }
 
-  /** What came of a command: {@code read} counts the reads, zero for an append. */
+  /**
+   * The completion of a log command: {@code readNumber} numbers the read, and is zero for an
+   * append.
+   */
   private record Completion(LogEvent event, long readNumber, boolean mayBeWritten) {}
 
-  /** The stream that this session is about. */
+  /** Returns the stream that this session reads and writes. */
   public StreamId stream() {
     return stream;
   }
 
-  /** Reads to the end of the log as it is now. */
+  /** Reads the stream up to the end that it has when this method is called. */
   public CatchUpResult catchUp() {
     lastProgress = clock.instant();
-    long begun = readsStarted;
-    while (lastReadThatReachedEnd <= begun) {
+    long readsBefore = readsStarted;
+    while (lastReadThatReachedEnd <= readsBefore) {
       if (progressTimedOut() || !step(Duration.ZERO)) {
         return new CatchUpResult.Unreachable(client.problem().orElse(lastFailure));
       }
@@ -86,7 +89,10 @@
     return new CatchUpResult.Done(client.state());
   }
 
-  /** Writes entries as one record and waits until they have been read back. */
+  /**
+   * Writes the entries as one record and waits until they have been read back or the timeout has
+   * passed.
+   */
   public SubmissionResult submit(List<Entry> entries) {
     Instant deadline = clock.instant().plus(timeout);
     mayBeWritten = false;
@@ -101,17 +107,17 @@
             : new SubmissionResult.NotWritten(lastFailure);
       }
     }
-    List<Outcome> found = new ArrayList<>();
+    List<Outcome> readBack = new ArrayList<>();
     for (Ticket ticket : tickets) {
       Outcome outcome = outcomes.remove(ticket);
       if (outcome != null) {
-        found.add(outcome);
+        readBack.add(outcome);
       }
     }
-    return new SubmissionResult.ReadBack(found);
+    return new SubmissionResult.ReadBack(readBack);
   }
 
-  /** The publications of {@code subtree} that the log still keeps. */
+  /** Reads the publications of {@code subtree} that the log still retains. */
   public PublicationsResult publications(SubtreeId subtree) {
     Publications publications = new Publications(subtree);
     lastProgress = clock.instant();
@@ -145,7 +151,10 @@
     }
   }
 
-  /** Begins what the client wants done and takes one completion; false if interrupted. */
+  /**
+   * Starts the commands that the client requests and handles at most one completion; returns false
+   * if the thread was interrupted.
+   */
   private boolean step(Duration longPoll) {
     client.poll().forEach(command -> start(command, longPoll));
     try {
@@ -171,9 +180,9 @@
                 done -> completions.add(new Completion(done.event(), 0, done.mayBeWritten())));
       }
       case LogCommand.Read read -> {
-        long number = ++readsStarted;
+        long readNumber = ++readsStarted;
         log.read(read.stream(), read.fromOffset(), longPoll)
-            .thenAccept(event -> completions.add(new Completion(event, number, false)));
+            .thenAccept(event -> completions.add(new Completion(event, readNumber, false)));
       }
     }
   }
@@ -193,11 +202,11 @@
     }
   }
 
-  private void recordEndOfLog(LogEvent.RecordsRead read, long number) {
-    // Only a read that began after the question was asked can answer it: an older one may have
-    // been answered before the record that the operator has in mind was written.
+  private void recordEndOfLog(LogEvent.RecordsRead read, long readNumber) {
+    // Only a read that started after the caller asked counts. An older read may have been answered
+    // before the record that the operator wants to see was written.
     if (client.problem().isEmpty() && client.foldedTo() + 1 >= read.next()) {
-      lastReadThatReachedEnd = Math.max(lastReadThatReachedEnd, number);
+      lastReadThatReachedEnd = Math.max(lastReadThatReachedEnd, readNumber);
     }
   }
 
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/session/LedgerSessions.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/session/LedgerSessions.java
@@ -13,7 +13,7 @@
 import org.teaseldeal.net.HttpClient;
 import org.teaseldeal.settings.SubtreeId;
 
-/** One session for each of the ledger's streams, all for one writer. */
+/** One session for each of the ledger's streams; all sessions share one writer id. */
 public final class LedgerSessions {
   private final Streams streams;
   private final List<LedgerSession> sessions;
@@ -24,10 +24,10 @@
   }
 
   /**
-   * Sessions with the log at {@code address}, for a writer of its own.
+   * Opens sessions with the log at {@code address}.
    *
-   * <p>The writer's id is drawn anew for each run: a second process under the same id would have
-   * its records dropped as repeats.
+   * <p>The writer id is random for each run of the program. If a second process used the same id,
+   * readers of the log would drop its records as duplicates.
    */
   public static LedgerSessions open(
       HttpClient client,
@@ -36,27 +36,27 @@
       Duration timeout,
       InstantSource clock,
       RandomGenerator random) {
-    IncarnationId self = newWriterId(random);
+    IncarnationId writer = newWriterId(random);
     List<LedgerSession> sessions = new ArrayList<>();
     for (int i = 0; i < streams.count(); i++) {
       sessions.add(
           new LedgerSession(
-              self, new StreamId(i), new HttpLogClient(client, address), timeout, clock));
+              writer, new StreamId(i), new HttpLogClient(client, address), timeout, clock));
     }
     return new LedgerSessions(streams, sessions);
   }
 
-  /** The session of the stream that {@code subtree} stands on. */
+  /** Returns the session of the stream that holds {@code subtree}. */
   public LedgerSession session(SubtreeId subtree) {
     return sessions.get(streams.of(subtree).index());
   }
 
-  /** The session of the stream that {@code team} stands on. */
+  /** Returns the session of the stream that holds {@code team}. */
   public LedgerSession session(TeamId team) {
     return sessions.get(streams.of(team).index());
   }
 
-  /** All sessions, in the streams' order. */
+  /** Returns all sessions, in the order of the streams. */
   public List<LedgerSession> all() {
     return sessions;
   }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/session/Publications.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/session/Publications.java
@@ -8,7 +8,7 @@
 import org.teaseldeal.ledger.entry.Entry;
 import org.teaseldeal.settings.SubtreeId;
 
-/** The publications of one subtree among records of the log. */
+/** The publications of one subtree that were found in records of the log. */
 public final class Publications {
   private final SubtreeId subtree;
   private final TreeMap<Long, Publication> byRevision = new TreeMap<>();
@@ -21,19 +21,19 @@
     records.forEach(this::addPublicationsOf);
   }
 
-  /** The offset of the record that put {@code revision} in force. */
+  /** Returns the offset of the record that put {@code revision} in force. */
   public static long offsetOf(long revision) {
     return revision - 1;
   }
 
-  /** A publication as it stands on the log, whether or not it was put in force. */
+  /** A publication as recorded on the log, whether or not it came into force. */
   public record Publication(
       long revision, long baseRevision, String author, String publishedAt, String toml) {}
 
   /**
-   * The revisions that were in force up to {@code current}, the latest first, as far back as the
-   * log keeps records. Each one names the revision that it replaced, so the chain needs no verdict
-   * on the others.
+   * Returns the revisions that were in force up to {@code current}, latest first, as far back as
+   * the log retains records. Each publication names the revision that it replaced, so following
+   * these references finds the accepted ones without evaluating the others.
    */
   public List<Publication> acceptedUpTo(long current) {
     List<Publication> accepted = new ArrayList<>();
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/session/package-info.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/session/package-info.java
@@ -1,4 +1,7 @@
-/** A blocking session with the ledger: the log over HTTP, driven until an outcome is known. */
+/**
+ * Blocking sessions with the ledger: they access the log over HTTP and wait until an outcome is
+ * known.
+ */
 @NullMarked
 package org.teaseldeal.operator.session;
 
--- a/teaseldeal-operator/src/test/java/org/teaseldeal/operator/AdminCommandTests.java
+++ b/teaseldeal-operator/src/test/java/org/teaseldeal/operator/AdminCommandTests.java
@@ -42,9 +42,10 @@
   void readsCredentialFromFile(@TempDir Path directory) throws IOException {
     Path file = Files.writeString(directory.resolve("token"), FakeInstance.TOKEN + "\n");
 
-    ExitStatus code = transcript.run("drain", instance.address(), "--admin-token-file", file + "");
+    ExitStatus status =
+        transcript.run("drain", instance.address(), "--admin-token-file", file + "");
 
-    assertEquals(ExitStatus.OK, code);
+    assertEquals(ExitStatus.OK, status);
     assertFalse(transcript.text().contains(FakeInstance.TOKEN));
   }
 
--- a/teaseldeal-operator/src/test/java/org/teaseldeal/operator/BudgetCommandTests.java
+++ b/teaseldeal-operator/src/test/java/org/teaseldeal/operator/BudgetCommandTests.java
@@ -40,8 +40,9 @@
     transcript.verify();
   }
 
-  // The record is on the log and its answer is lost. The command reads the record back, reports it
-  // as written, and the copy that it may have appended meanwhile counts for nothing.
+  // The log stores the record, but the response to the append is lost. The command must read the
+  // record back and report it as written; a second copy of the record, appended by a retry, must
+  // not add tokens again.
   @Test
   void countsTopUpOnceWhenAppendResponseIsLost() {
     transcript.run("budget", "create", "auction", "100");
@@ -52,9 +53,9 @@
     transcript.verify();
   }
 
-  // The log takes the record, loses the answer and goes down, so the command can't tell and says
-  // so, with its operation id. The operator repeats it under that id: it had been counted, the
-  // repeat says so and adds nothing.
+  // The log stores the record, loses the response and becomes unavailable, so the command reports
+  // an unknown outcome and its operation id. When the operator repeats the command with this id, it
+  // must report that the change was applied before and must not add tokens again.
   @Test
   void countsTopUpOnceWhenRepeatedWithSameOperationId() {
     transcript.run("budget", "create", "auction", "100");
@@ -73,8 +74,9 @@
     transcript.verify();
   }
 
-  // The log has more records than can be read within the timeout, and gives some with each answer.
-  // It is reachable, so the command reads on; an outage is a log that gives nothing new.
+  // The log has more records than can be read within the timeout, but each read returns some. The
+  // command must continue to read while it receives new records; only a log that delivers nothing
+  // new counts as an outage.
   @Test
   void keepsReadingLongLogWhileRecordsArrive() {
     for (int i = 0; i < 40; i++) {
@@ -88,8 +90,9 @@
         ExitStatus.OK, transcript.run("settings", "history", "fleet", "--timeout", "300ms"));
   }
 
-  // The log gives new records with every read, but refuses every append of this writer. That others
-  // get on is no reason to try for ever.
+  // Each read returns new records of another writer, but the log refuses every append of this
+  // command. New records of other writers must not extend the timeout of the write, or the command
+  // would retry forever.
   @Test
   void stopsAppendingAtTimeoutWhileOtherWritersProgress() {
     platform.appendBeforeEachRead();
@@ -101,8 +104,8 @@
     assertTrue(transcript.text().contains("nothing was written"), transcript.text());
   }
 
-  // The records that created the budget have expired and no snapshot of them is on the log. The
-  // command must not show a state that it can't know.
+  // The records that created the budgets have expired and the log contains no snapshot of them. The
+  // command must fail instead of showing a state derived from a part of the log.
   @Test
   void refusesToShowBudgetsWhenEarlyRecordsHaveExpired() {
     transcript.run("budget", "create", "auction", "100");
--- a/teaseldeal-operator/src/test/java/org/teaseldeal/operator/LeaseCommandTests.java
+++ b/teaseldeal-operator/src/test/java/org/teaseldeal/operator/LeaseCommandTests.java
@@ -51,8 +51,9 @@
     transcript.verify();
   }
 
-  // Instance b died with 200 tokens under its lease. Nobody can tell which of them it spent, so the
-  // operator can only have them written off, and only with the platform's word that it is gone.
+  // Instance b died while it held 200 tokens under its lease. It is unknown how many of them it
+  // spent, so they can only be written off, and only if the platform no longer lists the instance
+  // and the operator confirms that it is gone.
   @Test
   void writesOffLeasesOfDeadInstanceOnceConfirmed() {
     platform.list("a", "run-a", "");
@@ -69,7 +70,8 @@
     transcript.verify();
   }
 
-  // The answer to the retirement is lost and the log goes down. The repeat finds it done.
+  // The response to the retirement is lost and the log becomes unavailable. A repeat of the command
+  // must find that the retirement has taken effect.
   @Test
   void retiresOnceWhenAppendResponseIsLost() {
     platform.beforeNextAppend(() -> platform.logDown(true));
--- a/teaseldeal-operator/src/test/java/org/teaseldeal/operator/LossesCommandTests.java
+++ b/teaseldeal-operator/src/test/java/org/teaseldeal/operator/LossesCommandTests.java
@@ -33,7 +33,10 @@
     transcript.close();
   }
 
-  /** Each line is a log: events, separated by semicolons, of a request that ends as said. */
+  /**
+   * Each case has an expected cause, the events of a request separated by semicolons, and the
+   * outcome and status with which the request ends.
+   */
   @ParameterizedTest(name = "{0}")
   @CsvSource(
       delimiter = '#',
@@ -77,7 +80,10 @@
     assertEquals(List.of(cause), causes(count(LossDimension.KIND)));
   }
 
-  /** A process that is killed writes no end of what it had. */
+  /**
+   * A killed process logs no end of its open requests. They must be counted as lost when the next
+   * process of the instance starts.
+   */
   @Test
   void countsRequestsOpenWhenProcessEnded() throws IOException {
     write(
@@ -86,7 +92,10 @@
     assertEquals(List.of("instance-ended"), causes(count(LossDimension.KIND)));
   }
 
-  /** A caller that was refused and came back got its answer elsewhere: nothing is lost. */
+  /**
+   * A caller that was refused by one instance and retried at another was answered there, so nothing
+   * is lost.
+   */
   @Test
   void countsRetriedRequestOnce() throws IOException {
     write(
@@ -100,7 +109,10 @@
     assertEquals(1, report.answeredInTime());
   }
 
-  /** What callers saw and no instance did is a row of its own, so that the rows add up. */
+  /**
+   * Requests that callers report as lost but no instance logged must form a row of their own, so
+   * that the rows add up to the owed requests.
+   */
   @Test
   void addsRowForOwedRequestsMissingFromLogs() throws IOException {
     write(
@@ -122,7 +134,9 @@
   }
 
   /**
-   * Guards against worth that isn't counted as the routes' aims leave time for the callers' way.
+   * The latency target of a route may be lower than that of its callers, to leave time for the
+   * network. Such requests must still be matched to their kind, or their worth would not be
+   * counted.
    */
   @Test
   void matchesOwedKindWithNearestLatencyTarget() throws IOException {
@@ -194,7 +208,10 @@
     return report.rows().stream().map(LossReport.Row::cause).collect(Collectors.toList());
   }
 
-  /** Writes events of the form {@code seconds|event|fields}, with apostrophes for quotes. */
+  /**
+   * Writes a log file with events of the form {@code seconds|event|fields}, in which apostrophes
+   * stand for double quotes.
+   */
   private void write(String file, String events) throws IOException {
     StringBuilder text = new StringBuilder();
     for (String event : events.split(";")) {
--- a/teaseldeal-operator/src/test/java/org/teaseldeal/operator/SettingsCommandTests.java
+++ b/teaseldeal-operator/src/test/java/org/teaseldeal/operator/SettingsCommandTests.java
@@ -94,8 +94,9 @@
 
   @Nested
   class ConcurrentPublications {
-    // Anna publishes on the revision that she read; just before her append reaches the log, Boris's
-    // does. The log's order decides: his is in force, hers is refused, and she is told by whom.
+    // Anna and Boris publish on the same base revision, and Boris's record reaches the log first.
+    // The order of the log decides: Boris's revision comes into force, and Anna's publication is
+    // refused with a report that names Boris.
     @Test
     void laterAppendIsRefusedAndNamesWinner() {
       transcript.run("settings", "publish", "fleet", shortFile);
@@ -105,8 +106,8 @@
       transcript.verify();
     }
 
-    // The file was based on revision 1, and 2 came into force since. The operator must not undo
-    // what she hasn't seen, so the publication is refused.
+    // The file is based on revision 1, but revision 2 has come into force since. The publication
+    // must be refused, because it would undo changes that the operator has not seen.
     @Test
     void outdatedBaseRevisionIsRefused() {
       publish("operator-of-boris", 0, "boris", SHORT);
@@ -121,8 +122,9 @@
 
   @Nested
   class LostAppendResponses {
-    // The log takes the record and the connection breaks before its answer. The command reads its
-    // record back and reports it, and the repeat with which it asked changes nothing.
+    // The log stores the record, but the connection breaks before the response. The command must
+    // read its record back and report it as accepted; the copy appended by its retry must change
+    // nothing.
     @Test
     void areResolvedByReadingRecordBack() {
       platform.loseAnswers(1);
@@ -132,8 +134,8 @@
       transcript.verify();
     }
 
-    // The operator repeats a publication that had taken effect: the same text is in force, so
-    // nothing is written and nobody is told of a race with herself.
+    // The operator repeats a publication that had taken effect. The same text is already in force,
+    // so nothing must be written and no conflict reported.
     @Test
     void allowRepeatingPublicationWithoutWritingAgain() {
       transcript.run("settings", "publish", "fleet", shortFile, "--base", "0");
@@ -148,8 +150,9 @@
 
   @Nested
   class Instances {
-    // One instance has folded the record, one hasn't, one refuses to say, one can't be asked and
-    // one has joined but isn't listed yet: whoever isn't known to have it in force is named.
+    // One instance has folded the record, one has not, one has no admin address and one has joined
+    // the ledger but is not listed yet. All instances at which the record is not known to be in
+    // force must be named.
     @Test
     void laggingAreNamed() throws IOException {
       try (FakeInstance quick = new FakeInstance(100);
@@ -168,8 +171,8 @@
       transcript.verify();
     }
 
-    // An instance that tells nobody how far it is writes a later record, which says that it had
-    // folded the publication before.
+    // An instance without an admin address writes a later record. The offset in that record proves
+    // that the instance had folded the publication before.
     @Test
     void laterRecordsProveThatPublicationIsInForce() {
       platform.write("run-silent", join("silent"));
@@ -182,8 +185,9 @@
       transcript.verify();
     }
 
-    // Two instances are frozen: their connections open and nothing ever comes back. Both are asked
-    // at once and given up after the same second, and the one that answers is still reported.
+    // Two instances are frozen: they accept connections but never respond. Both must be queried
+    // concurrently and time out after the same second, and the instance that responds must still be
+    // reported as up to date.
     @Test
     void frozenDoNotHideOthers() throws IOException {
       try (FakeInstance quick = new FakeInstance(100);
@@ -230,8 +234,8 @@
       transcript.verify();
     }
 
-    // The log goes down between the reading and the append. It answers 503, which may also come
-    // after a write took effect, so the command must not say that nothing was written.
+    // The log becomes unavailable between the read and the append and answers 503. A 503 may also
+    // follow a write that took effect, so the command must not report that nothing was written.
     @Test
     void duringAppendReportUnknownOutcome() {
       platform.beforeNextAppend(() -> platform.logDown(true));
@@ -243,7 +247,8 @@
       transcript.verify();
     }
 
-    // Appends are refused for their rate for as long as the command tries: none of them was taken.
+    // Every append is refused with status 429 for the append rate until the timeout. A refused
+    // append is never stored, so the command must report that nothing was published.
     @Test
     void ofAppendRateReportNothingWritten() {
       platform.refuseAppends(1_000);
--- a/teaseldeal-operator/src/test/java/org/teaseldeal/operator/Transcript.java
+++ b/teaseldeal-operator/src/test/java/org/teaseldeal/operator/Transcript.java
@@ -14,7 +14,7 @@
 import org.teaseldeal.net.HttpClientConfig;
 import org.teaseldeal.operator.command.CommandContext;
 
-/** Runs command lines in this process and writes down what an operator sees. */
+/** Runs command lines in this process and records their output as an operator sees it. */
 final class Transcript implements AutoCloseable {
   private final HttpClient http = new HttpClient(HttpClientConfig.defaults());
   private final SplittableRandom random = new SplittableRandom(4711);
@@ -28,13 +28,15 @@
     return this;
   }
 
-  /** Writes {@code name} wherever {@code text}, which differs from run to run, is seen. */
-  Transcript replace(String text, String name) {
-    replacements.put(text, name);
+  /**
+   * Replaces {@code text}, which differs from run to run, by {@code replacement} in the transcript.
+   */
+  Transcript replace(String text, String replacement) {
+    replacements.put(text, replacement);
     return this;
   }
 
-  /** Runs one command line. */
+  /** Runs one command line and appends it, its output and its exit status to the transcript. */
   ExitStatus run(String... arguments) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     ByteArrayOutputStream err = new ByteArrayOutputStream();
@@ -43,26 +45,26 @@
         new CommandContext(environment, InstantSource.system(), random, http, errStream::println);
     CommandRunner operator =
         new CommandRunner(context, new PrintStream(out, true, StandardCharsets.UTF_8), errStream);
-    ExitStatus code = operator.run(arguments);
+    ExitStatus status = operator.run(arguments);
     output.append("$ teaseldeal-operator ").append(String.join(" ", arguments)).append('\n');
     output.append(out.toString(StandardCharsets.UTF_8));
     err.toString(StandardCharsets.UTF_8)
         .lines()
         .forEach(line -> output.append("! ").append(line).append('\n'));
-    output.append("[exit ").append(code.code()).append("]\n\n");
-    return code;
+    output.append("[exit ").append(status.code()).append("]\n\n");
+    return status;
   }
 
-  /** What was seen so far. */
+  /** Returns the transcript of all command lines so far, with the replacements applied. */
   String text() {
     String text = output.toString();
-    for (Map.Entry<String, String> name : replacements.entrySet()) {
-      text = text.replace(name.getKey(), name.getValue());
+    for (Map.Entry<String, String> replacement : replacements.entrySet()) {
+      text = text.replace(replacement.getKey(), replacement.getValue());
     }
     return text;
   }
 
-  /** Compares what was seen with what was approved. */
+  /** Compares the transcript with the approved one. */
   void verify() {
     Approvals.verify(text());
   }
--- a/teaseldeal-operator/src/test/java/org/teaseldeal/operator/fake/FakeInstance.java
+++ b/teaseldeal-operator/src/test/java/org/teaseldeal/operator/fake/FakeInstance.java
@@ -8,9 +8,9 @@
 import org.teaseldeal.net.HttpServer;
 import org.teaseldeal.net.HttpServerConfig;
 
-/** The admin listener of an instance that has folded to a set offset. */
+/** A fake admin listener of an instance, which reports a configurable folded offset. */
 public final class FakeInstance implements AutoCloseable {
-  /** The credential it expects. */
+  /** The credential that the listener requires. */
   public static final String TOKEN = "admin-secret";
 
   private final HttpServer server;
@@ -18,28 +18,28 @@
   private volatile boolean draining;
   private volatile boolean frozen;
 
-  /** Starts it. */
+  /** Starts a listener that reports {@code foldedTo} as the folded offset. */
   public FakeInstance(long foldedTo) throws IOException {
     this.foldedTo = foldedTo;
     server = HttpServer.start(HttpServerConfig.defaults("127.0.0.1", 0), this::handle);
   }
 
-  /** Where it listens. */
+  /** Returns the address of the listener. */
   public String address() {
     return "127.0.0.1:" + server.address().getPort();
   }
 
-  /** Folds up to {@code offset}. */
+  /** Sets the folded offset that the listener reports. */
   public void foldTo(long offset) {
     foldedTo = offset;
   }
 
-  /** Takes questions from now on and answers none, as a process that is frozen does. */
+  /** Accepts requests from now on without responding to any, like a frozen process. */
   public void freeze() {
     frozen = true;
   }
 
-  /** Whether it was asked to drain. */
+  /** Returns whether the instance has been asked to drain. */
   public boolean draining() {
     return draining;
   }
--- a/teaseldeal-operator/src/test/java/org/teaseldeal/operator/fake/FakePlatform.java
+++ b/teaseldeal-operator/src/test/java/org/teaseldeal/operator/fake/FakePlatform.java
@@ -23,7 +23,10 @@
 import org.teaseldeal.net.HttpServerConfig;
 import org.teaseldeal.net.NetRuntime;
 
-/** A platform with one stream and a list of instances; a record is appended each log second. */
+/**
+ * A fake platform with one log stream and a list of instances. The record at offset n has the log
+ * time of the first record plus n seconds.
+ */
 public final class FakePlatform implements AutoCloseable {
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final Instant FIRST_RECORD = Instant.parse("2026-12-02T08:00:00Z");
@@ -43,63 +46,68 @@
   private boolean appendBeforeEachRead;
   private Runnable beforeNextAppend = () -> {};
 
-  /** Starts it. */
+  /** Starts a platform with an empty log and an empty list. */
   public FakePlatform() throws IOException {
     server = HttpServer.start(HttpServerConfig.defaults("127.0.0.1", 0), this::handle);
   }
 
-  /** Where it listens. */
+  /** Returns the address of the platform. */
   public String address() {
     return "127.0.0.1:" + server.address().getPort();
   }
 
-  /** Answers 503 to everything about the log. */
+  /** Sets whether all requests to the log are answered with status 503. */
   public synchronized void logDown(boolean down) {
     logDown = down;
   }
 
-  /** Answers 503 to everything about the list. */
+  /**
+   * Sets whether all requests other than those to the log, such as for the list, are answered with
+   * status 503.
+   */
   public synchronized void listDown(boolean down) {
     listDown = down;
   }
 
-  /** Takes the next {@code count} records and breaks the connection in place of an answer. */
+  /**
+   * Stores the next {@code count} appended records but closes the connection instead of responding.
+   */
   public synchronized void loseAnswers(int count) {
     answersToLose = count;
   }
 
-  /** Refuses the next {@code count} appends for their rate. */
+  /** Refuses the next {@code count} appends with status 429, as for an exceeded append rate. */
   public synchronized void refuseAppends(int count) {
     appendsToRefuse = count;
   }
 
-  /** Runs {@code action} just before the next append takes effect. */
+  /** Runs {@code action} once, just before the next append takes effect. */
   public synchronized void beforeNextAppend(Runnable action) {
     beforeNextAppend = action;
   }
 
-  /** Answers each read after {@code delay}, with at most {@code max} records. */
+  /** Delays each read by {@code delay} and returns at most {@code max} records. */
   public synchronized void readSlowly(Duration delay, int max) {
     readDelay = delay;
     maxRecordsPerRead = max;
   }
 
-  /** Lets another writer append a record before each read is answered. */
+  /** Appends a record of another writer before each read is answered. */
   public synchronized void appendBeforeEachRead() {
     appendBeforeEachRead = true;
   }
 
-  /** Drops all records before {@code offset}. */
+  /** Removes all records before {@code offset}, as if they had expired. */
   public synchronized void expireBefore(int offset) {
     earliest = offset;
   }
 
-  /** The number of records appended so far. */
+  /** Returns the number of records appended so far. */
   public synchronized int recordCount() {
     return records.size();
   }
 
-  /** Appends a record of {@code writer}. */
+  /** Appends one record with {@code entries}, written by {@code writer}. */
   public synchronized void write(String writer, Entry... entries) {
     IncarnationId incarnation = new IncarnationId(writer);
     long sequence = sequences.merge(incarnation, 1L, Long::sum);
@@ -107,7 +115,9 @@
         BatchCodec.encode(new Batch(incarnation, sequence, records.size() - 1, List.of(entries))));
   }
 
-  /** Lists an entry instance; an empty admin address is left out. */
+  /**
+   * Puts an entry instance on the list; if {@code adminAddress} is empty, the list entry has none.
+   */
   public synchronized void list(String instance, String incarnation, String adminAddress) {
     ObjectNode entry = MAPPER.createObjectNode();
     entry.put("id", instance).put("incarnation", incarnation).put("role", "router");
@@ -118,7 +128,7 @@
     instances.put(instance, entry);
   }
 
-  /** Takes an instance off the list. */
+  /** Removes an instance from the list. */
   public synchronized void unlist(String instance) {
     instances.remove(instance);
   }
@@ -165,7 +175,7 @@
   private synchronized void read(HttpExchange exchange, QueryStringDecoder query, boolean mayWait) {
     int from = Integer.parseInt(parameter(query, "from"));
     boolean wait = !parameter(query, "wait_ms").equals("0");
-    // The log may have gone down while the reader waited.
+    // The log may have been taken down during the long poll.
     if (logDown) {
       exchange.respond(503, Map.of(), new byte[0]);
       return;
--- a/teaseldeal-operator/src/test/java/org/teaseldeal/operator/fake/package-info.java
+++ b/teaseldeal-operator/src/test/java/org/teaseldeal/operator/fake/package-info.java
@@ -1,4 +1,4 @@
-/** Fakes over HTTP: a platform, and the admin listener of an instance. */
+/** Fakes that are reached over HTTP: a platform, and the admin listener of an instance. */
 @NullMarked
 package org.teaseldeal.operator.fake;
 
--- a/teaseldeal-operator/src/test/java/org/teaseldeal/operator/package-info.java
+++ b/teaseldeal-operator/src/test/java/org/teaseldeal/operator/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Tests of the operator's command line: what it prints, and what it does when the platform fails.
+ * Tests of the operator's command line: what it prints, and how it behaves when the platform fails.
  */
 @NullMarked
 package org.teaseldeal.operator;
