--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/AdminOptions.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/AdminOptions.java
@@ -10,22 +10,24 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The credential for admin listeners.
+ * The option for the credential of admin listeners.
  *
- * <p>There is no option for the token itself: command lines are seen by everyone on the host and
- * stay in the shell's history.
+ * <p>No option takes the token itself, because every user of the host can see command lines and
+ * they stay in the history of the shell.
  */
 final class AdminOptions {
-  static final String ENVIRONMENT = "TEASELDEAL_ADMIN_TOKEN";
+  static final String ENVIRONMENT_VARIABLE = "TEASELDEAL_ADMIN_TOKEN";
 
   @Parameter(
       names = "--admin-token-file",
-      description = "File with the admin credential; else environment variable " + ENVIRONMENT)
+      description =
+          "File with the admin credential; default: environment variable " + ENVIRONMENT_VARIABLE)
   private @Nullable Path tokenFile;
 
   Optional<String> token(Map<String, String> environment) {
     if (tokenFile == null) {
-      return Optional.ofNullable(environment.get(ENVIRONMENT)).filter(token -> !token.isBlank());
+      return Optional.ofNullable(environment.get(ENVIRONMENT_VARIABLE))
+          .filter(token -> !token.isBlank());
     }
     try {
       String token = Files.readString(tokenFile).strip();
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/BudgetChange.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/BudgetChange.java
@@ -14,14 +14,15 @@
 import org.teaseldeal.operator.report.CommandResult;
 import org.teaseldeal.operator.report.Report;
 import org.teaseldeal.operator.session.LedgerSession;
-import org.teaseldeal.operator.session.Ledgers;
-import org.teaseldeal.operator.session.Submission;
+import org.teaseldeal.operator.session.LedgerSessions;
+import org.teaseldeal.operator.session.SubmissionResult;
 
 /**
  * Grants tokens to a budget.
  *
- * <p>The operation id makes a repeat count once: it is printed before anything is written, so that
- * it is at hand if the answer, or this process, is lost.
+ * <p>A change with an operation id is applied once, however often it is repeated. The id is printed
+ * before anything is written, so that the operator knows it even if the response or this process is
+ * lost.
  */
 abstract sealed class BudgetChange implements Command permits BudgetCreate, BudgetTopUp {
   private static final int MAX_OPERATION_LENGTH = 100;
@@ -31,50 +32,51 @@
 
   @Parameter(
       names = "--operation",
-      description = "The operation id of a change that may have been written, to repeat it safely")
+      description =
+          "Operation id of an earlier change whose outcome is unknown, to repeat it safely")
   private @Nullable String operation;
 
   @ParametersDelegate private final AuthorOption author = new AuthorOption();
   @ParametersDelegate private final PlatformOptions platform = new PlatformOptions();
   @ParametersDelegate private final CommonOptions common = new CommonOptions();
 
-  /** The change was counted, now or before. */
+  /** The change was applied, by this command or by an earlier one with the same operation id. */
   record Granted(String account, long tokens, long granted, String operation, boolean countedBefore)
       implements Report {
     @Override
     public String text() {
       return countedBefore
-          ? "%s: operation %s was counted before, nothing was added; granted in all %d tokens"
+          ? "%s: operation %s was applied before, nothing was added; %d tokens granted in total"
               .formatted(account, operation, granted)
-          : "%s: %d tokens added, granted in all %d tokens (operation %s)"
+          : "%s: %d tokens added, %d tokens granted in total (operation %s)"
               .formatted(account, tokens, granted, operation);
     }
   }
 
-  /** The entry that asks for the change. */
-  abstract Entry entry(AccountId account, long tokens, String signer, String operationId);
+  /** Creates the ledger entry that requests the change. */
+  abstract Entry entry(AccountId account, long tokens, String authorName, String operationId);
 
   @Override
   public CommandResult run(CommandContext context) {
-    Arguments given = Arguments.check(arguments, "ACCOUNT", "TOKENS");
-    AccountId account = given.as(0, AccountId::parse);
-    long tokens = given.tokens(1);
-    String signer = author.author(context.environment());
+    PositionalArguments positional = PositionalArguments.check(arguments, "ACCOUNT", "TOKENS");
+    AccountId account = positional.parse(0, AccountId::parse);
+    long tokens = positional.tokens(1);
+    String authorName = author.author(context.environment());
     String operationId = operationId(context);
-    Ledgers ledgers = context.ledgers(platform);
+    LedgerSessions ledgers = context.ledgers(platform);
     context.notice().accept("operation " + operationId);
     LedgerSession session = ledgers.session(account.team());
-    Entry entry = entry(account, tokens, signer, operationId);
-    return Reading.of(
+    Entry entry = entry(account, tokens, authorName, operationId);
+    return LedgerReads.withState(
         session,
         before ->
             switch (session.submit(List.of(entry))) {
-              case Submission.NotWritten(String detail) ->
+              case SubmissionResult.NotWritten(String detail) ->
                   CommandResult.failed(
                       ExitStatus.UNREACHABLE,
                       "%s: nothing was written: %s".formatted(account, detail));
-              case Submission.Unknown(String detail) -> unknown(account, operationId, detail);
-              case Submission.ReadBack(List<Outcome> outcomes) ->
+              case SubmissionResult.Unknown(String detail) -> unknown(account, operationId, detail);
+              case SubmissionResult.ReadBack(List<Outcome> outcomes) ->
                   outcome(session, tokens, outcomes.getFirst());
             });
   }
@@ -84,7 +86,7 @@
       case Outcome.BudgetGranted(AccountId account, long granted, String id) ->
           CommandResult.ok(new Granted(account.toString(), tokens, granted, id, false));
       case Outcome.BudgetUnchanged unchanged when unchanged.alreadyApplied() ->
-          Reading.of(
+          LedgerReads.withState(
               session,
               state ->
                   CommandResult.ok(
@@ -99,7 +101,7 @@
               ExitStatus.REFUSED,
               "%s: refused, nothing was changed: %s"
                   .formatted(unchanged.account(), unchanged.reason()));
-      default -> Writing.unexpected(outcome);
+      default -> LedgerWrites.unexpectedOutcome(outcome);
     };
   }
 
@@ -107,8 +109,8 @@
     return CommandResult.failed(
         ExitStatus.UNREACHABLE,
         """
-        %s: it isn't known whether it was written, or will be: %s
-        repeat the command with --operation %s: it counts once"""
+        %s: it is unknown whether the change was written or will still be written: %s
+        repeat the command with --operation %s: the change is applied only once"""
             .formatted(account, detail, operationId));
   }
 
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/LeaseRelease.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/LeaseRelease.java
@@ -12,74 +12,78 @@
 import org.teaseldeal.ledger.outcome.Outcome;
 import org.teaseldeal.ledger.state.LeaseView;
 import org.teaseldeal.ledger.state.LedgerState;
-import org.teaseldeal.operator.fleet.ListedRouter;
+import org.teaseldeal.operator.fleet.ListedInstance;
 import org.teaseldeal.operator.fleet.PlatformList.Listing;
 import org.teaseldeal.operator.report.CommandResult;
 import org.teaseldeal.operator.report.Report;
 import org.teaseldeal.operator.session.LedgerSession;
-import org.teaseldeal.operator.session.Ledgers;
-import org.teaseldeal.operator.session.Submission;
+import org.teaseldeal.operator.session.LedgerSessions;
+import org.teaseldeal.operator.session.SubmissionResult;
 
 /**
- * Retires an incarnation that is gone and writes off what is left under its leases.
+ * Retires an incarnation that is gone and writes off the tokens that remain under its leases.
  *
- * <p>Safe even if it isn't gone: its records are ignored from then on, and whatever it spends was
- * counted as spent. But its own charges no longer reach the ledger, so the command refuses while
- * the platform still lists it, and asks for the operator's word.
+ * <p>The ledger stays correct even if the incarnation is still running: its records are ignored
+ * from then on, and the tokens that it spends are already counted as spent. But its charges no
+ * longer reach the ledger, so the command refuses while the platform still lists the incarnation,
+ * and requires the operator's confirmation.
  */
 @Parameters(
     commandNames = "release",
-    commandDescription = "Retire an incarnation that is gone and write off what it held")
+    commandDescription = "Retire an incarnation that is gone and write off the tokens that it held")
 public final class LeaseRelease implements Command {
-  private static final String WHY =
-      "Its holder may have spent them without having said so, and nobody can tell; given back, they"
-          + " could be spent twice. They are counted as spent; grant them anew with `budget top-up`"
-          + " if you want to.";
+  private static final String WRITE_OFF_REASON =
+      "The incarnation may have spent them without recording it, which can't be determined: if they"
+          + " were returned, they could be spent twice. They are counted as spent; to grant them"
+          + " again, use `budget top-up`.";
 
   @Parameter(description = "INCARNATION")
   private List<String> arguments = new ArrayList<>();
 
   @Parameter(
       names = "--confirm-gone",
-      description = "You have made sure with the platform that the incarnation is gone for good")
+      description = "Confirms that the incarnation is gone for good, as checked with the platform")
   private boolean confirmed;
 
   @ParametersDelegate private final AuthorOption author = new AuthorOption();
   @ParametersDelegate private final PlatformOptions platform = new PlatformOptions();
   @ParametersDelegate private final CommonOptions common = new CommonOptions();
 
-  /** What was written off. */
+  /** The incarnation is retired, and its tokens are written off. */
   record Released(String incarnation, long writtenOff, boolean endedBefore) implements Report {
     @Override
     public String text() {
       return endedBefore
-          ? "%s: had left or was retired before, nothing was changed".formatted(incarnation)
-          : "%s: retired, %d tokens written off.\n%s".formatted(incarnation, writtenOff, WHY);
+          ? "%s: had already left or been retired, nothing was changed".formatted(incarnation)
+          : "%s: retired, %d tokens written off.\n%s"
+              .formatted(incarnation, writtenOff, WRITE_OFF_REASON);
     }
   }
 
-  /** What would be written off, for want of a confirmation. */
+  /** The operator has not confirmed the release; {@code tokens} would be written off. */
   record Unconfirmed(String incarnation, long tokens) implements Report {
     @Override
     public String text() {
       return """
           %s: nothing was changed. %d tokens would be written off.
           %s
-          Make sure with the platform that this incarnation is gone, then add --confirm-gone."""
-          .formatted(incarnation, tokens, WHY);
+          Check with the platform that this incarnation is gone, then add --confirm-gone."""
+          .formatted(incarnation, tokens, WRITE_OFF_REASON);
     }
   }
 
   @Override
   public CommandResult run(CommandContext context) {
-    IncarnationId incarnation = Arguments.check(arguments, "INCARNATION").as(0, IncarnationId::new);
-    String signer = author.author(context.environment());
+    IncarnationId incarnation =
+        PositionalArguments.check(arguments, "INCARNATION").parse(0, IncarnationId::new);
+    String authorName = author.author(context.environment());
     Optional<CommandResult> listed = refuseIfListed(context, incarnation);
     if (listed.isPresent()) {
       return listed.get();
     }
-    Ledgers ledgers = context.ledgers(platform);
-    return Reading.ofAll(ledgers, states -> release(ledgers, states, incarnation, signer));
+    LedgerSessions ledgers = context.ledgers(platform);
+    return LedgerReads.withAllStates(
+        ledgers, states -> release(ledgers, states, incarnation, authorName));
   }
 
   private Optional<CommandResult> refuseIfListed(
@@ -89,30 +93,33 @@
           Optional.of(
               CommandResult.failed(
                   ExitStatus.UNREACHABLE,
-                  "%s: nothing was changed: whether it is gone can't be seen: %s"
+                  "%s: nothing was changed: can't determine whether it is gone: %s"
                       .formatted(incarnation, detail)));
-      case Listing.Routers(List<ListedRouter> routers) ->
-          routers.stream()
-              .filter(router -> router.incarnation().equals(incarnation))
+      case Listing.Found(List<ListedInstance> instances) ->
+          instances.stream()
+              .filter(instance -> instance.incarnation().equals(incarnation))
               .findFirst()
-              .map(router -> stillListed(router));
+              .map(instance -> stillListed(instance));
     };
   }
 
-  private static CommandResult stillListed(ListedRouter router) {
+  private static CommandResult stillListed(ListedInstance instance) {
     return CommandResult.failed(
         ExitStatus.REFUSED,
         "%s: nothing was changed: the platform still lists it as instance %s; the list lags, so try"
-                .formatted(router.incarnation(), router.instance())
-            + " again once it is off");
+                .formatted(instance.incarnation(), instance.instance())
+            + " again once it is no longer listed");
   }
 
   private CommandResult release(
-      Ledgers ledgers, List<LedgerState> states, IncarnationId incarnation, String signer) {
+      LedgerSessions ledgers,
+      List<LedgerState> states,
+      IncarnationId incarnation,
+      String authorName) {
     if (states.stream().allMatch(state -> state.ended(incarnation))) {
       return CommandResult.ok(new Released(incarnation.value(), 0, true));
     }
-    if (states.stream().noneMatch(state -> known(state, incarnation))) {
+    if (states.stream().noneMatch(state -> isKnown(state, incarnation))) {
       return CommandResult.failed(
           ExitStatus.REFUSED,
           "%s: the ledger knows no such incarnation; see `instances`".formatted(incarnation));
@@ -121,38 +128,39 @@
       return new CommandResult(
           ExitStatus.REFUSED, new Unconfirmed(incarnation.value(), held(states, incarnation)));
     }
-    return retire(ledgers, incarnation, signer);
+    return retire(ledgers, incarnation, authorName);
   }
 
-  private static CommandResult retire(Ledgers ledgers, IncarnationId incarnation, String signer) {
+  private static CommandResult retire(
+      LedgerSessions ledgers, IncarnationId incarnation, String authorName) {
     long writtenOff = 0;
     for (LedgerSession session : ledgers.all()) {
-      switch (session.submit(List.of(new Entry.Retire(incarnation, signer)))) {
-        case Submission.ReadBack(List<Outcome> outcomes) -> {
+      switch (session.submit(List.of(new Entry.Retire(incarnation, authorName)))) {
+        case SubmissionResult.ReadBack(List<Outcome> outcomes) -> {
           if (!(outcomes.getFirst() instanceof Outcome.Retired retired)) {
-            return Writing.unexpected(outcomes.getFirst());
+            return LedgerWrites.unexpectedOutcome(outcomes.getFirst());
           }
           writtenOff += retired.writtenOff();
         }
-        case Submission.NotWritten(String detail) -> {
-          return unfinished(incarnation, detail);
+        case SubmissionResult.NotWritten(String detail) -> {
+          return unknownOutcome(incarnation, detail);
         }
-        case Submission.Unknown(String detail) -> {
-          return unfinished(incarnation, detail);
+        case SubmissionResult.Unknown(String detail) -> {
+          return unknownOutcome(incarnation, detail);
         }
       }
     }
     return CommandResult.ok(new Released(incarnation.value(), writtenOff, false));
   }
 
-  private static CommandResult unfinished(IncarnationId incarnation, String detail) {
+  private static CommandResult unknownOutcome(IncarnationId incarnation, String detail) {
     return CommandResult.failed(
         ExitStatus.UNREACHABLE,
-        "%s: it isn't known whether it was retired: %s\nrepeat the command: it takes effect once"
+        "%s: it is unknown whether it was retired: %s\nrepeat the command: it takes effect only once"
             .formatted(incarnation, detail));
   }
 
-  private static boolean known(LedgerState state, IncarnationId incarnation) {
+  private static boolean isKnown(LedgerState state, IncarnationId incarnation) {
     return state.lastSequence(incarnation) > 0 || !state.leases(incarnation).isEmpty();
   }
 
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/LeaseShow.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/LeaseShow.java
@@ -13,12 +13,13 @@
 import org.teaseldeal.operator.report.CommandResult;
 import org.teaseldeal.operator.report.Report;
 import org.teaseldeal.operator.report.TextTable;
-import org.teaseldeal.operator.session.Ledgers;
+import org.teaseldeal.operator.session.LedgerSessions;
 
-/** Shows what is left under leases. */
+/** Shows the tokens that remain under leases. */
 @Parameters(
     commandNames = "show",
-    commandDescription = "Show what is left under the leases of an incarnation, or of all joined")
+    commandDescription =
+        "Show the tokens that remain under the leases of an incarnation, or of all joined ones")
 public final class LeaseShow implements Command {
   @Parameter(description = "[INCARNATION]")
   private List<String> arguments = new ArrayList<>();
@@ -26,7 +27,7 @@
   @ParametersDelegate private final PlatformOptions platform = new PlatformOptions();
   @ParametersDelegate private final CommonOptions common = new CommonOptions();
 
-  /** One lease; {@code ended} once its holder left or was retired. */
+  /** One lease; {@code ended} is true if its holder has left or was retired. */
   record Row(String incarnation, String service, long tokens, boolean ended) {
     static Row of(LeaseView lease) {
       return new Row(
@@ -34,14 +35,14 @@
     }
   }
 
-  /** Leases by incarnation. */
+  /** The leases, grouped by incarnation. */
   record Leases(List<Row> leases) implements Report {
     @Override
     public String text() {
       TextTable table = new TextTable("INCARNATION", "SERVICE", "TOKENS", "STATE");
       leases.forEach(
           row ->
-              table.row(
+              table.addRow(
                   row.incarnation(),
                   row.service(),
                   row.tokens(),
@@ -52,21 +53,23 @@
 
   @Override
   public CommandResult run(CommandContext context) {
-    Arguments given = Arguments.check(arguments, "[INCARNATION]");
-    List<IncarnationId> asked = given.has(0) ? List.of(given.as(0, IncarnationId::new)) : List.of();
-    Ledgers ledgers = context.ledgers(platform);
-    return Reading.ofAll(ledgers, states -> CommandResult.ok(leases(states, asked)));
+    PositionalArguments positional = PositionalArguments.check(arguments, "[INCARNATION]");
+    List<IncarnationId> requested =
+        positional.has(0) ? List.of(positional.parse(0, IncarnationId::new)) : List.of();
+    LedgerSessions ledgers = context.ledgers(platform);
+    return LedgerReads.withAllStates(
+        ledgers, states -> CommandResult.ok(leases(states, requested)));
   }
 
-  private static Leases leases(List<LedgerState> states, List<IncarnationId> asked) {
-    return new Leases(states.stream().flatMap(state -> rows(state, asked)).toList());
+  private static Leases leases(List<LedgerState> states, List<IncarnationId> requested) {
+    return new Leases(states.stream().flatMap(state -> rows(state, requested)).toList());
   }
 
-  private static Stream<Row> rows(LedgerState state, List<IncarnationId> asked) {
+  private static Stream<Row> rows(LedgerState state, List<IncarnationId> requested) {
     Stream<IncarnationId> sources =
-        asked.isEmpty()
+        requested.isEmpty()
             ? state.instances().stream().map(InstanceView::incarnation)
-            : asked.stream();
+            : requested.stream();
     return sources.flatMap(source -> state.leases(source).stream()).map(Row::of);
   }
 
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/SettingsDiff.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/SettingsDiff.java
@@ -17,7 +17,7 @@
 import org.teaseldeal.operator.report.LineDiff;
 import org.teaseldeal.operator.report.Report;
 import org.teaseldeal.operator.session.LedgerSession;
-import org.teaseldeal.operator.session.Ledgers;
+import org.teaseldeal.operator.session.LedgerSessions;
 import org.teaseldeal.operator.session.Publications;
 import org.teaseldeal.operator.session.Publications.Publication;
 import org.teaseldeal.settings.SubtreeId;
@@ -32,7 +32,7 @@
 
   @Parameter(
       names = "--from",
-      description = "The older revision, 0 for none; else the one in force")
+      description = "The older revision, 0 for none; default: the revision in force")
   private @Nullable Long from;
 
   @Parameter(names = "--to", description = "The newer revision, if no file is given")
@@ -41,7 +41,7 @@
   @ParametersDelegate private final PlatformOptions platform = new PlatformOptions();
   @ParametersDelegate private final CommonOptions common = new CommonOptions();
 
-  /** The lines of both texts; none if they are the same. */
+  /** The lines of both texts, marked as common, removed or added; empty if the texts are equal. */
   record Difference(String subtree, String from, String to, List<String> lines) implements Report {
     @Override
     public String text() {
@@ -52,44 +52,49 @@
     }
   }
 
-  /** A text and where it is from. */
-  private record Side(String name, Optional<String> toml) {}
+  /**
+   * One of the two texts compared, with the name of its source; {@code toml} is empty if the log
+   * does not have the revision.
+   */
+  private record DiffSide(String name, Optional<String> toml) {}
 
   @Override
   public CommandResult run(CommandContext context) {
-    Arguments given = Arguments.check(arguments, "SUBTREE", "[FILE]");
-    SubtreeId subtree = given.as(0, SubtreeId::new);
-    Optional<Side> file = Optional.empty();
-    if (given.has(1)) {
+    PositionalArguments positional = PositionalArguments.check(arguments, "SUBTREE", "[FILE]");
+    SubtreeId subtree = positional.parse(0, SubtreeId::new);
+    Optional<DiffSide> file = Optional.empty();
+    if (positional.has(1)) {
       try {
         file =
             Optional.of(
-                new Side(given.text(1), Optional.of(Files.readString(Path.of(given.text(1))))));
+                new DiffSide(
+                    positional.text(1),
+                    Optional.of(Files.readString(Path.of(positional.text(1))))));
       } catch (IOException e) {
         return CommandResult.failed(
-            ExitStatus.WRONG_FILE, "%s can't be read as UTF-8 text".formatted(given.text(1)));
+            ExitStatus.WRONG_FILE, "%s can't be read as UTF-8 text".formatted(positional.text(1)));
       }
     }
-    Ledgers ledgers = context.ledgers(platform);
+    LedgerSessions ledgers = context.ledgers(platform);
     return compare(ledgers.session(subtree), subtree, file);
   }
 
-  private CommandResult compare(LedgerSession session, SubtreeId subtree, Optional<Side> file) {
-    return Reading.of(
+  private CommandResult compare(LedgerSession session, SubtreeId subtree, Optional<DiffSide> file) {
+    return LedgerReads.withState(
         session,
         state ->
-            Reading.publications(
+            LedgerReads.withPublications(
                 session, subtree, publications -> compare(state, publications, subtree, file)));
   }
 
   private CommandResult compare(
-      LedgerState state, Publications publications, SubtreeId subtree, Optional<Side> file) {
+      LedgerState state, Publications publications, SubtreeId subtree, Optional<DiffSide> file) {
     Optional<SubtreeView> current = state.subtree(subtree);
     List<Publication> accepted =
-        publications.accepted(current.map(SubtreeView::revision).orElse(0L));
-    Side before = side(from, current, accepted);
-    Side after = file.orElseGet(() -> side(to, current, accepted));
-    for (Side side : List.of(before, after)) {
+        publications.acceptedUpTo(current.map(SubtreeView::revision).orElse(0L));
+    DiffSide before = side(from, current, accepted);
+    DiffSide after = file.orElseGet(() -> side(to, current, accepted));
+    for (DiffSide side : List.of(before, after)) {
       if (side.toml().isEmpty()) {
         return CommandResult.failed(
             ExitStatus.REFUSED,
@@ -101,17 +106,17 @@
     return CommandResult.ok(new Difference(subtree.value(), before.name(), after.name(), lines));
   }
 
-  private static Side side(
+  private static DiffSide side(
       @Nullable Long revision, Optional<SubtreeView> current, List<Publication> accepted) {
     long wanted = revision == null ? current.map(SubtreeView::revision).orElse(0L) : revision;
     String name = "revision " + wanted;
     if (wanted == 0) {
-      return new Side(name, Optional.of(""));
+      return new DiffSide(name, Optional.of(""));
     }
     if (current.isPresent() && current.get().revision() == wanted) {
-      return new Side(name, Optional.of(current.get().toml()));
+      return new DiffSide(name, Optional.of(current.get().toml()));
     }
-    return new Side(
+    return new DiffSide(
         name,
         accepted.stream().filter(p -> p.revision() == wanted).map(Publication::toml).findFirst());
   }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/SettingsHistory.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/SettingsHistory.java
@@ -11,14 +11,14 @@
 import org.teaseldeal.operator.report.Report;
 import org.teaseldeal.operator.report.TextTable;
 import org.teaseldeal.operator.session.LedgerSession;
-import org.teaseldeal.operator.session.Ledgers;
+import org.teaseldeal.operator.session.LedgerSessions;
 import org.teaseldeal.operator.session.Publications.Publication;
 import org.teaseldeal.settings.SubtreeId;
 
-/** Lists the revisions of a subtree that were in force. */
+/** Lists the revisions of a subtree that are or were in force. */
 @Parameters(
     commandNames = "history",
-    commandDescription = "List the revisions of a subtree, as far back as the log keeps records")
+    commandDescription = "List the revisions of a subtree, as far back as the log retains records")
 public final class SettingsHistory implements Command {
   @Parameter(description = "SUBTREE")
   private List<String> arguments = new ArrayList<>();
@@ -26,36 +26,36 @@
   @ParametersDelegate private final PlatformOptions platform = new PlatformOptions();
   @ParametersDelegate private final CommonOptions common = new CommonOptions();
 
-  /** The revisions, the one in force first. */
+  /** The revisions, starting with the one in force. */
   record History(String subtree, List<Publication> revisions) implements Report {
     @Override
     public String text() {
       if (revisions.isEmpty()) {
-        return "%s: the log keeps no publication of it any more".formatted(subtree);
+        return "%s: the log no longer retains a publication of it".formatted(subtree);
       }
       TextTable table = new TextTable("REVISION", "BASED ON", "PUBLISHED AT", "AUTHOR");
       revisions.forEach(
-          row -> table.row(row.revision(), row.baseRevision(), row.publishedAt(), row.author()));
+          row -> table.addRow(row.revision(), row.baseRevision(), row.publishedAt(), row.author()));
       return table.toString();
     }
   }
 
   @Override
   public CommandResult run(CommandContext context) {
-    SubtreeId subtree = Arguments.check(arguments, "SUBTREE").as(0, SubtreeId::new);
-    Ledgers ledgers = context.ledgers(platform);
+    SubtreeId subtree = PositionalArguments.check(arguments, "SUBTREE").parse(0, SubtreeId::new);
+    LedgerSessions ledgers = context.ledgers(platform);
     LedgerSession session = ledgers.session(subtree);
-    return Reading.of(session, state -> history(session, state, subtree));
+    return LedgerReads.withState(session, state -> history(session, state, subtree));
   }
 
   private static CommandResult history(
       LedgerSession session, LedgerState state, SubtreeId subtree) {
     long current = state.subtree(subtree).map(SubtreeView::revision).orElse(0L);
-    return Reading.publications(
+    return LedgerReads.withPublications(
         session,
         subtree,
         publications ->
-            CommandResult.ok(new History(subtree.value(), publications.accepted(current))));
+            CommandResult.ok(new History(subtree.value(), publications.acceptedUpTo(current))));
   }
 
   @Override
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/fleet/InForceWatch.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/fleet/InForceWatch.java
@@ -17,22 +17,26 @@
 import org.teaseldeal.ledger.state.InstanceView;
 import org.teaseldeal.ledger.state.LedgerState;
 import org.teaseldeal.operator.fleet.PlatformList.Listing;
-import org.teaseldeal.operator.session.CatchUp;
+import org.teaseldeal.operator.session.CatchUpResult;
 import org.teaseldeal.operator.session.LedgerSession;
 
 /**
  * Waits until a record of the ledger is in force at every live instance.
  *
- * <p>Live is who stands on the platform's list, and who joined the ledger and wrote to it lately:
- * the list lags, and an instance that has just started may not be on it yet. An instance has the
- * record in force once it has folded the record's offset. That is taken from its admin listener or,
- * as a proof that needs no connection, from what its own later records say.
+ * <p>An instance is live if the platform lists it, or if it joined the ledger and wrote a record
+ * recently: the platform's list lags, so an instance that has just started may not be listed yet. A
+ * record is in force at an instance once the instance has folded the record's offset. This is read
+ * from the instance's admin listener or, without a connection, proved by the offset in later
+ * records of the instance.
  */
 public final class InForceWatch {
-  private static final Duration PAUSE = Duration.ofMillis(100);
+  private static final Duration CHECK_INTERVAL = Duration.ofMillis(100);
 
-  /** Longer than the platform's list lags, short enough not to wait for instances long dead. */
-  private static final Duration RECENT = Duration.ofSeconds(60);
+  /**
+   * Longer than the lag of the platform's list, and short enough not to wait for instances that
+   * ended long ago.
+   */
+  private static final Duration RECENT_RECORD_AGE = Duration.ofSeconds(60);
 
   private final PlatformList list;
   private final AdminClient admin;
@@ -48,93 +52,112 @@
     this.clock = clock;
   }
 
-  /** One live instance and how far it is. */
-  public record Sight(String instance, String incarnation, FoldedTo foldedTo) {}
-
-  /** How far a record is in force. */
-  public record InForce(List<Sight> have, List<Sight> lag, Optional<String> unknown) {
-    public InForce {
-      have = List.copyOf(have);
-      lag = List.copyOf(lag);
+  /** The progress of one live instance. */
+  public record InstanceProgress(String instance, String incarnation, FoldProgress progress) {}
+
+  /**
+   * The progress of a record through the fleet.
+   *
+   * @param inForce the instances at which the record is known to be in force
+   * @param lagging the other live instances
+   * @param listProblem why the platform's list couldn't be read; empty if it was read
+   */
+  public record InForceStatus(
+      List<InstanceProgress> inForce,
+      List<InstanceProgress> lagging,
+      Optional<String> listProblem) {
+    public InForceStatus {
+      inForce = List.copyOf(inForce);
+      lagging = List.copyOf(lagging);
     }
 
-    /** Whether every live instance is known to have the record in force. */
+    /** Returns whether the record is known to be in force at every live instance. */
     public boolean everywhere() {
-      return lag.isEmpty() && unknown.isEmpty();
+      return lagging.isEmpty() && listProblem.isEmpty();
     }
   }
 
-  /** Asks until the record at {@code offset} is in force everywhere or {@code limit} is over. */
-  public InForce await(StreamId stream, long offset, Duration limit) {
-    Instant deadline = clock.instant().plus(limit);
+  /**
+   * Checks repeatedly until the record at {@code offset} is in force everywhere or {@code timeout}
+   * has passed.
+   */
+  public InForceStatus await(StreamId stream, long offset, Duration timeout) {
+    Instant deadline = clock.instant().plus(timeout);
     while (true) {
-      InForce inForce = look(stream, offset);
-      if (inForce.everywhere() || !clock.instant().isBefore(deadline) || !pause()) {
-        return inForce;
+      InForceStatus status = check(stream, offset);
+      if (status.everywhere() || !clock.instant().isBefore(deadline) || !sleepBetweenChecks()) {
+        return status;
       }
     }
   }
 
-  private InForce look(StreamId stream, long offset) {
-    Map<IncarnationId, InstanceView> joined = joined();
+  private InForceStatus check(StreamId stream, long offset) {
+    Map<IncarnationId, InstanceView> joined = recentlyJoined();
     return switch (list.read()) {
       case Listing.Unreachable(String detail) ->
-          new InForce(List.of(), List.of(), Optional.of(detail));
-      case Listing.Routers(List<ListedRouter> routers) -> look(routers, joined, stream, offset);
+          new InForceStatus(List.of(), List.of(), Optional.of(detail));
+      case Listing.Found(List<ListedInstance> listed) -> check(listed, joined, stream, offset);
     };
   }
 
-  private InForce look(
-      List<ListedRouter> routers,
+  private InForceStatus check(
+      List<ListedInstance> listed,
       Map<IncarnationId, InstanceView> joined,
       StreamId stream,
       long offset) {
-    // All are asked at once: one that doesn't answer must not hold up what is known of others.
-    List<CompletableFuture<Sight>> asked = new ArrayList<>();
-    for (ListedRouter router : routers) {
-      OptionalLong written = written(joined.remove(router.incarnation()));
-      asked.add(
-          ask(router, stream, offset, written)
+    // All instances are queried concurrently, so that an instance that does not respond does not
+    // delay the results of the others.
+    List<CompletableFuture<InstanceProgress>> queries = new ArrayList<>();
+    for (ListedInstance instance : listed) {
+      OptionalLong recorded = recordedOffset(joined.remove(instance.incarnation()));
+      queries.add(
+          queryProgress(instance, stream, offset, recorded)
               .thenApply(
                   folded ->
-                      new Sight(router.instance().name(), router.incarnation().value(), folded)));
+                      new InstanceProgress(
+                          instance.instance().name(), instance.incarnation().value(), folded)));
     }
-    List<Sight> sights = new ArrayList<>();
-    asked.forEach(sight -> sights.add(sight.join()));
-    joined.values().forEach(view -> sights.add(unlisted(view)));
-    Map<Boolean, List<Sight>> sorted =
-        sights.stream().collect(Collectors.partitioningBy(s -> s.foldedTo().reaches(offset)));
-    return new InForce(
-        sorted.getOrDefault(true, List.of()),
-        sorted.getOrDefault(false, List.of()),
+    List<InstanceProgress> progresses = new ArrayList<>();
+    queries.forEach(query -> progresses.add(query.join()));
+    joined.values().forEach(view -> progresses.add(unlistedProgress(view)));
+    Map<Boolean, List<InstanceProgress>> byInForce =
+        progresses.stream().collect(Collectors.partitioningBy(s -> s.progress().reaches(offset)));
+    return new InForceStatus(
+        byInForce.getOrDefault(true, List.of()),
+        byInForce.getOrDefault(false, List.of()),
         Optional.empty());
   }
 
-  private CompletableFuture<FoldedTo> ask(
-      ListedRouter router, StreamId stream, long offset, OptionalLong written) {
-    FoldedTo byRecord = new FoldedTo(written, "has registered no admin address");
-    if (byRecord.reaches(offset)) {
-      return CompletableFuture.completedFuture(new FoldedTo(written, ""));
+  private CompletableFuture<FoldProgress> queryProgress(
+      ListedInstance instance, StreamId stream, long offset, OptionalLong recorded) {
+    FoldProgress fromRecords = new FoldProgress(recorded, "has registered no admin address");
+    if (fromRecords.reaches(offset)) {
+      return CompletableFuture.completedFuture(new FoldProgress(recorded, ""));
     }
-    return router
+    return instance
         .adminAddress()
-        .map(address -> admin.foldedTo(address, stream).thenApply(f -> f.orWritten(written)))
-        .orElseGet(() -> CompletableFuture.completedFuture(byRecord));
+        .map(
+            address ->
+                admin.foldProgress(address, stream).thenApply(f -> f.orElseRecorded(recorded)))
+        .orElseGet(() -> CompletableFuture.completedFuture(fromRecords));
   }
 
-  private static Sight unlisted(InstanceView view) {
-    return new Sight(
+  private static InstanceProgress unlistedProgress(InstanceView view) {
+    return new InstanceProgress(
         view.instance().name(),
         view.incarnation().value(),
-        new FoldedTo(
+        new FoldProgress(
             OptionalLong.of(view.foldedTo()), "joined, but isn't on the platform's list yet"));
   }
 
-  /** Instances that joined the ledger, without those that neither are listed nor wrote lately. */
-  private Map<IncarnationId, InstanceView> joined() {
+  /**
+   * Returns the instances that joined the ledger and wrote a record recently. If the ledger cannot
+   * be read, the result is empty.
+   */
+  private Map<IncarnationId, InstanceView> recentlyJoined() {
     Map<IncarnationId, InstanceView> joined = new HashMap<>();
-    if (session.catchUp() instanceof CatchUp.Done(LedgerState state)) {
-      Instant recent = state.logTime().minus(RECENT);
+    if (session.catchUp() instanceof CatchUpResult.Done(LedgerState state)) {
+      Instant recent = state.logTime().minus(RECENT_RECORD_AGE);
       state.instances().stream()
           .filter(view -> view.lastRecordAt().isAfter(recent))
           .forEach(view -> joined.put(view.incarnation(), view));
@@ -142,13 +165,13 @@
     return joined;
   }
 
-  private static OptionalLong written(@Nullable InstanceView view) {
+  private static OptionalLong recordedOffset(@Nullable InstanceView view) {
     return view == null ? OptionalLong.empty() : OptionalLong.of(view.foldedTo());
   }
 
-  private static boolean pause() {
+  private static boolean sleepBetweenChecks() {
     try {
-      Thread.sleep(PAUSE.toMillis());
+      Thread.sleep(CHECK_INTERVAL.toMillis());
       return true;
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/Dimension.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/LossDimension.java
@@ -4,8 +4,8 @@
 import java.time.Instant;
 import java.util.function.BiFunction;
 
-/** By what the losses are divided into columns. */
-public enum Dimension {
+/** The attribute of a request by which a loss report is divided into columns. */
+public enum LossDimension {
   KIND((request, start) -> request.kind().isEmpty() ? "not known" : request.kind()),
   CUSTOMER((request, start) -> request.customer().isEmpty() ? "none" : request.customer()),
   SECOND(
@@ -15,11 +15,11 @@
 
   private final BiFunction<AttemptRecord, Instant, String> column;
 
-  Dimension(BiFunction<AttemptRecord, Instant, String> column) {
+  LossDimension(BiFunction<AttemptRecord, Instant, String> column) {
     this.column = column;
   }
 
-  /** The column of a request; seconds are those since {@code start}. */
+  /** Returns the column of a request; {@link #SECOND} counts from {@code start}. */
   String column(AttemptRecord request, Instant start) {
     return column.apply(request, start);
   }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/session/LogHttp.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/session/HttpLogClient.java
@@ -23,15 +23,15 @@
 import org.teaseldeal.net.HttpFailure;
 import org.teaseldeal.net.HttpFailureException;
 
-/** Carries out the ledger's commands at the platform's log over HTTP. */
-final class LogHttp {
+/** Executes the ledger's log commands over HTTP at the platform's log. */
+final class HttpLogClient {
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final int OK = 200;
   private static final int GONE = 410;
   private static final int TOO_MANY_REQUESTS = 429;
-  private static final int MAX_RECORDS = 1_000;
+  private static final int MAX_RECORDS_PER_READ = 1_000;
 
-  /** No longer than the ledger client waits before it tries again. */
+  /** Not longer than the time after which the ledger client retries. */
   private static final Duration CALL_TIMEOUT = Duration.ofSeconds(2);
 
   private static final byte[] NO_BODY = {};
@@ -39,23 +39,27 @@
   private final HttpClient client;
   private final String address;
 
-  LogHttp(HttpClient client, String address) {
+  HttpLogClient(HttpClient client, String address) {
     this.client = client;
     this.address = address;
   }
 
-  /** What came of an append, with whether any of it can have reached the log. */
+  /**
+   * The result of an append; {@code mayBeWritten} is false only if the record certainly did not
+   * reach the log.
+   */
   record AppendResult(LogEvent event, boolean mayBeWritten) {}
 
   CompletableFuture<AppendResult> append(LogCommand.Append append) {
     return call("POST", path(append.stream()), append.payload())
-        .handle((answer, failure) -> appended(append, answer, failure));
+        .handle((answer, failure) -> appendResult(append, answer, failure));
   }
 
-  /** Reads records, waiting up to {@code longPoll} for the first. */
+  /** Reads records; if there are none yet, the log waits up to {@code longPoll} for the first. */
   CompletableFuture<LogEvent> read(StreamId stream, long fromOffset, Duration longPoll) {
     String query =
-        "?from=%d&max=%d&wait_ms=%d".formatted(fromOffset, MAX_RECORDS, longPoll.toMillis());
+        "?from=%d&max=%d&wait_ms=%d"
+            .formatted(fromOffset, MAX_RECORDS_PER_READ, longPoll.toMillis());
     return call("GET", path(stream) + query, NO_BODY)
         .handle((answer, failure) -> read(stream, fromOffset, answer, failure));
   }
@@ -68,14 +72,14 @@
     return "/log/%s/records".formatted(stream.logName());
   }
 
-  private AppendResult appended(
+  private AppendResult appendResult(
       LogCommand.Append append, @Nullable HttpAnswer answer, @Nullable Throwable failure) {
     if (failure != null || answer == null) {
-      return new AppendResult(failed(append, reason(failure)), !notSent(failure));
+      return new AppendResult(failed(append, reason(failure)), !isNotSent(failure));
     }
     if (answer.status() != OK) {
-      // Only a refusal for the append rate is known to come before the write; a 503 may come from
-      // something between here and the log that gave up waiting after the write took effect.
+      // Only a 429, a refusal for the append rate, is certain to precede the write. A 503 may come
+      // from a proxy in front of the log that timed out after the write took effect.
       return new AppendResult(
           failed(append, "the log answered " + answer.status()),
           answer.status() != TOO_MANY_REQUESTS);
@@ -97,7 +101,7 @@
     return failure == null ? "no answer" : String.valueOf(failure.getMessage());
   }
 
-  private static boolean notSent(@Nullable Throwable failure) {
+  private static boolean isNotSent(@Nullable Throwable failure) {
     return failure instanceof HttpFailureException http && http.failure() == HttpFailure.NOT_SENT;
   }
 
--- a/teaseldeal-operator/src/test/java/org/teaseldeal/operator/LeaseCommandTests.java
+++ b/teaseldeal-operator/src/test/java/org/teaseldeal/operator/LeaseCommandTests.java
@@ -20,8 +20,8 @@
   private final FakePlatform platform = new FakePlatform();
   private final Transcript transcript =
       new Transcript()
-          .set("TEASELDEAL_PLATFORM", platform.address())
-          .name(platform.address(), "PLATFORM");
+          .setVariable("TEASELDEAL_PLATFORM", platform.address())
+          .replace(platform.address(), "PLATFORM");
 
   LeaseCommandTests() throws IOException {}
 
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void showsInstancesAndWhatTheyHold() {
+  void showsInstancesAndTheirLeases() {
     platform.list("a", "run-a", "127.0.0.1:7001");
     platform.list("c", "run-c", "");
 
@@ -51,10 +51,11 @@
     transcript.verify();
   }
 
-  // Instance b died with 200 tokens under its lease. Nobody can tell which of them it spent, so the
-  // operator can only have them written off, and only with the platform's word that it is gone.
+  // Instance b died while it held 200 tokens under its lease. It is unknown how many of them it
+  // spent, so they can only be written off, and only if the platform no longer lists the instance
+  // and the operator confirms that it is gone.
   @Test
-  void writesOffWhatADeadInstanceHeldOnceItsEndIsConfirmed() {
+  void writesOffLeasesOfDeadInstanceOnceConfirmed() {
     platform.list("a", "run-a", "");
     platform.list("b", "run-b", "");
 
@@ -69,9 +70,10 @@
     transcript.verify();
   }
 
-  // The answer to the retirement is lost and the log goes down. The repeat finds it done.
+  // The response to the retirement is lost and the log becomes unavailable. A repeat of the command
+  // must find that the retirement has taken effect.
   @Test
-  void retiresOnceWhenTheAnswerIsLost() {
+  void retiresOnceWhenAppendResponseIsLost() {
     platform.beforeNextAppend(() -> platform.logDown(true));
     platform.loseAnswers(1);
 
@@ -85,7 +87,7 @@
   }
 
   @Test
-  void changesNothingWhileThePlatformsListCannotBeRead() {
+  void changesNothingWhilePlatformListIsUnreadable() {
     platform.listDown(true);
 
     assertEquals(
--- a/teaseldeal-operator/src/test/java/org/teaseldeal/operator/Transcript.java
+++ b/teaseldeal-operator/src/test/java/org/teaseldeal/operator/Transcript.java
@@ -14,55 +14,57 @@
 import org.teaseldeal.net.HttpClientConfig;
 import org.teaseldeal.operator.command.CommandContext;
 
-/** Runs command lines in this process and writes down what an operator sees. */
+/** Runs command lines in this process and records their output as an operator sees it. */
 final class Transcript implements AutoCloseable {
   private final HttpClient http = new HttpClient(HttpClientConfig.defaults());
   private final SplittableRandom random = new SplittableRandom(4711);
   private final Map<String, String> environment = new HashMap<>(Map.of("USER", "anna"));
-  private final Map<String, String> names = new LinkedHashMap<>();
-  private final StringBuilder lines = new StringBuilder();
+  private final Map<String, String> replacements = new LinkedHashMap<>();
+  private final StringBuilder output = new StringBuilder();
 
   /** Sets an environment variable. */
-  Transcript set(String variable, String value) {
+  Transcript setVariable(String variable, String value) {
     environment.put(variable, value);
     return this;
   }
 
-  /** Writes {@code name} wherever {@code text}, which differs from run to run, is seen. */
-  Transcript name(String text, String name) {
-    names.put(text, name);
+  /**
+   * Replaces {@code text}, which differs from run to run, by {@code replacement} in the transcript.
+   */
+  Transcript replace(String text, String replacement) {
+    replacements.put(text, replacement);
     return this;
   }
 
-  /** Runs one command line. */
+  /** Runs one command line and appends it, its output and its exit status to the transcript. */
   ExitStatus run(String... arguments) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     ByteArrayOutputStream err = new ByteArrayOutputStream();
     PrintStream errStream = new PrintStream(err, true, StandardCharsets.UTF_8);
     CommandContext context =
         new CommandContext(environment, InstantSource.system(), random, http, errStream::println);
-    Operator operator =
-        new Operator(context, new PrintStream(out, true, StandardCharsets.UTF_8), errStream);
-    ExitStatus code = operator.run(arguments);
-    lines.append("$ teaseldeal-operator ").append(String.join(" ", arguments)).append('\n');
-    lines.append(out.toString(StandardCharsets.UTF_8));
+    CommandRunner operator =
+        new CommandRunner(context, new PrintStream(out, true, StandardCharsets.UTF_8), errStream);
+    ExitStatus status = operator.run(arguments);
+    output.append("$ teaseldeal-operator ").append(String.join(" ", arguments)).append('\n');
+    output.append(out.toString(StandardCharsets.UTF_8));
     err.toString(StandardCharsets.UTF_8)
         .lines()
-        .forEach(line -> lines.append("! ").append(line).append('\n'));
-    lines.append("[exit ").append(code.code()).append("]\n\n");
-    return code;
+        .forEach(line -> output.append("! ").append(line).append('\n'));
+    output.append("[exit ").append(status.code()).append("]\n\n");
+    return status;
   }
 
-  /** What was seen so far. */
+  /** Returns the transcript of all command lines so far, with the replacements applied. */
   String text() {
-    String text = lines.toString();
-    for (Map.Entry<String, String> name : names.entrySet()) {
-      text = text.replace(name.getKey(), name.getValue());
+    String text = output.toString();
+    for (Map.Entry<String, String> replacement : replacements.entrySet()) {
+      text = text.replace(replacement.getKey(), replacement.getValue());
     }
     return text;
   }
 
-  /** Compares what was seen with what was approved. */
+  /** Compares the transcript with the approved one. */
   void verify() {
     Approvals.verify(text());
   }
