--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/fake/FakeSettings.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/fake/FakeSettings.java
@@ -19,14 +19,14 @@
   private final Map<String, FleetSettings> fleets = new HashMap<>();
   private final Map<String, TeamSettings> teams = new HashMap<>();
 
-  /** Keeps {@code settings}; the text to publish is returned. */
+  /** Stores {@code settings} and returns the text with which to publish them. */
   public String put(FleetSettings settings) {
     String text = "fleet-" + fleets.size();
     fleets.put(text, settings);
     return text;
   }
 
-  /** Keeps {@code settings}; the text to publish is returned. */
+  /** Stores {@code settings} and returns the text with which to publish them. */
   public String put(TeamSettings settings) {
     String text = "team-" + teams.size();
     teams.put(text, settings);
@@ -82,7 +82,7 @@
         base.defaultTimeout(),
         base.maxRetryShare(),
         base.claimWindow(),
-        base.keyMemory());
+        base.keyRetention());
   }
 
   @Override
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/LedgerTables.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/LedgerTables.java
@@ -126,7 +126,7 @@
   private void expire() {
     Optional<FleetSettings> fleet = settings.fleet();
     Duration claimWindow = fleet.map(FleetSettings::claimWindow).orElse(defaults.claimWindow());
-    Duration keyRetention = fleet.map(FleetSettings::keyMemory).orElse(defaults.keyRetention());
+    Duration keyRetention = fleet.map(FleetSettings::keyRetention).orElse(defaults.keyRetention());
     long retentionLimit = logMillis - keyRetention.toMillis();
     claims.expire(logMillis - claimWindow.toMillis(), retentionLimit);
     budgets.dropOperationsUntil(retentionLimit);
@@ -195,7 +195,10 @@
     List<LeaseView> views = new ArrayList<>();
     int row = budgets.accounts().find(service);
     if (row != AccountTable.NONE) {
-      budgets.leases().forEach(row, (at, source, tokens) -> views.add(lease(at, source, tokens)));
+      budgets
+          .leases()
+          .forEach(
+              row, (serviceRow, source, tokens) -> views.add(lease(serviceRow, source, tokens)));
     }
     return views;
   }
--- a/teaseldeal-settings/src/main/java/org/teaseldeal/settings/FleetParser.java
+++ b/teaseldeal-settings/src/main/java/org/teaseldeal/settings/FleetParser.java
@@ -26,11 +26,11 @@
     TomlReader requests = root.table("requests");
     TomlReader claims = root.table("claims");
     Duration window = claims.duration("window", DAY, SECOND, DAY.multipliedBy(30));
-    Duration keyMemory =
+    Duration keyRetention =
         claims.duration("key_memory", DAY.multipliedBy(7), SECOND, DAY.multipliedBy(365));
-    if (keyMemory.compareTo(window) < 0) {
+    if (keyRetention.compareTo(window) < 0) {
       claims.addProblem("key_memory", "was shorter than window, expected at least as long");
-      keyMemory = window;
+      keyRetention = window;
     }
     return new FleetSettings(
         readPools(root),
@@ -39,7 +39,7 @@
         requests.duration("default_timeout", Duration.ofMinutes(1), MILLISECOND, DAY),
         requests.doubleInRange("max_retry_share", DEFAULT_MAX_RETRY_SHARE, 0, 1),
         window,
-        keyMemory);
+        keyRetention);
   }
 
   private static Map<String, PoolSettings> readPools(TomlReader root) {
--- a/teaseldeal-settings/src/main/java/org/teaseldeal/settings/FleetSettings.java
+++ b/teaseldeal-settings/src/main/java/org/teaseldeal/settings/FleetSettings.java
@@ -13,7 +13,8 @@
  * @param defaultTimeout the deadline of a request that names none
  * @param maxRetryShare the largest share of attempts that may be retries, in [0, 1]
  * @param claimWindow how long the outcome of a claim is kept for requests that repeat its key
- * @param keyMemory how long the key of a claim is remembered at all
+ * @param keyRetention how long the key of a claim is remembered, including the time after its
+ *     outcome was dropped
  */
 public record FleetSettings(
     Map<String, PoolSettings> pools,
@@ -22,7 +23,7 @@
     Duration defaultTimeout,
     double maxRetryShare,
     Duration claimWindow,
-    Duration keyMemory) {
+    Duration keyRetention) {
   public FleetSettings {
     pools = Map.copyOf(pools);
     Preconditions.requirePositive(progressTimeout.toMillis(), "requests.progress_timeout");
@@ -32,8 +33,8 @@
         "requests.max_retry_share was %s, expected 0 to 1".formatted(maxRetryShare));
     Preconditions.requirePositive(claimWindow.toMillis(), "claims.window");
     Preconditions.require(
-        keyMemory.compareTo(claimWindow) >= 0,
+        keyRetention.compareTo(claimWindow) >= 0,
         "claims.key_memory was %s, expected at least claims.window, %s"
-            .formatted(keyMemory, claimWindow));
+            .formatted(keyRetention, claimWindow));
   }
 }
--- a/teaseldeal-settings/src/main/java/org/teaseldeal/settings/toml/CheckedValue.java
+++ b/teaseldeal-settings/src/main/java/org/teaseldeal/settings/toml/CheckedValue.java
@@ -14,7 +14,7 @@
     return new Valid<>(value);
   }
 
-  static <T> CheckedValue<T> invalid(String given, String expected) {
-    return new Invalid<>(given, expected);
+  static <T> CheckedValue<T> invalid(String found, String expected) {
+    return new Invalid<>(found, expected);
   }
 }
--- a/teaseldeal-settings/src/main/java/org/teaseldeal/settings/toml/TomlReader.java
+++ b/teaseldeal-settings/src/main/java/org/teaseldeal/settings/toml/TomlReader.java
@@ -100,7 +100,7 @@
 
   /** Returns a whole number from {@code min} to {@code max}. */
   public long longInRange(String key, long min, long max) {
-    return readRequired(key, min, ValueRule.integer(min, max));
+    return readRequired(key, min, ValueRule.longInRange(min, max));
   }
 
   /**
@@ -108,7 +108,7 @@
    * missing.
    */
   public long longInRange(String key, long defaultValue, long min, long max) {
-    return readOptional(key, defaultValue, ValueRule.integer(min, max));
+    return readOptional(key, defaultValue, ValueRule.longInRange(min, max));
   }
 
   /**
@@ -121,7 +121,7 @@
 
   /** Returns a number from {@code min} to {@code max}. */
   public double doubleInRange(String key, double min, double max) {
-    return readRequired(key, min, ValueRule.fraction(min, max));
+    return readRequired(key, min, ValueRule.doubleInRange(min, max));
   }
 
   /**
@@ -129,7 +129,7 @@
    * missing.
    */
   public double doubleInRange(String key, double defaultValue, double min, double max) {
-    return readOptional(key, defaultValue, ValueRule.fraction(min, max));
+    return readOptional(key, defaultValue, ValueRule.doubleInRange(min, max));
   }
 
   /** Returns true or false. */
@@ -145,7 +145,7 @@
   /** Returns a constant of an enum, which the text writes in lower case with hyphens. */
   public <E extends Enum<E>> E enumConstant(String key, Class<E> type) {
     List<E> constants = Arrays.asList(type.getEnumConstants());
-    return readRequired(key, constants.getFirst(), ValueRule.oneOf(constants));
+    return readRequired(key, constants.getFirst(), ValueRule.enumConstant(constants));
   }
 
   /**
@@ -154,7 +154,7 @@
    */
   public <E extends Enum<E>> E enumConstant(String key, E defaultValue) {
     List<E> constants = Arrays.asList(defaultValue.getDeclaringClass().getEnumConstants());
-    return readOptional(key, defaultValue, ValueRule.oneOf(constants));
+    return readOptional(key, defaultValue, ValueRule.enumConstant(constants));
   }
 
   /**
@@ -206,8 +206,8 @@
     return versions;
   }
 
-  private static String invalidVersionMessage(String given, String expected) {
-    return "has %s, expected %s".formatted(ValueRule.describe(given), expected);
+  private static String invalidVersionMessage(String found, String expected) {
+    return "has %s, expected %s".formatted(ValueRule.describe(found), expected);
   }
 
   /** Returns the table {@code key}, or an empty one if the key is missing. */
@@ -272,12 +272,12 @@
   private void addElement(String key, TomlArray array, int index, List<String> texts) {
     switch (ValueRule.TEXT.check(array.get(index))) {
       case CheckedValue.Valid<String>(String text) -> texts.add(text);
-      case CheckedValue.Invalid<String>(String given, String expected) ->
+      case CheckedValue.Invalid<String>(String found, String expected) ->
           document.addProblem(
               new SettingsProblem(
                   "%s[%d]".formatted(pathOf(key), index),
                   array.inputPositionOf(index).line(),
-                  "was %s, expected %s".formatted(given, expected)));
+                  "was %s, expected %s".formatted(found, expected)));
     }
   }
 
@@ -296,9 +296,9 @@
       return defaultValue;
     }
     return switch (rule.check(value)) {
-      case CheckedValue.Valid<T>(T right) -> right;
-      case CheckedValue.Invalid<T>(String given, String expected) -> {
-        addProblem(key, "was %s, expected %s".formatted(given, expected));
+      case CheckedValue.Valid<T>(T valid) -> valid;
+      case CheckedValue.Invalid<T>(String found, String expected) -> {
+        addProblem(key, "was %s, expected %s".formatted(found, expected));
         yield defaultValue;
       }
     };
--- a/teaseldeal-settings/src/main/java/org/teaseldeal/settings/toml/ValueRule.java
+++ b/teaseldeal-settings/src/main/java/org/teaseldeal/settings/toml/ValueRule.java
@@ -47,7 +47,7 @@
           value -> value instanceof Boolean bool ? Optional.of(bool) : Optional.empty(),
           false);
 
-  static ValueRule<Long> integer(long min, long max) {
+  static ValueRule<Long> longInRange(long min, long max) {
     return new ValueRule<>(
         "a whole number from %d to %d".formatted(min, max),
         value ->
@@ -57,7 +57,7 @@
         false);
   }
 
-  static ValueRule<Double> fraction(double min, double max) {
+  static ValueRule<Double> doubleInRange(double min, double max) {
     return new ValueRule<>(
         "a number from %s to %s".formatted(min, max),
         value -> asNumber(value).filter(number -> number >= min && number <= max),
@@ -86,7 +86,7 @@
         false);
   }
 
-  static <E extends Enum<E>> ValueRule<E> oneOf(List<E> constants) {
+  static <E extends Enum<E>> ValueRule<E> enumConstant(List<E> constants) {
     return new ValueRule<>(
         constants.stream()
             .map(constant -> "\"%s\"".formatted(label(constant)))
--- a/teaseldeal-settings/src/test/java/org/teaseldeal/settings/SettingsParserPropertyTests.java
+++ b/teaseldeal-settings/src/test/java/org/teaseldeal/settings/SettingsParserPropertyTests.java
@@ -19,13 +19,13 @@
 
   // Texts composed of TOML fragments pass the lexer; random characters hardly ever do.
   @Property(tries = 2_000, seed = "4711")
-  void givesSameResultTwiceOnTomlFragments(@ForAll("pieces") String text) {
+  void givesSameResultTwiceOnTomlFragments(@ForAll("tomlFragments") String text) {
     assertEquals(SettingsParser.parseFleet(text), SettingsParser.parseFleet(text));
     assertEquals(SettingsParser.parseTeam(AUCTION, text), SettingsParser.parseTeam(AUCTION, text));
   }
 
   @Provide
-  Arbitrary<String> pieces() {
+  Arbitrary<String> tomlFragments() {
     return Arbitraries.of(
             "[pools.a]\n",
             "[services.b]\n",
@@ -76,6 +76,6 @@
             "#")
         .list()
         .ofMaxSize(40)
-        .map(parts -> String.join("", parts));
+        .map(fragments -> String.join("", fragments));
   }
 }
