--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/AnswerCollector.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/AnswerCollector.java
@@ -22,8 +22,11 @@
     return answer;
   }
 
-  /** Cancels {@code call} when the future completes in another way or the time limit has passed. */
-  void cancelWith(HttpCall call, Duration timeout) {
+  /**
+   * Fails the future if the answer is incomplete after the timeout, and cancels {@code call} as
+   * soon as the future completes in any way.
+   */
+  void cancelOnCompletion(HttpCall call, Duration timeout) {
     var timer =
         SharedEventLoops.eventLoopGroup()
             .schedule(
@@ -31,7 +34,7 @@
                 timeout.toNanos() + TimeUnit.MILLISECONDS.toNanos(50),
                 TimeUnit.NANOSECONDS);
     answer.whenComplete(
-        (whole, failure) -> {
+        (completed, failure) -> {
           timer.cancel(false);
           call.cancel();
         });
--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/ClientCall.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/ClientCall.java
@@ -60,7 +60,7 @@
   }
 
   /** Returns whether an answer with this head belongs to the call. */
-  synchronized boolean isAnswer(int status, Map<String, String> headers) {
+  synchronized boolean acceptsAnswer(int status, Map<String, String> headers) {
     return finished || listener.acceptsAnswer(status, headers);
   }
 
@@ -73,7 +73,7 @@
     runCallback(() -> listener.onHead(status, headers));
   }
 
-  synchronized void deliverPart(byte[] part) {
+  synchronized void deliverBodyPart(byte[] part) {
     if (!finished) {
       runCallback(() -> listener.onBodyPart(part));
     }
--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/ClientConnection.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/ClientConnection.java
@@ -135,7 +135,7 @@
     Map<String, String> headers = copyWithLowerCaseNames(head.headers());
     skippingAnswer =
         head.status().codeClass() == HttpStatusClass.INFORMATIONAL
-            || !current.isAnswer(head.status().code(), headers);
+            || !current.acceptsAnswer(head.status().code(), headers);
     if (skippingAnswer) {
       return;
     }
@@ -155,7 +155,7 @@
       byte[] part = new byte[bytes.readableBytes()];
       bytes.readBytes(part);
       remainingBytes = remainingBytes < 0 ? -1 : remainingBytes - part.length;
-      current.deliverPart(part);
+      current.deliverBodyPart(part);
     }
     if (content instanceof LastHttpContent) {
       onAnswerEnd(current);
--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/HttpCallRequest.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/HttpCallRequest.java
@@ -9,8 +9,8 @@
  * @param address {@code host:port}, the host as an IP address
  * @param headers the headers to send; a {@code host} among them replaces the one derived from the
  *     address
- * @param timeout the time until the head of the answer has to arrive; the listener has to watch the
- *     pace of the body
+ * @param timeout the time within which the head of the answer has to arrive; the listener has to
+ *     enforce time limits for the body itself
  */
 public record HttpCallRequest(
     String address,
--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/HttpClient.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/HttpClient.java
@@ -56,7 +56,7 @@
   public CompletableFuture<HttpAnswer> fetch(HttpCallRequest request) {
     AnswerCollector collector = new AnswerCollector(config.maxAnswerBytes());
     HttpCall call = send(request, collector);
-    collector.cancelWith(call, request.timeout());
+    collector.cancelOnCompletion(call, request.timeout());
     return collector.answer();
   }
 
--- a/teaseldeal-net/src/main/java/org/teaseldeal/net/HttpFailure.java
+++ b/teaseldeal-net/src/main/java/org/teaseldeal/net/HttpFailure.java
@@ -1,6 +1,6 @@
 package org.teaseldeal.net;
 
-/** How far a call got that ended without a complete answer. */
+/** States how far a call got before it ended without a complete answer. */
 public enum HttpFailure {
   /** No byte of the request was written. */
   NOT_SENT,
--- a/teaseldeal-net/src/test/java/org/teaseldeal/net/HttpServerTests.java
+++ b/teaseldeal-net/src/test/java/org/teaseldeal/net/HttpServerTests.java
@@ -157,12 +157,12 @@
 
     @Test
     void notifiesWhenCallerDisconnects() throws Exception {
-      CountDownLatch gone = new CountDownLatch(1);
+      CountDownLatch disconnected = new CountDownLatch(1);
       try (RawConnection connection = connect(startServerThatHoldsExchanges())) {
         connection.send(get("/s"));
-        heldExchanges.take().onCallerDisconnect(gone::countDown);
+        heldExchanges.take().onCallerDisconnect(disconnected::countDown);
       }
-      assertTrue(gone.await(10, TimeUnit.SECONDS));
+      assertTrue(disconnected.await(10, TimeUnit.SECONDS));
     }
 
     @Test
@@ -392,7 +392,7 @@
     void ofBodiesBeyondTotalMemoryLimit() throws Exception {
       // A request waits for its answer while its body is held in memory. Another, whose body is
       // within the limit for one body, is rejected with 503; once the first has been answered,
-      // there is room again.
+      // bodies are accepted again.
       HttpServer server =
           HttpServer.start(CONFIG, heldExchanges::add, HttpRejectionAnswer.plainText(), 100);
       servers.add(server);
--- a/teaseldeal-net/src/test/java/org/teaseldeal/net/ScriptedServer.java
+++ b/teaseldeal-net/src/test/java/org/teaseldeal/net/ScriptedServer.java
@@ -37,7 +37,7 @@
     int count = 0;
     while (!listener.isClosed()) {
       try (Socket socket = listener.accept()) {
-        Thread served =
+        Thread scriptThread =
             Thread.ofVirtual()
                 .start(
                     () -> {
@@ -47,7 +47,7 @@
                         // The client closed the connection, or the test has ended.
                       }
                     });
-        served.join();
+        scriptThread.join();
         closed.add(++count);
       } catch (IOException | InterruptedException e) {
         return;
--- a/teaseldeal-net/src/test/java/org/teaseldeal/net/UnusualAnswerTests.java
+++ b/teaseldeal-net/src/test/java/org/teaseldeal/net/UnusualAnswerTests.java
@@ -12,10 +12,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Answers that arrive at the wrong time or end in the wrong way, scripted byte by byte. */
+/**
+ * Tests of answers that arrive at the wrong time or end in the wrong way, scripted byte by byte.
+ */
 @Timeout(30)
 class UnusualAnswerTests {
-  private static final int MORE_THAN_SOCKET_BUFFERS_BYTES = 64 << 20;
+  private static final int BYTES_EXCEEDING_SOCKET_BUFFERS = 64 << 20;
 
   private final HttpClient client = new HttpClient(HttpClientConfig.defaults());
 
@@ -41,7 +43,7 @@
               ScriptedServer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
               socket.getInputStream().transferTo(OutputStream.nullOutputStream());
             })) {
-      assertEquals("ok", fetch(server, new byte[MORE_THAN_SOCKET_BUFFERS_BYTES]));
+      assertEquals("ok", fetch(server, new byte[BYTES_EXCEEDING_SOCKET_BUFFERS]));
       assertEquals("ok", fetch(server, new byte[0]));
       assertEquals("POST /answer HTTP/1.1", firstLines.take());
       assertEquals("POST /answer HTTP/1.1", firstLines.take());
