--- a/teaseldeal-api/src/main/java/org/teaseldeal/api/Problem.java
+++ b/teaseldeal-api/src/main/java/org/teaseldeal/api/Problem.java
@@ -23,12 +23,12 @@
         "run was %s for %s, expected %s or unknown".formatted(run, kind, kind.runStatus()));
   }
 
-  /** Creates a problem without a time to wait before a retry. */
+  /** Creates a problem without a retry-after time. */
   public static Problem of(ErrorKind kind, String detail) {
     return new Problem(kind, detail, Optional.empty(), kind.runStatus());
   }
 
-  /** Creates a problem of a retryable kind with a time to wait before a retry. */
+  /** Creates a problem of a retryable kind with a retry-after time. */
   public static Problem retryable(ErrorKind kind, String detail, Duration retryAfter) {
     return new Problem(kind, detail, Optional.of(retryAfter), kind.runStatus());
   }
--- a/teaseldeal-cli/src/main/java/org/teaseldeal/cli/Command.java
+++ b/teaseldeal-cli/src/main/java/org/teaseldeal/cli/Command.java
@@ -14,7 +14,7 @@
   /**
    * Runs the command.
    *
-   * @return the status that the process exits with
+   * @return the status with which the process exits
    * @throws CommandException if the command fails; it carries the exit status and the message
    */
   protected abstract ExitStatus run(PrintStream out, PrintStream err) throws CommandException;
--- a/teaseldeal-cli/src/main/java/org/teaseldeal/cli/CommandException.java
+++ b/teaseldeal-cli/src/main/java/org/teaseldeal/cli/CommandException.java
@@ -11,7 +11,7 @@
     this.status = status;
   }
 
-  /** The status that the process exits with. */
+  /** Returns the status with which the process exits. */
   public ExitStatus status() {
     return status;
   }
--- a/teaseldeal-cli/src/main/java/org/teaseldeal/cli/ExitStatus.java
+++ b/teaseldeal-cli/src/main/java/org/teaseldeal/cli/ExitStatus.java
@@ -21,12 +21,12 @@
     this.meaning = meaning;
   }
 
-  /** The numeric exit code of the process. */
+  /** Returns the numeric exit code of the process. */
   public int code() {
     return code;
   }
 
-  /** The explanation of this status that help texts print. */
+  /** Returns the explanation of this status in help texts. */
   public String meaning() {
     return meaning;
   }
