--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/client/Appender.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/client/Appender.java
@@ -120,7 +120,7 @@
     return new LogCommand.Append(stream, record.token, record.payload);
   }
 
-  void acknowledged(long token, long offset, Instant now) {
+  void onAcknowledged(long token, long offset, Instant now) {
     if (inFlight != null && inFlight.token == token) {
       inFlight.awaitingAcknowledgement = false;
       inFlight.acknowledgedOffset = offset;
@@ -128,7 +128,7 @@
     }
   }
 
-  void failed(long token, Instant now) {
+  void onFailed(long token, Instant now) {
     if (inFlight != null && inFlight.token == token) {
       inFlight.awaitingAcknowledgement = false;
       inFlight.nextAttemptAt = now.plus(config.backoff().delay(inFlight.attempts, seed()));
@@ -144,7 +144,7 @@
    * Reports that the fold has applied all records of this writer up to {@code sequence}. Returns
    * the tickets of the record in flight if it is among them.
    */
-  List<Ticket> readBack(long sequence) {
+  List<Ticket> onReadBack(long sequence) {
     lastReadBack = Math.max(lastReadBack, sequence);
     if (inFlight == null || sequence < inFlight.batch.sequence) {
       return List.of();
@@ -176,7 +176,7 @@
    * outcome.
    */
   List<Ticket> stop() {
-    List<Ticket> lost = new ArrayList<>(readBack(Long.MAX_VALUE));
+    List<Ticket> lost = new ArrayList<>(onReadBack(Long.MAX_VALUE));
     queue.forEach(batch -> lost.addAll(batch.tickets()));
     queue.clear();
     return lost;
@@ -191,7 +191,7 @@
     return inFlight == null && queue.isEmpty();
   }
 
-  boolean outstandingFor(Duration duration, Instant now) {
+  boolean isOutstandingFor(Duration duration, Instant now) {
     return inFlight != null && !now.isBefore(later(inFlight.firstAppendAt, duration));
   }
 
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/client/LedgerClient.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/client/LedgerClient.java
@@ -139,28 +139,28 @@
     return switch (event) {
       case LogEvent.AppendAcknowledged e -> {
         lastContact = now;
-        appender.acknowledged(e.token(), e.offset(), now);
+        appender.onAcknowledged(e.token(), e.offset(), now);
         yield List.of();
       }
       case LogEvent.AppendFailed e -> {
-        appender.failed(e.token(), now);
+        appender.onFailed(e.token(), now);
         yield List.of();
       }
-      case LogEvent.RecordsRead e -> recordsRead(e, now);
+      case LogEvent.RecordsRead e -> onRecordsRead(e, now);
       case LogEvent.OffsetExpired e -> {
-        offsetExpired(e, now);
+        onOffsetExpired(e, now);
         yield List.of();
       }
       case LogEvent.ReadFailed e -> {
-        reader.failed(e.fromOffset(), now);
+        reader.onFailed(e.fromOffset(), now);
         yield List.of();
       }
     };
   }
 
-  private List<EntryOutcome> recordsRead(LogEvent.RecordsRead event, Instant now) {
+  private List<EntryOutcome> onRecordsRead(LogEvent.RecordsRead event, Instant now) {
     lastContact = now;
-    reader.answered(event.fromOffset());
+    reader.onAnswered(event.fromOffset());
     knownNextOffset = Math.max(knownNextOffset, event.nextOffset());
     if (scan != null) {
       scan(scan, event, now);
@@ -183,7 +183,7 @@
         outcomes.addAll(fold.fold(record));
       }
     }
-    appender.readBack(fold.state().lastSequence(self));
+    appender.onReadBack(fold.state().lastSequence(self));
     checkOwnWriter();
     if (!stale) {
       checkLogEnd(event.nextOffset());
@@ -230,9 +230,9 @@
     lostTickets.addAll(appender.stop());
   }
 
-  private void offsetExpired(LogEvent.OffsetExpired event, Instant now) {
+  private void onOffsetExpired(LogEvent.OffsetExpired event, Instant now) {
     lastContact = now;
-    reader.answered(event.fromOffset());
+    reader.onAnswered(event.fromOffset());
     knownNextOffset = Math.max(knownNextOffset, event.nextOffset());
     if (event.fromOffset() != position() || event.earliestOffset() <= position()) {
       return;
@@ -296,7 +296,7 @@
     if (!stopped) {
       problem = null;
     }
-    lostTickets.addAll(appender.readBack(fold.state().lastSequence(self)));
+    lostTickets.addAll(appender.onReadBack(fold.state().lastSequence(self)));
     checkOwnWriter();
   }
 
@@ -350,7 +350,7 @@
    * longer.
    */
   public boolean appendOutstandingFor(Duration duration) {
-    return appender.outstandingFor(duration, clock.instant());
+    return appender.isOutstandingFor(duration, clock.instant());
   }
 
   /** Returns whether the log answers and appended records are read back in time. */
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/client/Reader.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/client/Reader.java
@@ -41,12 +41,12 @@
     return Optional.of(new LogCommand.Read(stream, position));
   }
 
-  void answered(long from) {
+  void onAnswered(long from) {
     consecutiveFailures = 0;
     clearOutstanding(from);
   }
 
-  void failed(long from, Instant now) {
+  void onFailed(long from, Instant now) {
     failures++;
     backOff(now);
     clearOutstanding(from);
--- a/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/RecentOperations.java
+++ b/teaseldeal-ledger/src/main/java/org/teaseldeal/ledger/fold/RecentOperations.java
@@ -39,11 +39,11 @@
   }
 
   static RecentOperations read(StateReader in) {
-    RecentOperations memory = new RecentOperations();
+    RecentOperations operations = new RecentOperations();
     int count = in.count();
     for (int i = 0; i < count; i++) {
-      memory.timeByOperation.put(in.text(), in.number());
+      operations.timeByOperation.put(in.text(), in.number());
     }
-    return memory;
+    return operations;
   }
 }
--- a/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/client/LedgerClientTests.java
+++ b/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/client/LedgerClientTests.java
@@ -116,7 +116,7 @@
     void anOutcomeIsReadBackWithoutAnAcknowledgement() {
       log.losesAcknowledgements = true;
 
-      assertEquals(new Outcome.LeaseGranted(DRAFTS, 10), a.settle(lease(DRAFTS, 10, 10)));
+      assertEquals(new Outcome.LeaseGranted(DRAFTS, 10), a.submitAndAwait(lease(DRAFTS, 10, 10)));
       a.runFor(Duration.ofSeconds(10));
       assertEquals(1, a.ledger.counters().appends());
     }
@@ -191,7 +191,7 @@
      */
     @Test
     void aLogThatLostRecordsIsReported() {
-      a.settle(lease(DRAFTS, 10, 10));
+      a.submitAndAwait(lease(DRAFTS, 10, 10));
       log.records.removeLast();
       a.runFor(Duration.ofSeconds(4));
 
@@ -205,7 +205,7 @@
      */
     @Test
     void aStaleReadAnswerIsNotReportedAsLostRecords() {
-      a.settle(lease(DRAFTS, 10, 10));
+      a.submitAndAwait(lease(DRAFTS, 10, 10));
       a.ledger.handle(new LogEvent.RecordsRead(TestClient.STREAM, 0, log.records, 0, 1));
 
       assertEquals(Optional.empty(), a.ledger.problem());
@@ -240,7 +240,7 @@
      */
     @Test
     void isReportedAndRefusesFurtherEntries() {
-      a.settle(lease(DRAFTS, 10, 10));
+      a.submitAndAwait(lease(DRAFTS, 10, 10));
       Ticket queued = a.ledger.submit(charge(A, 1, DRAFTS, A, 1));
       append(OPERATOR, 2, new Entry.Retire(A, "ops"));
       a.tick();
@@ -274,7 +274,7 @@
      */
     @Test
     void stopsInsteadOfAppendingForever() {
-      a.settle(lease(DRAFTS, 10, 10));
+      a.submitAndAwait(lease(DRAFTS, 10, 10));
       append(OPERATOR, 2, new Entry.ReturnLease(DRAFTS, A, 10));
       clock.advance(Duration.ofDays(8));
       append(B, 1, join(B));
@@ -299,9 +299,9 @@
     @Test
     void areBridgedByTheLatestCompleteSnapshot() {
       TestClient writer = newClient(B, frequentSnapshots);
-      writer.settle(join(B));
+      writer.submitAndAwait(join(B));
       for (int i = 1; i <= 60; i++) {
-        writer.settle(lease(DRAFTS, 3, 3));
+        writer.submitAndAwait(lease(DRAFTS, 3, 3));
       }
       assertTrue(writer.ledger.state().snapshot().epoch() > 0);
       log.expireBefore(writer.ledger.state().snapshot().coveredOffset() + 1);
@@ -488,7 +488,7 @@
     @Test
     void replacesTheLogDuringAnOutage() {
       TestClient peer = newClient(B, CONFIG);
-      peer.settle(lease(DRAFTS, 7, 7));
+      peer.submitAndAwait(lease(DRAFTS, 7, 7));
       log.unreachable = true;
       a.runFor(Duration.ofMillis(100));
       assertFalse(a.ledger.caughtUp());
@@ -498,7 +498,7 @@
       assertEquals(7, a.ledger.state().leased(DRAFTS, B));
 
       log.unreachable = false;
-      peer.settle(lease(DRAFTS, 1, 1));
+      peer.submitAndAwait(lease(DRAFTS, 1, 1));
       a.runFor(Duration.ofSeconds(5));
       assertArrayEquals(peer.ledger.exportState(), a.ledger.exportState());
     }
@@ -512,7 +512,7 @@
       TestClient peer = newClient(B, CONFIG);
       peer.runFor(Duration.ofMillis(50));
       byte[] old = peer.ledger.exportState();
-      a.settle(lease(DRAFTS, 7, 7));
+      a.submitAndAwait(lease(DRAFTS, 7, 7));
       byte[] before = a.ledger.exportState();
 
       assertThrows(IllegalArgumentException.class, () -> a.ledger.restore(old));
--- a/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/client/TestClient.java
+++ b/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/client/TestClient.java
@@ -48,7 +48,7 @@
   }
 
   /** Submits an entry and runs until its outcome has been read back. */
-  Outcome settle(Entry entry) {
+  Outcome submitAndAwait(Entry entry) {
     Ticket ticket = ledger.submit(entry);
     runFor(Duration.ofMillis(300));
     return outcome(ticket).orElseThrow();
--- a/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/fold/LedgerFoldModelTests.java
+++ b/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/fold/LedgerFoldModelTests.java
@@ -199,10 +199,10 @@
      */
     private void check(FoldTestLog log, AccountId account, long tokens, String context) {
       AccountView view = log.state().account(account).orElseThrow();
-      long out = spent.getOrDefault(account, 0L) + held.getOrDefault(account, 0L);
+      long used = spent.getOrDefault(account, 0L) + held.getOrDefault(account, 0L);
       assertEquals(tokens, view.granted(), context);
-      assertEquals(out, view.charged() + view.writtenOff() + view.leased(), context);
-      assertEquals(tokens - out, view.remaining(), context);
+      assertEquals(used, view.charged() + view.writtenOff() + view.leased(), context);
+      assertEquals(tokens - used, view.remaining(), context);
       assertTrue(view.remaining() >= 0, context);
     }
   }
--- a/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/fold/SettingsRulesTests.java
+++ b/teaseldeal-ledger/src/test/java/org/teaseldeal/ledger/fold/SettingsRulesTests.java
@@ -83,26 +83,26 @@
   class FleetSettings {
     @Test
     void setTheClaimWindowAndTheKeyRetention() {
-      FoldTestLog real = new FoldTestLog(SettingsValidator.STANDARD);
+      FoldTestLog parsingLog = new FoldTestLog(SettingsValidator.STANDARD);
       String toml = "[claims]\nwindow = \"2h\"\nkey_memory = \"3h\"\n";
-      real.write(A, new Entry.PublishSettings(SubtreeId.FLEET, 0, "ann", toml));
-      real.write(A, claim("key", "body"));
-      real.advanceClock(Duration.ofMinutes(90));
-      assertInstanceOf(Outcome.ClaimLost.class, real.writeOne(B, claim("key", "body")));
-      real.restoreFromExport();
-      real.advanceClock(Duration.ofMinutes(40));
-      assertInstanceOf(Outcome.ClaimExpired.class, real.writeOne(B, claim("key", "body")));
-      real.advanceClock(Duration.ofHours(1));
-      assertInstanceOf(Outcome.ClaimWon.class, real.writeOne(B, claim("key", "body")));
+      parsingLog.write(A, new Entry.PublishSettings(SubtreeId.FLEET, 0, "ann", toml));
+      parsingLog.write(A, claim("key", "body"));
+      parsingLog.advanceClock(Duration.ofMinutes(90));
+      assertInstanceOf(Outcome.ClaimLost.class, parsingLog.writeOne(B, claim("key", "body")));
+      parsingLog.restoreFromExport();
+      parsingLog.advanceClock(Duration.ofMinutes(40));
+      assertInstanceOf(Outcome.ClaimExpired.class, parsingLog.writeOne(B, claim("key", "body")));
+      parsingLog.advanceClock(Duration.ofHours(1));
+      assertInstanceOf(Outcome.ClaimWon.class, parsingLog.writeOne(B, claim("key", "body")));
     }
 
     @Test
     void thatAreInvalidAreRefusedWithTheParsersProblems() {
-      FoldTestLog real = new FoldTestLog(SettingsValidator.STANDARD);
+      FoldTestLog parsingLog = new FoldTestLog(SettingsValidator.STANDARD);
       Entry invalid = new Entry.PublishSettings(SubtreeId.FLEET, 0, "ann", "[claims]\nno = 1\n");
 
       Outcome.SettingsInvalid refused =
-          assertInstanceOf(Outcome.SettingsInvalid.class, real.writeOne(A, invalid));
+          assertInstanceOf(Outcome.SettingsInvalid.class, parsingLog.writeOne(A, invalid));
       assertEquals("claims.no", refused.problems().getFirst().path());
     }
   }
