--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/InstanceCore.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/InstanceCore.java
@@ -26,8 +26,11 @@
 
   /** Creates an instance with the given policies instead of the standard ones. */
   public InstanceCore(
-      InstanceConfig config, InstancePolicies parts, InstantSource clock, RandomGenerator random) {
-    this.systems = new InstanceSystems(config, parts, clock, random);
+      InstanceConfig config,
+      InstancePolicies policies,
+      InstantSource clock,
+      RandomGenerator random) {
+    this.systems = new InstanceSystems(config, policies, clock, random);
   }
 
   /**
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/InstanceLimits.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/InstanceLimits.java
@@ -67,7 +67,7 @@
         Duration.ofSeconds(30));
   }
 
-  /** Returns a copy with another time-out for the drain. */
+  /** Returns a copy with another timeout for the drain. */
   public InstanceLimits withDrainTimeout(Duration timeout) {
     return new InstanceLimits(
         heartbeatInterval,
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/event/InstanceEvent.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/event/InstanceEvent.java
@@ -23,7 +23,7 @@
    * A caller's complete request has arrived.
    *
    * @param service {@code team/service}, or {@code service} for the team of the bearer token
-   * @param timeout how long the caller will wait, if it stated a time-out
+   * @param timeout how long the caller will wait, if it stated a timeout
    */
   record CallerRequest(
       CallId call,
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/part/InstancePolicies.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/part/InstancePolicies.java
@@ -12,8 +12,8 @@
  */
 public final class InstancePolicies {
   /**
-   * Two failed servers are enough evidence. A third server would fail too, and the caller sends the
-   * request again.
+   * Two failed servers are enough evidence that the request causes the failures. Callers usually
+   * repeat a failed request, and without a quarantine it would take down a third server.
    */
   private static final int GONE_SERVERS_BEFORE_QUARANTINE = 2;
 
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/AttemptSystem.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/AttemptSystem.java
@@ -27,7 +27,7 @@
  */
 final class AttemptSystem {
   private static final Duration DEFAULT_PROGRESS_TIMEOUT = Duration.ofSeconds(10);
-  private static final Duration UNREACHABLE_PAUSE = Duration.ofSeconds(1);
+  private static final Duration UNREACHABLE_DURATION = Duration.ofSeconds(1);
   private static final Duration CHECK_INTERVAL = Duration.ofMillis(20);
 
   private final Context context;
@@ -173,7 +173,7 @@
   void onFailed(InstanceEvent.AttemptFailed event) {
     AttemptRow attempt = context.tables.attempts.get(event.attempt());
     if (event.failure() == AttemptFailure.NOT_SENT && attempt != null) {
-      attempt.server.unreachableUntil = context.now().plus(UNREACHABLE_PAUSE);
+      attempt.server.unreachableUntil = context.now().plus(UNREACHABLE_DURATION);
       quarantine.onServerGone(attempt.server.id);
     }
     if (attempt == null) {
@@ -249,7 +249,7 @@
   }
 
   /**
-   * Resumes the attempts whose resume is due and those that made no progress within the time-out.
+   * Resumes the attempts whose resume is due and those that made no progress within the timeout.
    */
   void run() {
     Instant now = context.now();
@@ -274,8 +274,8 @@
   }
 
   /**
-   * Returns whether an attempt has made no progress within the time-out. A plain call shows no
-   * progress before its answer, so its time-out starts at the caller's deadline. This also bounds a
+   * Returns whether an attempt has made no progress within the timeout. A plain call shows no
+   * progress before its answer, so its timeout starts at the caller's deadline. This also bounds a
    * call that continues only so that its outcome can be stored.
    */
   private static boolean isSilent(AttemptRow attempt, Instant now, Duration timeout) {
@@ -288,7 +288,7 @@
   }
 
   /** Handles a caller that closed its connection. */
-  void onCallerGone(RequestRow request) {
+  void onCallerDisconnected(RequestRow request) {
     context.count(Counter.CALLERS_GONE);
     recovery.endEarly(request, null);
   }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/BudgetSystem.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/BudgetSystem.java
@@ -248,8 +248,8 @@
     budget.leaseRefused = true;
     if (outcome instanceof Outcome.LeaseGranted granted) {
       budget.leaseRefused = false;
-      Draw parcel = new Draw(context.self(), granted.tokens());
-      ledger.leases(budget.service).credit(budget.service, List.of(parcel));
+      Draw lease = new Draw(context.self(), granted.tokens());
+      ledger.leases(budget.service).credit(budget.service, List.of(lease));
     }
     obtainTokens(budget);
     transfers.onLease(budget.service);
@@ -286,7 +286,7 @@
   /**
    * Returns whether tokens may still arrive for a request, because peers return or settle the
    * tokens that the ledger shows as leased. The request waits for at most half of its caller's
-   * time-out, so that the caller has time to try elsewhere.
+   * timeout, so that the caller has time to try elsewhere.
    */
   private boolean tokensMayArrive(RequestRow request) {
     Duration callerTimeout = Duration.between(request.arrivedAt, request.deadline);
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/InstanceSystems.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/InstanceSystems.java
@@ -36,26 +36,29 @@
   private final OrderSystem orders;
 
   public InstanceSystems(
-      InstanceConfig config, InstancePolicies parts, InstantSource clock, RandomGenerator random) {
+      InstanceConfig config,
+      InstancePolicies policies,
+      InstantSource clock,
+      RandomGenerator random) {
     context = new Context(config, clock, random);
-    ledger = new LedgerSystem(context, parts.validator());
+    ledger = new LedgerSystem(context, policies.validator());
     SettingsView settings = new SettingsView(ledger);
     PeerView peers = new PeerView(context);
     RequestCompletion completion = new RequestCompletion(context, ledger);
-    quarantine = new QuarantineSystem(context, parts.quarantineRule());
-    membership = new MembershipSystem(context, ledger, quarantine, parts.leavingServerRule());
+    quarantine = new QuarantineSystem(context, policies.quarantineRule());
+    membership = new MembershipSystem(context, ledger, quarantine, policies.leavingServerRule());
     bootstrap = new BootstrapSystem(context, ledger);
     settlement =
         new SettlementSystem(
-            context, ledger, completion, this::storeAnswer, parts.abandonedRunRule());
+            context, ledger, completion, this::storeAnswer, policies.abandonedRunRule());
     backups = new BackupSystem(context, ledger, settlement, peers);
     load = new LoadSystem(context);
     AttemptRecovery recovery =
         new AttemptRecovery(
-            context, completion, settlement, quarantine, parts.rerunRule(), this::retry);
+            context, completion, settlement, quarantine, policies.rerunRule(), this::retry);
     attempts =
         new AttemptSystem(
-            context, settings, settlement, quarantine, load, recovery, parts.frameFilter());
+            context, settings, settlement, quarantine, load, recovery, policies.frameFilter());
     placement =
         new PlacementSystem(
             context,
@@ -63,12 +66,12 @@
             completion,
             attempts,
             peers,
-            parts.placementPolicy(),
-            parts.queueRule());
-    claims = new ClaimSystem(context, ledger, completion, placement, parts.claimConfirmation());
+            policies.placementPolicy(),
+            policies.queueRule());
+    claims = new ClaimSystem(context, ledger, completion, placement, policies.claimConfirmation());
     transfers =
         new TransferSystem(
-            context, ledger, this::onTokens, this::leaseForPeer, parts.transferDeduplication());
+            context, ledger, this::onTokens, this::leaseForPeer, policies.transferDeduplication());
     budgets =
         new BudgetSystem(
             context, ledger, settings, completion, transfers, peers, claims::claimOrEnqueue);
@@ -81,12 +84,17 @@
             completion,
             claims,
             budgets,
-            parts.reservationRule());
+            policies.reservationRule());
     deadlines = new DeadlineSystem(context, completion, attempts);
     drain = new DrainSystem(context, ledger, budgets, backups);
     orders =
         new OrderSystem(
-            context, ledger, settings, peers, parts.orderAuthority(), parts.engineRecheckRule());
+            context,
+            ledger,
+            settings,
+            peers,
+            policies.orderAuthority(),
+            policies.engineRecheckRule());
   }
 
   private void storeAnswer(RequestRow request) {
@@ -113,7 +121,7 @@
       case InstanceEvent.CallerDisconnected e -> {
         RequestRow request = context.tables.requests.get(e.call());
         if (request != null) {
-          attempts.onCallerGone(request);
+          attempts.onCallerDisconnected(request);
         }
       }
       case InstanceEvent.FrameReceived e -> attempts.onFrame(e);
@@ -128,7 +136,7 @@
       case InstanceEvent.OrderStateQueryFailed e -> {
         // The query is repeated after its interval.
       }
-      case InstanceEvent.OrderAccepted e -> orders.onAnswered(e);
+      case InstanceEvent.OrderAccepted e -> orders.onAccepted(e);
       case InstanceEvent.OrderRefused e -> orders.onRefused(e);
       case InstanceEvent.OrderFailed e -> orders.onFailed(e);
       case InstanceEvent.LogResponseReceived e -> ledger.onLogEvent(e.event());
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/IntakeSystem.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/IntakeSystem.java
@@ -167,7 +167,7 @@
     Duration timeout =
         event
             .timeout()
-            .filter(asked -> asked.compareTo(service.timeout()) < 0)
+            .filter(requested -> requested.compareTo(service.timeout()) < 0)
             .orElse(service.timeout());
     long cap = outputCap(event.payload(), service);
     return new RequestRow(
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/LedgerSystem.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/LedgerSystem.java
@@ -52,12 +52,12 @@
   }
 
   private final Context context;
-  private final StreamPartitioning streamAssignment;
+  private final StreamPartitioning streamPartitioning;
   private final List<Stream> streams = new ArrayList<>();
 
   LedgerSystem(Context context, SettingsValidator validator) {
     this.context = context;
-    this.streamAssignment = new StreamPartitioning(context.config.streams());
+    this.streamPartitioning = new StreamPartitioning(context.config.streams());
     ReadConfig reads =
         new ReadConfig(
             ReadConfig.DEFAULT.timeout(),
@@ -75,7 +75,7 @@
   }
 
   private Stream stream(TeamId team) {
-    return streams.get(streamAssignment.of(team).index());
+    return streams.get(streamPartitioning.of(team).index());
   }
 
   LedgerState state(TeamId team) {
@@ -167,17 +167,17 @@
 
   void onLogEvent(LogEvent event) {
     Stream stream = streams.get(event.stream().index());
-    for (EntryOutcome settled : stream.client.handle(event)) {
-      Optional<Ticket> ticket = stream.client.ticket(settled);
-      OutcomeListener waiter = ticket.isEmpty() ? null : stream.listeners.remove(ticket.get());
-      if (waiter != null) {
-        waiter.callback.accept(settled.outcome());
+    for (EntryOutcome entryOutcome : stream.client.handle(event)) {
+      Optional<Ticket> ticket = stream.client.ticket(entryOutcome);
+      OutcomeListener listener = ticket.isEmpty() ? null : stream.listeners.remove(ticket.get());
+      if (listener != null) {
+        listener.callback.accept(entryOutcome.outcome());
       }
     }
     for (Ticket ticket : stream.client.drainLostTickets()) {
-      OutcomeListener waiter = stream.listeners.remove(ticket);
-      if (waiter != null) {
-        waiter.callback.accept(lostOutcome(waiter.entry));
+      OutcomeListener listener = stream.listeners.remove(ticket);
+      if (listener != null) {
+        listener.callback.accept(lostOutcome(listener.entry));
       }
     }
   }
@@ -222,8 +222,8 @@
     }
     for (Stream stream : streams) {
       if (!stream.client.caughtUp()) {
-        String why = stream.client.problem().orElse("it is being read");
-        return "stream %s is at %d: %s".formatted(stream.id, stream.client.foldedTo(), why);
+        String reason = stream.client.problem().orElse("it is being read");
+        return "stream %s is at %d: %s".formatted(stream.id, stream.client.foldedTo(), reason);
       }
     }
     return "ready";
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/OrderSystem.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/OrderSystem.java
@@ -50,7 +50,7 @@
 
   private static final Duration QUERY_INTERVAL_PER_ENGINE = Duration.ofMillis(10);
 
-  /** Longer than the time-out with which the router waits for an engine's answer to an order. */
+  /** Longer than the timeout with which the router waits for an engine's answer to an order. */
   private static final Duration ORDER_ANSWER_TIMEOUT = Duration.ofSeconds(6);
 
   /**
@@ -104,12 +104,12 @@
   }
 
   private void readSettings() {
-    Map<String, PoolSettings> ordered = new TreeMap<>();
+    Map<String, PoolSettings> configuredPools = new TreeMap<>();
     settings.fleet().map(FleetSettings::pools).orElse(Map.of()).values().stream()
         .filter(PoolSettings::configuresEngines)
-        .forEach(pool -> ordered.put(pool.name(), pool));
-    context.tables.orderPools.keySet().retainAll(ordered.keySet());
-    ordered.values().forEach(this::readSettings);
+        .forEach(pool -> configuredPools.put(pool.name(), pool));
+    context.tables.orderPools.keySet().retainAll(configuredPools.keySet());
+    configuredPools.values().forEach(this::readSettings);
   }
 
   private void readSettings(PoolSettings pool) {
@@ -204,7 +204,7 @@
     }
   }
 
-  void onAnswered(InstanceEvent.OrderAccepted answer) {
+  void onAccepted(InstanceEvent.OrderAccepted answer) {
     removeUnanswered(answer.server(), answer.number());
   }
 
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/PlacementSystem.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/PlacementSystem.java
@@ -88,12 +88,12 @@
             queueEntry(pool, request),
             pool.drainRate.startsPerSecond(outstandingInPool(pool)),
             context.now());
-    if (verdict instanceof Verdict.TooLate(Duration comeBack)) {
+    if (verdict instanceof Verdict.TooLate(Duration retryAfter)) {
       completion.fail(
           request,
           ErrorKind.DEADLINE_UNREACHABLE,
           "its turn among %d that wait would come too late".formatted(pool.queue.size()),
-          RetryAfterJitter.addJitter(comeBack, context.random));
+          RetryAfterJitter.addJitter(retryAfter, context.random));
     }
   }
 
@@ -140,7 +140,10 @@
     }
   }
 
-  /** Handles a request whose free servers are all servers that it was lost on. */
+  /**
+   * Queues a request again if it has already failed on every server that has capacity, or refuses
+   * it if it has failed on all servers of the pool.
+   */
   private void requeue(PoolRow pool, RequestRow request) {
     if (eligibleServers(pool, request).isEmpty()) {
       completion.fail(request, ErrorKind.BACKEND_FAILED, "no other server is left to try");
@@ -170,17 +173,17 @@
   private List<ServerView> serverViews(
       PoolRow pool, PoolSettings poolSettings, @Nullable RequestRow request) {
     Instant now = context.now();
-    List<ServerRow> open = eligibleServers(pool, request);
+    List<ServerRow> eligible = eligibleServers(pool, request);
     List<ServerRow> reachable =
-        open.stream()
+        eligible.stream()
             .filter(server -> !now.isBefore(server.unreachableUntil))
             .filter(server -> pool.health.isEligible(server.id, now))
             .toList();
-    // If every server is unreachable, trying one of them is better than trying none.
-    List<ServerRow> candidates = reachable.isEmpty() ? open : reachable;
+    // If every server is unreachable or ejected, trying one of them is better than trying none.
+    List<ServerRow> candidates = reachable.isEmpty() ? eligible : reachable;
     int instances = peers.live().size() + 1;
     int ownInPool = outstandingInPool(pool);
-    int poolLimit = poolSettings.maxConcurrentPerServer() * open.size();
+    int poolLimit = poolSettings.maxConcurrentPerServer() * eligible.size();
     return candidates.stream()
         .map(server -> serverView(pool, poolSettings, server, ownInPool, poolLimit, instances))
         .toList();
@@ -259,7 +262,7 @@
 
   /**
    * Returns the latest start at which the request is likely to finish in time, but at least half of
-   * the caller's time-out after its arrival. A service that usually takes longer than its callers
+   * the caller's timeout after its arrival. A service that usually takes longer than its callers
    * wait is therefore still tried.
    */
   private static Instant latestStart(PoolRow pool, RequestRow request) {
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/QuarantineSystem.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/QuarantineSystem.java
@@ -15,9 +15,9 @@
  * Refuses requests that crash the servers on which they run.
  *
  * <p>A lost connection alone says little and counts only once the server is found to be gone. Two
- * servers that are gone while the same request was in flight are enough evidence: a third would
- * crash too, because the caller sends the request again. Peers are notified of each such server,
- * since the caller's next try may reach another instance.
+ * servers that are gone after the same request was in flight on them are enough evidence. The
+ * caller usually repeats the request, and without a quarantine a third server would crash too.
+ * Peers are notified of each such server, since the caller's next try may reach another instance.
  */
 final class QuarantineSystem {
   private final Context context;
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/SettlementSystem.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/SettlementSystem.java
@@ -29,7 +29,7 @@
  * counts once.
  *
  * <p>The final byte of an answer waits until its charge was read back from the log or is stored by
- * a peer, so that a crash after the answer loses no charge. After a short time-out the caller
+ * a peer, so that a crash after the answer loses no charge. After a short timeout the caller
  * receives its answer in any case.
  */
 final class SettlementSystem {
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/TransferSystem.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/TransferSystem.java
@@ -26,9 +26,9 @@
 /**
  * Moves idle tokens between instances, each transfer at most once.
  *
- * <p>The giving instance debits the tokens before it replies, and repeats the same reply until it
- * is acknowledged. The receiving instance credits each transfer number once. A reply that a network
- * partition swallows leaves its tokens unused, but never duplicates them.
+ * <p>The donor debits the tokens before it replies, and repeats the same reply until it is
+ * acknowledged. The receiver credits each transfer number once. A reply that a network partition
+ * swallows leaves its tokens unused, but never duplicates them.
  */
 final class TransferSystem {
   private static final Duration RETRY_INTERVAL = Duration.ofMillis(500);
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/BudgetTests.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/BudgetTests.java
@@ -90,11 +90,11 @@
       }
       untilEnded(fleet, calls);
       fleet.simulation().run(Duration.ofSeconds(2));
-      long whole = calls.stream().filter(call -> call.isComplete(5)).count();
+      long complete = calls.stream().filter(call -> call.isComplete(5)).count();
       AccountView budget = fleet.budget();
-      assertEquals(25 * whole, budget.charged());
+      assertEquals(25 * complete, budget.charged());
       assertTrue(budget.charged() <= 1_000, budget::toString);
-      assertTrue(whole >= 30, "whole answers: " + whole);
+      assertTrue(complete >= 30, "complete answers: " + complete);
       assertEquals(Optional.empty(), fleet.ledger().findImbalance());
       calls.stream()
           .filter(call -> !call.isComplete(5))
@@ -188,8 +188,8 @@
     fleet.losesPeerMessages = false;
     untilEnded(fleet, calls);
     fleet.simulation().run(Duration.ofSeconds(60));
-    long whole = calls.stream().filter(call -> call.isComplete(5)).count();
-    assertEquals(25 * whole, fleet.budget().charged());
+    long complete = calls.stream().filter(call -> call.isComplete(5)).count();
+    assertEquals(25 * complete, fleet.budget().charged());
     assertEquals(0, fleet.budget().leased());
     assertEquals(Optional.empty(), fleet.ledger().findImbalance());
   }
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/LifecycleTests.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/LifecycleTests.java
@@ -58,7 +58,7 @@
     }
 
     /**
-     * Guards against a drain that waits for the log for ever. After a time-out the process exits,
+     * Guards against a drain that waits for the log for ever. After a timeout the process exits,
      * and its lease stays in the ledger.
      */
     @Test
@@ -118,7 +118,7 @@
 
     /**
      * Guards against an answer that waits for ever because the log is down and no peer can store
-     * its charge. After a short time-out the caller receives it.
+     * its charge. After a short timeout the caller receives it.
      */
     @Test
     void thatNoPeerCanStoreDoNotWithholdTheAnswer() {
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/OrderFaultTests.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/OrderFaultTests.java
@@ -98,20 +98,20 @@
     }
 
     private boolean enginesConverge() {
-      boolean agreed = fleet.simulation().runUntil(this::enginesMatch, CONVERGENCE_TIMEOUT);
+      boolean converged = fleet.simulation().runUntil(this::enginesMatch, CONVERGENCE_TIMEOUT);
       fleet.simulation().run(CONVERGENCE_TIMEOUT);
-      return agreed && enginesMatch();
+      return converged && enginesMatch();
     }
 
     /** Returns the number of terms under which more than one instance sent orders. */
     private long sharedTerms() {
       Map<Long, Set<IncarnationId>> senders = new TreeMap<>();
       for (FakeServer engine : engines) {
-        for (FakeServer.OrderSeen order : engine.orders()) {
+        for (FakeServer.ReceivedOrder order : engine.orders()) {
           senders.computeIfAbsent(order.fencing(), f -> new TreeSet<>()).add(order.sender());
         }
       }
-      return senders.values().stream().filter(one -> one.size() > 1).count();
+      return senders.values().stream().filter(instances -> instances.size() > 1).count();
     }
 
     private boolean sawLateOrder() {
@@ -119,7 +119,7 @@
           .anyMatch(
               engine -> {
                 long highest = 0;
-                for (FakeServer.OrderSeen order : engine.orders()) {
+                for (FakeServer.ReceivedOrder order : engine.orders()) {
                   if (order.fencing() < highest) {
                     return true;
                   }
@@ -148,7 +148,7 @@
   void onlyTheTermHolderSendsOrdersAndEnginesConverge(boolean checksFencing) {
     int runsWithLateOrder = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Run run = new Run(seed, checksFencing, parts -> parts);
+      Run run = new Run(seed, checksFencing, policies -> policies);
       run.runWithFaults();
       assertTrue(run.enginesConverge(), run::toString);
       assertEquals(0, run.sharedTerms(), run::toString);
@@ -159,7 +159,8 @@
 
   @Test
   void withoutTheTermTheCheckReportsSharedTerms() {
-    Run run = new Run(1, false, parts -> parts.withOrderAuthority((holder, inContact) -> true));
+    Run run =
+        new Run(1, false, policies -> policies.withOrderAuthority((holder, inContact) -> true));
     run.runWithFaults();
     assertTrue(run.sharedTerms() > 0);
   }
@@ -168,7 +169,8 @@
   void withoutRepeatedQueriesTheCheckReportsThatEnginesDoNotConverge() {
     long notConverged = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
-      Run run = new Run(seed, false, parts -> parts.withEngineRecheckRule(matched -> !matched));
+      Run run =
+          new Run(seed, false, policies -> policies.withEngineRecheckRule(matched -> !matched));
       run.runWithFaults();
       notConverged += run.enginesConverge() ? 0 : 1;
     }
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/OrderTests.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/OrderTests.java
@@ -30,7 +30,7 @@
   private static final Duration DEVIATION_TIMEOUT = Duration.ofMillis(1200);
 
   /**
-   * Covers the silence time-out of a peer, the grace periods of the first two ranks, an append, a
+   * Covers the silence timeout of a peer, the grace periods of the first two ranks, an append, a
    * query and an order.
    */
   private static final Duration SUCCESSION_TIMEOUT = Duration.ofSeconds(10);
@@ -39,7 +39,7 @@
   private List<FakeInstance> instances = List.of();
 
   private void start(Map<String, String> models) {
-    start(models, parts -> parts);
+    start(models, policies -> policies);
   }
 
   private void start(Map<String, String> models, UnaryOperator<InstancePolicies> change) {
@@ -76,8 +76,8 @@
         .orElseThrow();
   }
 
-  private List<FakeServer.OrderSeen> allOrders() {
-    List<FakeServer.OrderSeen> orders = new ArrayList<>();
+  private List<FakeServer.ReceivedOrder> allOrders() {
+    List<FakeServer.ReceivedOrder> orders = new ArrayList<>();
     engines().forEach(engine -> orders.addAll(engine.orders()));
     return orders;
   }
@@ -97,7 +97,7 @@
     start(Map.of("clerk", "1"));
     run(20);
     Set<IncarnationId> senders =
-        allOrders().stream().map(FakeServer.OrderSeen::sender).collect(Collectors.toSet());
+        allOrders().stream().map(FakeServer.ReceivedOrder::sender).collect(Collectors.toSet());
     assertEquals(Set.of(term().holder()), senders);
     assertEquals(6, allOrders().size());
     assertTrue(allOrders().stream().allMatch(order -> order.fencing() == term().term()));
@@ -137,7 +137,7 @@
 
   /**
    * Guards against repeated orders when an order takes effect but its answer is lost. The term
-   * holder queries the engine after the answer time-out, sees that its state matches, and sends
+   * holder queries the engine after the answer timeout, sees that its state matches, and sends
    * nothing more.
    */
   @Test
@@ -176,8 +176,8 @@
     private int termsTaken() {
       int[] taken = {0};
       fleet.outcomes(
-          settled -> {
-            if (settled.outcome() instanceof Outcome.OrdersTaken) {
+          entryOutcome -> {
+            if (entryOutcome.outcome() instanceof Outcome.OrdersTaken) {
               taken[0]++;
             }
           });
@@ -191,12 +191,13 @@
       FakeInstance first = holder();
       first.deliver(new InstanceEvent.DrainRequested());
       run(1);
-      Instant drained = fleet.simulation().instant();
+      Instant drainStartedAt = fleet.simulation().instant();
       fleet.publishModels(Map.of("clerk", "2"));
       assertTrue(enginesMatchWithin(Map.of("clerk", "2"), SUCCESSION_TIMEOUT));
       assertTrue(
           allOrders().stream()
-              .noneMatch(o -> o.at().isAfter(drained) && o.sender().equals(first.incarnation())));
+              .noneMatch(
+                  o -> o.at().isAfter(drainStartedAt) && o.sender().equals(first.incarnation())));
     }
 
     /**
@@ -281,7 +282,7 @@
       FakeInstance suspendedHolder = suspendPastSuccession();
       suspendedHolder.resume();
       fleet.simulation().run(Duration.ofMillis(50));
-      assertEquals(2, allOrders().stream().filter(order -> !order.taken()).count());
+      assertEquals(2, allOrders().stream().filter(order -> !order.accepted()).count());
       assertTrue(enginesMatch(Map.of("clerk", "3")));
       run(10);
       assertTrue(enginesMatch(Map.of("clerk", "3")));
@@ -301,11 +302,11 @@
       suspendedHolder.resume();
       fleet.simulation().run(Duration.ofMillis(5));
       assertFalse(enginesMatch(Map.of("clerk", "3")));
-      Instant woken = fleet.simulation().instant();
+      Instant resumedAt = fleet.simulation().instant();
       assertTrue(enginesMatchWithin(Map.of("clerk", "3"), DEVIATION_TIMEOUT));
       run(20);
       assertTrue(enginesMatch(Map.of("clerk", "3")));
-      assertEquals(2, ordersAfter(woken));
+      assertEquals(2, ordersAfter(resumedAt));
       assertEquals(2, count(Counter.ORDER_DEVIATIONS));
     }
 
@@ -313,7 +314,7 @@
     @Test
     void remainInEffectIfMatchingEnginesAreNotQueriedAgain() {
       engines().forEach(engine -> engine.checksFencing = false);
-      start(Map.of("clerk", "1"), parts -> parts.withEngineRecheckRule(matched -> !matched));
+      start(Map.of("clerk", "1"), policies -> policies.withEngineRecheckRule(matched -> !matched));
       FakeInstance suspendedHolder = suspendPastSuccession();
       suspendedHolder.resume();
       run(20);
@@ -335,13 +336,15 @@
       fleet.publishModels(Map.of("clerk", "2"));
       assertTrue(enginesMatchWithin(Map.of("clerk", "2"), SUCCESSION_TIMEOUT));
       fleet.log().down = true;
-      Instant down = fleet.simulation().instant();
+      Instant logDownAt = fleet.simulation().instant();
       suspendedHolder.resume();
       run(20);
       assertTrue(
           allOrders().stream()
               .noneMatch(
-                  o -> o.at().isAfter(down) && o.sender().equals(suspendedHolder.incarnation())));
+                  o ->
+                      o.at().isAfter(logDownAt)
+                          && o.sender().equals(suspendedHolder.incarnation())));
     }
   }
 
@@ -350,10 +353,11 @@
    */
   @Test
   void withoutTheTermSeveralInstancesSendOrders() {
-    start(Map.of("clerk", "1"), parts -> parts.withOrderAuthority((holder, inContact) -> true));
+    start(
+        Map.of("clerk", "1"), policies -> policies.withOrderAuthority((holder, inContact) -> true));
     run(5);
     Set<IncarnationId> senders =
-        allOrders().stream().map(FakeServer.OrderSeen::sender).collect(Collectors.toSet());
+        allOrders().stream().map(FakeServer.ReceivedOrder::sender).collect(Collectors.toSet());
     assertEquals(3, senders.size());
   }
 }
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/RandomFaultTests.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/RandomFaultTests.java
@@ -17,7 +17,7 @@
   void safetyGuaranteesHoldUnderRandomFaults() {
     TreeMap<String, Integer> outcomes = new TreeMap<>();
     for (long seed = 1; seed <= Long.getLong("teaseldeal.seeds", 60); seed++) {
-      RandomFaults faultRun = new RandomFaults(seed, parts -> parts);
+      RandomFaults faultRun = new RandomFaults(seed, policies -> policies);
       faultRun.run();
       faultRun.check();
       faultRun.countOutcomes(outcomes);
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/RandomFaults.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/RandomFaults.java
@@ -56,7 +56,7 @@
   private final RandomGenerator random;
   private final List<FakeInstance> instances;
   private final List<SentCall> sent = new ArrayList<>();
-  private int keys;
+  private int lastKey;
 
   RandomFaults(long seed, UnaryOperator<InstancePolicies> change) {
     this.seed = seed;
@@ -88,12 +88,12 @@
     FakeInstance instance = anyInstance();
     switch (random.nextInt(4)) {
       case 0 -> {
-        Optional<String> key = Optional.of("k" + (random.nextInt(3) == 0 ? keys : ++keys));
+        Optional<String> key = Optional.of("k" + (random.nextInt(3) == 0 ? lastKey : ++lastKey));
         FakeCall call = instance.callPlain("mill", "bids", key, TIMEOUT, key.get());
         sent.add(new SentCall(instance, call, false, key));
       }
       case 1 -> {
-        Optional<String> key = Optional.of("h" + (random.nextInt(3) == 0 ? keys : ++keys));
+        Optional<String> key = Optional.of("h" + (random.nextInt(3) == 0 ? lastKey : ++lastKey));
         sent.add(
             new SentCall(instance, instance.callModel("mill", "holds", key, TIMEOUT), true, key));
       }
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/RemovedPartTests.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/RemovedPartTests.java
@@ -39,10 +39,10 @@
   /** Returns the first violation that the checks report over the seeds. */
   private static String firstViolation(UnaryOperator<InstancePolicies> change) {
     for (long seed = 1; seed <= MAX_SEEDS; seed++) {
-      RandomFaults trial = new RandomFaults(seed, change);
-      trial.run();
+      RandomFaults faultRun = new RandomFaults(seed, change);
+      faultRun.run();
       try {
-        trial.check();
+        faultRun.check();
       } catch (AssertionError e) {
         return String.valueOf(e.getMessage());
       }
@@ -54,13 +54,13 @@
   @Test
   void withoutTheFrameFilterAnAnswerIsMixed() {
     fleet.changePolicies(
-        parts -> parts.withFrameFilter((expected, position) -> FrameFilter.Verdict.NEXT));
+        policies -> policies.withFrameFilter((expected, position) -> FrameFilter.Verdict.NEXT));
     FakeInstance instance = fleet.startReady("r1").getFirst();
     FakeCall call = draft(instance);
     fleet.simulation().runUntil(() -> call.frames().size() >= 2, Duration.ofSeconds(5));
     byte[] other = FakeServer.frame(new RequestId("another"), 0);
-    AttemptId mine = new AttemptId(instance.incarnation(), 1);
-    instance.deliver(new InstanceEvent.FrameReceived(mine, 0, other));
+    AttemptId currentAttempt = new AttemptId(instance.incarnation(), 1);
+    instance.deliver(new InstanceEvent.FrameReceived(currentAttempt, 0, other));
     fleet.simulation().run(Duration.ofSeconds(2));
     assertFalse(call.isComplete(5), call::toString);
   }
@@ -69,8 +69,8 @@
   @Test
   void withoutReadingClaimsBackABidRunsTwice() {
     fleet.changePolicies(
-        parts ->
-            parts.withClaimConfirmation(
+        policies ->
+            policies.withClaimConfirmation(
                 (claim, ledger, then) -> {
                   ledger.submit(claim, outcome -> {});
                   then.accept(new Outcome.ClaimWon(claim.key()));
@@ -87,8 +87,8 @@
   void withoutReadingClaimsBackTheChecksReportASecondRun() {
     String violation =
         firstViolation(
-            parts ->
-                parts.withClaimConfirmation(
+            policies ->
+                policies.withClaimConfirmation(
                     (claim, ledger, then) -> {
                       ledger.submit(claim, outcome -> {});
                       then.accept(new Outcome.ClaimWon(claim.key()));
@@ -100,7 +100,7 @@
   @Test
   void withoutTheLeavingServerRuleAStaleListReactivatesThem() {
     fleet.changePolicies(
-        parts -> parts.withLeavingServerRule((known, listed) -> known.retainAll(listed)));
+        policies -> policies.withLeavingServerRule((known, listed) -> known.retainAll(listed)));
     FakeInstance instance = fleet.startReady("r1").getFirst();
     fleet.serverOf("engine-a").leaving = true;
     fleet.simulation().run(Duration.ofSeconds(1));
@@ -118,7 +118,7 @@
   @Test
   void withoutWorstCaseReservationsTheChecksReportOverspending() {
     String violation =
-        firstViolation(parts -> parts.withReservationRule((payload, service, cap) -> 1));
+        firstViolation(policies -> policies.withReservationRule((payload, service, cap) -> 1));
     assertTrue(violation.contains("spent"), violation);
   }
 
@@ -129,8 +129,9 @@
    */
   @Test
   void withoutTheAbandonedRunRuleTokensAreUnaccounted() {
-    assertTrue(unaccountedAfterADeadline(parts -> parts) <= 0);
-    assertTrue(unaccountedAfterADeadline(parts -> parts.withAbandonedRunRule(() -> false)) > 0);
+    assertTrue(unaccountedAfterADeadline(policies -> policies) <= 0);
+    assertTrue(
+        unaccountedAfterADeadline(policies -> policies.withAbandonedRunRule(() -> false)) > 0);
   }
 
   /**
@@ -154,7 +155,7 @@
 
   @Test
   void withoutTheRerunRuleTheChecksReportASecondRun() {
-    String violation = firstViolation(parts -> parts.withRerunRule(service -> true));
+    String violation = firstViolation(policies -> policies.withRerunRule(service -> true));
     assertTrue(violation.contains("expected: <1>"), violation);
   }
 
@@ -165,11 +166,12 @@
    */
   @Test
   void withoutTransferDeduplicationARepeatedReplyIsCreditedTwice() {
-    assertTrue(excessTokensAfterARepeatedReply(parts -> parts) <= 0);
+    assertTrue(excessTokensAfterARepeatedReply(policies -> policies) <= 0);
     assertTrue(
         excessTokensAfterARepeatedReply(
-                parts ->
-                    parts.withTransferDeduplication((transfers, number) -> transfers.get(number)))
+                policies ->
+                    policies.withTransferDeduplication(
+                        (transfers, number) -> transfers.get(number)))
             > 0);
   }
 
@@ -202,7 +204,7 @@
   /** Shows that a request which crashes engines is tried until no engine is left. */
   @Test
   void withoutQuarantineARequestCrashesEveryEngine() {
-    fleet.changePolicies(parts -> parts.withQuarantineRule(suspect -> false));
+    fleet.changePolicies(policies -> policies.withQuarantineRule(suspect -> false));
     FakeInstance instance = fleet.startReady("r1").getFirst();
     for (String engine : List.of("engine-a", "engine-b")) {
       fleet.serverOf(engine).crashPrompt = "prompt of -";
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/ServingTests.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/ServingTests.java
@@ -107,15 +107,15 @@
    */
   @Test
   void aLedgerWithSeveralStreamsChargesCorrectly() {
-    FakeFleet spread = FakeFleet.withBudget(1, 100_000, 5);
-    List<FakeInstance> pair = spread.startReady("r1", "r2");
+    FakeFleet multiStreamFleet = FakeFleet.withBudget(1, 100_000, 5);
+    List<FakeInstance> pair = multiStreamFleet.startReady("r1", "r2");
     for (int i = 0; i < 6; i++) {
       FakeCall call = pair.get(i % 2).callModel("mill", "drafts", NO_KEY, TIMEOUT);
-      spread.simulation().runUntil(call::ended, TIMEOUT);
+      multiStreamFleet.simulation().runUntil(call::ended, TIMEOUT);
       assertTrue(call.isComplete(5), call::toString);
     }
-    spread.simulation().run(Duration.ofSeconds(1));
-    assertEquals(150, spread.budget().charged());
+    multiStreamFleet.simulation().run(Duration.ofSeconds(1));
+    assertEquals(150, multiStreamFleet.budget().charged());
   }
 
   @Nested
@@ -147,10 +147,10 @@
       fleet.publishTeamWithTokenOf("zzz", "mill");
       fleet.simulation().run(Duration.ofSeconds(1));
       FakeCall call = instance.callModel("mill", "drafts", NO_KEY, TIMEOUT);
-      FakeCall named = instance.callModel("mill", "wool/drafts", NO_KEY, TIMEOUT);
-      untilEnded(call, named);
+      FakeCall qualified = instance.callModel("mill", "wool/drafts", NO_KEY, TIMEOUT);
+      untilEnded(call, qualified);
       assertTrue(call.isComplete(5), call::toString);
-      assertTrue(named.isComplete(5), named::toString);
+      assertTrue(qualified.isComplete(5), qualified::toString);
       fleet.simulation().run(Duration.ofSeconds(1));
       assertEquals(50, fleet.budget().charged());
     }
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/StreamTests.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/StreamTests.java
@@ -33,12 +33,12 @@
   }
 
   private void runUntilFrames(FakeCall call, int count) {
-    boolean there =
+    boolean received =
         fleet.simulation().runUntil(() -> call.frames().size() >= count, Duration.ofSeconds(10));
-    assertTrue(there, call::toString);
+    assertTrue(received, call::toString);
   }
 
-  private FakeServer runner() {
+  private FakeServer servingEngine() {
     return fleet.serverOf("engine-a").runCount() > 0
         ? fleet.serverOf("engine-a")
         : fleet.serverOf("engine-b");
@@ -52,12 +52,12 @@
   void lateAndMisdirectedFramesNeverReachACaller() {
     FakeCall call = draft();
     runUntilFrames(call, 2);
-    AttemptId mine = new AttemptId(instance.incarnation(), 1);
-    AttemptId strange = new AttemptId(instance.incarnation(), 99);
+    AttemptId currentAttempt = new AttemptId(instance.incarnation(), 1);
+    AttemptId unknownAttempt = new AttemptId(instance.incarnation(), 99);
     byte[] other = FakeServer.frame(new RequestId("another"), 2);
-    instance.deliver(new InstanceEvent.FrameReceived(strange, 2, other));
-    instance.deliver(new InstanceEvent.FrameReceived(mine, 0, other));
-    instance.deliver(new InstanceEvent.FrameReceived(mine, 4, other));
+    instance.deliver(new InstanceEvent.FrameReceived(unknownAttempt, 2, other));
+    instance.deliver(new InstanceEvent.FrameReceived(currentAttempt, 0, other));
+    instance.deliver(new InstanceEvent.FrameReceived(currentAttempt, 4, other));
     ended(call);
     assertTrue(call.isComplete(5), call::toString);
     assertEquals(3, instance.core().counters().value(Counter.DROPPED_FRAMES));
@@ -72,15 +72,15 @@
   void aSilentStreamIsResumedFromTheExactPosition() {
     FakeCall call = draft();
     runUntilFrames(call, 2);
-    FakeServer runner = runner();
-    runner.silent = true;
+    FakeServer engine = servingEngine();
+    engine.silent = true;
     fleet.simulation().run(Duration.ofMillis(1_500));
-    runner.silent = false;
+    engine.silent = false;
     // The old connection is lost for good, so only a new one can deliver the rest.
-    runner.forgetConnections();
+    engine.forgetConnections();
     ended(call);
     assertTrue(call.isComplete(5), call::toString);
-    assertEquals(1, runner.runCount());
+    assertEquals(1, engine.runCount());
     assertTrue(instance.core().counters().value(Counter.RESUMES) >= 1);
     fleet.simulation().run(Duration.ofSeconds(1));
     assertEquals(25, fleet.budget().charged());
@@ -95,7 +95,7 @@
   void aStreamWhoseEngineCrashesEndsWithAnError() {
     FakeCall call = draft();
     runUntilFrames(call, 2);
-    runner().crash();
+    servingEngine().crash();
     ended(call);
     assertEquals(Optional.of(ErrorKind.STREAM_BROKEN), call.error());
     assertTrue(call.broken());
@@ -114,7 +114,7 @@
     fleet.serverOf("engine-b").frameInterval = Duration.ofMillis(500);
     FakeCall call = draft();
     fleet.simulation().run(Duration.ofMillis(300));
-    FakeServer first = runner();
+    FakeServer first = servingEngine();
     first.crash();
     ended(call);
     assertTrue(call.isComplete(5), call::toString);
@@ -132,7 +132,7 @@
     runUntilFrames(call, 2);
     instance.disconnect(call);
     fleet.simulation().run(Duration.ofSeconds(2));
-    assertTrue(runner().cancelled(call.request().orElseThrow()));
+    assertTrue(servingEngine().cancelled(call.request().orElseThrow()));
     long charged = fleet.budget().charged();
     assertTrue(charged >= 22 && charged <= 24, "charged " + charged);
     assertEquals(0, fleet.budget().writtenOff());
@@ -169,7 +169,7 @@
     assertEquals(Optional.of(ErrorKind.DEADLINE_PASSED), call.error());
     assertTrue(call.broken());
     fleet.simulation().run(Duration.ofSeconds(1));
-    assertTrue(runner().cancelled(call.request().orElseThrow()));
+    assertTrue(servingEngine().cancelled(call.request().orElseThrow()));
   }
 
   /**
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/fake/FakeFleet.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/fake/FakeFleet.java
@@ -60,7 +60,7 @@
   private final StreamPartitioning streams;
   private final FakeLog log;
   private final FakeSettings settings = new FakeSettings();
-  private InstancePolicies parts = InstancePolicies.standard().withValidator(settings);
+  private InstancePolicies policies = InstancePolicies.standard().withValidator(settings);
   private final TreeMap<String, FakeInstance> instances = new TreeMap<>();
   private final TreeMap<String, FakeServer> servers = new TreeMap<>();
   private final Set<String> cutLinks = new TreeSet<>();
@@ -168,8 +168,8 @@
     return log;
   }
 
-  InstancePolicies parts() {
-    return parts;
+  InstancePolicies policies() {
+    return policies;
   }
 
   /**
@@ -177,7 +177,7 @@
    * policies prevent.
    */
   public void changePolicies(UnaryOperator<InstancePolicies> change) {
-    parts = change.apply(parts);
+    policies = change.apply(policies);
   }
 
   /** Starts an instance, or a new incarnation of one, and schedules its ticks. */
@@ -267,9 +267,9 @@
     return ledger().subtree(SubtreeId.FLEET).orElseThrow().toml();
   }
 
-  /** Passes every outcome of the whole log to {@code each}, in order. */
-  public void outcomes(Consumer<EntryOutcome> each) {
-    readLog(each);
+  /** Passes every outcome of the whole log to {@code action}, in order. */
+  public void outcomes(Consumer<EntryOutcome> action) {
+    readLog(action);
   }
 
   public FakeServer addServer(String id, String pool) {
@@ -325,25 +325,25 @@
 
   /** Returns the ledger state after reading the whole log. */
   public LedgerState ledger() {
-    return readLog(settled -> {});
+    return readLog(entryOutcome -> {});
   }
 
   /** Returns how often each request was charged, by request id. */
   public Map<String, Integer> chargesByRequest() {
     Map<String, Integer> charges = new TreeMap<>();
     readLog(
-        settled -> {
-          if (settled.outcome() instanceof Outcome.Charged charged) {
+        entryOutcome -> {
+          if (entryOutcome.outcome() instanceof Outcome.Charged charged) {
             charges.merge(charged.request().value(), 1, Integer::sum);
           }
         });
     return charges;
   }
 
-  private LedgerState readLog(Consumer<EntryOutcome> each) {
+  private LedgerState readLog(Consumer<EntryOutcome> action) {
     LedgerFold fold = new LedgerFold(streams.of(WOOL), KeyRetention.DEFAULT, settings);
     for (LogRecord record : log.records(streams.of(WOOL))) {
-      fold.fold(record).forEach(each);
+      fold.fold(record).forEach(action);
     }
     return fold.state();
   }
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/fake/FakeInstance.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/fake/FakeInstance.java
@@ -30,7 +30,7 @@
 public final class FakeInstance {
   private enum State {
     RUNNING,
-    FROZEN,
+    SUSPENDED,
     ENDED
   }
 
@@ -65,7 +65,7 @@
             streams,
             InstanceLimits.standard());
     this.core =
-        new InstanceCore(config, fleet.parts(), fleet.simulation(), fleet.simulation().random());
+        new InstanceCore(config, fleet.policies(), fleet.simulation(), fleet.simulation().random());
   }
 
   public InstanceCore core() {
@@ -100,11 +100,11 @@
   }
 
   public void suspend() {
-    state = state == State.RUNNING ? State.FROZEN : state;
+    state = state == State.RUNNING ? State.SUSPENDED : state;
   }
 
   public void resume() {
-    state = state == State.FROZEN ? State.RUNNING : state;
+    state = state == State.SUSPENDED ? State.RUNNING : state;
     while (state == State.RUNNING && !unsentOrders.isEmpty()) {
       InstanceCommand.SendOrder order = unsentOrders.remove();
       fleet.server(order.address()).order(incarnation(), order, this::deliver);
@@ -193,9 +193,9 @@
           fleet.server(c.address()).cancel(c.attempt(), c.request());
       case InstanceCommand.DropAttempt c -> fleet.dropAttempt(c.attempt());
       case InstanceCommand.QueryUsage c ->
-          fleet.server(c.address()).askUsage(c.attempt(), c.request(), this::deliver);
+          fleet.server(c.address()).queryUsage(c.attempt(), c.request(), this::deliver);
       case InstanceCommand.QueryOrderState c ->
-          fleet.server(c.address()).askOrderState(this::deliver);
+          fleet.server(c.address()).queryOrderState(this::deliver);
       case InstanceCommand.SendOrder c -> sendOrder(c);
       case InstanceCommand.RunLogCommand c ->
           fleet
@@ -218,7 +218,7 @@
       suspendsBeforeOrder = false;
       suspend();
     }
-    if (state == State.FROZEN) {
+    if (state == State.SUSPENDED) {
       unsentOrders.add(order);
     } else {
       fleet.server(order.address()).order(incarnation(), order, this::deliver);
--- a/teaseldeal-core/src/test/java/org/teaseldeal/core/fake/FakeServer.java
+++ b/teaseldeal-core/src/test/java/org/teaseldeal/core/fake/FakeServer.java
@@ -34,8 +34,8 @@
  */
 public final class FakeServer {
   /** An order that this server received. */
-  public record OrderSeen(
-      Instant at, IncarnationId sender, long fencing, EngineOrder order, boolean taken) {}
+  public record ReceivedOrder(
+      Instant at, IncarnationId sender, long fencing, EngineOrder order, boolean accepted) {}
 
   /** A start of a request on this server. */
   public record RunStart(Instant at, RequestId request) {}
@@ -101,7 +101,7 @@
   private final TreeMap<String, String> adapters = new TreeMap<>();
   private String role = "mixed";
   private long highestFencing;
-  private final List<OrderSeen> orders = new ArrayList<>();
+  private final List<ReceivedOrder> orders = new ArrayList<>();
 
   /** Whether the platform lists this server as leaving. */
   public boolean leaving;
@@ -230,7 +230,7 @@
       fail(events, command.attempt(), AttemptFailure.RESUME_UNKNOWN, "404");
       return;
     }
-    Run run = existing == null ? begin(command) : existing;
+    Run run = existing == null ? startRun(command) : existing;
     Connection connection = new Connection(run, command.resumeFrom().orElse(0), events);
     connections.put(command.attempt(), connection);
     if (crashPrompt.equals(new String(command.payload().body(), UTF_8))) {
@@ -240,7 +240,7 @@
     deliverFrames(command.request(), command.attempt());
   }
 
-  private Run begin(StartAttempt command) {
+  private Run startRun(StartAttempt command) {
     recordStart(command.request());
     long output = Math.min(frames, command.maxOutputTokens());
     Payload.ModelCall call = (Payload.ModelCall) command.payload();
@@ -295,11 +295,11 @@
   }
 
   /** Returns all received orders in order. */
-  public List<OrderSeen> orders() {
+  public List<ReceivedOrder> orders() {
     return List.copyOf(orders);
   }
 
-  void askOrderState(Consumer<InstanceEvent> events) {
+  void queryOrderState(Consumer<InstanceEvent> events) {
     simulation.after(
         oneWayDelay,
         () -> {
@@ -319,15 +319,15 @@
             events.accept(new InstanceEvent.OrderFailed(id, command.number(), "refused"));
             return;
           }
-          boolean taken = !checksFencing || command.fencing() >= highestFencing;
+          boolean accepted = !checksFencing || command.fencing() >= highestFencing;
           orders.add(
-              new OrderSeen(
-                  simulation.instant(), sender, command.fencing(), command.order(), taken));
+              new ReceivedOrder(
+                  simulation.instant(), sender, command.fencing(), command.order(), accepted));
           InstanceEvent answer =
-              taken
+              accepted
                   ? new InstanceEvent.OrderAccepted(id, command.number())
                   : new InstanceEvent.OrderRefused(id, command.number(), highestFencing);
-          if (taken) {
+          if (accepted) {
             highestFencing = Math.max(highestFencing, command.fencing());
             carryOut(command.order());
           }
@@ -362,7 +362,7 @@
     connections.remove(attempt);
   }
 
-  void askUsage(AttemptId attempt, RequestId request, Consumer<InstanceEvent> events) {
+  void queryUsage(AttemptId attempt, RequestId request, Consumer<InstanceEvent> events) {
     simulation.after(
         oneWayDelay.multipliedBy(2),
         () -> {
