--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/Router.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/Router.java
@@ -143,8 +143,8 @@
       throws IOException {
     Router router = new Router(settings, incarnation, factory, clock, random);
     // The sockets are bound by now. The line is written before the platform is first called,
-    // because
-    // a failure of that call is logged too and readers expect the addresses in the first line.
+    // because a failure of that call is logged too and readers expect the addresses in the first
+    // line.
     router.logAddresses();
     router.loop.start();
     router.listPoller.start();
@@ -186,7 +186,7 @@
     return advertisedAddress(settings.admin(), admin.address());
   }
 
-  /** Whether the instance accepts new requests. */
+  /** Returns whether the instance accepts new requests. */
   boolean ready() {
     return loop.ready();
   }
@@ -207,10 +207,9 @@
   }
 
   /**
-   * Drains the router, waits for requests in flight up to the drain time-out, and closes the
-   * router.
+   * Drains the router, waits for requests in flight up to the drain timeout, and closes the router.
    *
-   * @return false if requests were aborted because the time-out passed
+   * @return false if requests were aborted because the timeout passed
    */
   boolean drainAndClose() throws InterruptedException {
     long start = System.nanoTime();
@@ -333,9 +332,9 @@
   }
 
   /**
-   * Whether operators can reach the admin listener. A listener on loopback can't be reached from
-   * other hosts; it counts as reachable only if callers use loopback too, because then the whole
-   * fleet runs on this host.
+   * Returns whether operators can reach the admin listener. A listener on loopback can't be reached
+   * from other hosts; it counts as reachable only if callers use loopback too, because then the
+   * whole fleet runs on this host.
    */
   private boolean isAdminReachable() {
     return !admin.address().getAddress().isLoopbackAddress()
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/RouterProcess.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/RouterProcess.java
@@ -20,7 +20,7 @@
  * Runs a router as a process.
  *
  * <p>After SIGTERM or a drain by an operator, the process exits with status 0 once no request is in
- * flight or the drain time-out has passed.
+ * flight or the drain timeout has passed.
  */
 final class RouterProcess {
   private static final int INCARNATION_SUFFIX_LENGTH = 12;
@@ -70,10 +70,10 @@
             peerAddress,
             settings.streams(),
             limits(settings));
-    return new CoreInstance(config, new InstanceCore(config, parts(settings), clock, random));
+    return new CoreInstance(config, new InstanceCore(config, policies(settings), clock, random));
   }
 
-  private static InstancePolicies parts(RouterSettings settings) {
+  private static InstancePolicies policies(RouterSettings settings) {
     return InstancePolicies.standard()
         .withPlacementPolicy(settings.placement())
         .withQueueRule(settings.queue());
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/backend/AttemptListener.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/backend/AttemptListener.java
@@ -102,7 +102,7 @@
         detail);
   }
 
-  /** Whether the header {@code name} has the given value, ignoring case. */
+  /** Returns whether the header {@code name} has the given value, ignoring case. */
   static boolean hasHeader(Map<String, String> headers, String name, String value) {
     return value.equalsIgnoreCase(headers.get(name));
   }
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/backend/BackendCalls.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/backend/BackendCalls.java
@@ -28,7 +28,7 @@
 public final class BackendCalls {
   /**
    * How long an attempt waits for the head of the answer. The instance supervises the progress of
-   * attempts itself, by the current settings; this time-out only ensures that no connection is held
+   * attempts itself, by the current settings; this timeout only ensures that no connection is held
    * forever.
    */
   private static final Duration RESPONSE_HEAD_TIMEOUT = Duration.ofMinutes(10);
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/caller/CallerGateway.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/caller/CallerGateway.java
@@ -102,7 +102,7 @@
   }
 
   /** Executes {@link InstanceCommand.AbortStream}. */
-  public void breakStream(InstanceCommand.AbortStream command) {
+  public void abortStream(InstanceCommand.AbortStream command) {
     CallerAnswer answer = calls.remove(command.call());
     if (answer != null) {
       answer.fail(command.request(), command.problem());
@@ -131,10 +131,10 @@
             request.payload()));
     // Registered last, so that the instance never receives the event that a caller is gone before
     // it receives the request of that caller.
-    exchange.onCallerDisconnect(() -> callerGone(call));
+    exchange.onCallerDisconnect(() -> onCallerDisconnected(call));
   }
 
-  private void callerGone(CallId call) {
+  private void onCallerDisconnected(CallId call) {
     if (calls.remove(call) != null) {
       events.accept(new InstanceEvent.CallerDisconnected(call));
     }
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/caller/ParsedRequest.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/caller/ParsedRequest.java
@@ -11,7 +11,7 @@
  * @param token the bearer token, if the request has one
  * @param service the name of the requested service
  * @param idempotencyKey the key by which a repeated request is recognized, if the request has one
- * @param timeout the remaining time that the caller waits for the answer, if it gave a time-out
+ * @param timeout the remaining time that the caller waits for the answer, if it gave a timeout
  * @param payload the request to send to a backend server
  */
 record ParsedRequest(
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/caller/RequestReader.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/caller/RequestReader.java
@@ -102,7 +102,7 @@
   }
 
   /**
-   * Returns the part of the caller's time-out that is left. The time-out runs from the moment when
+   * Returns the part of the caller's timeout that is left. The timeout runs from the moment when
    * the caller sent the head of its request; receiving a large body may have used up part of it.
    */
   private static Duration remainingTimeout(String header, HttpExchange exchange) {
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/instance/Instance.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/instance/Instance.java
@@ -16,7 +16,7 @@
   /** Removes and returns the commands issued since the last call, in their order of execution. */
   List<InstanceCommand> drainCommands();
 
-  /** Whether the instance accepts new requests. */
+  /** Returns whether the instance accepts new requests. */
   boolean ready();
 
   /**
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/instance/InstanceLoop.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/instance/InstanceLoop.java
@@ -83,7 +83,7 @@
     return answer;
   }
 
-  /** Whether the instance accepted new requests at its last tick. */
+  /** Returns whether the instance accepted new requests at its last tick. */
   public boolean ready() {
     return ready;
   }
@@ -93,7 +93,7 @@
     return Duration.ofNanos(System.nanoTime() - lastTickNanos);
   }
 
-  /** Stops the thread after its current batch and waits for it, up to a time-out. */
+  /** Stops the thread after its current batch and waits for it, up to a timeout. */
   @Override
   public void close() {
     closed = true;
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/peer/EnvelopeCodec.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/peer/EnvelopeCodec.java
@@ -43,7 +43,9 @@
     return envelope;
   }
 
-  /** Whether an envelope has the supported version, a sender and a message of a known kind. */
+  /**
+   * Returns whether an envelope has the supported version, a sender and a message of a known kind.
+   */
   static boolean isKnown(Envelope envelope) {
     return envelope.getVersion() == PROTOCOL_VERSION
         && envelope.isSetSender()
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/peer/PeerLink.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/peer/PeerLink.java
@@ -140,7 +140,7 @@
               }
             })
         .connect(address)
-        .addListener((ChannelFutureListener) this::connected);
+        .addListener((ChannelFutureListener) this::onConnected);
   }
 
   private void configurePipeline(SocketChannel socket) {
@@ -159,7 +159,7 @@
         .addLast(new ConnectionHandler());
   }
 
-  private void connected(ChannelFuture done) {
+  private void onConnected(ChannelFuture done) {
     connecting = false;
     if (closed) {
       done.channel().close();
@@ -182,14 +182,14 @@
     connected
         .closeFuture()
         .addListener(
-            gone -> {
+            closeFuture -> {
               probeTimer.cancel(false);
-              disconnected();
+              onDisconnected();
             });
     flush(connected);
   }
 
-  private void disconnected() {
+  private void onDisconnected() {
     channel = null;
     if (!closed && !queue.isEmpty()) {
       scheduleReconnect();
--- a/teaseldeal-router/src/main/java/org/teaseldeal/router/peer/PeerTimings.java
+++ b/teaseldeal-router/src/main/java/org/teaseldeal/router/peer/PeerTimings.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 
 /**
- * The time-outs and intervals of connections between instances.
+ * The timeouts and intervals of connections between instances.
  *
  * @param probeInterval the time between two probes that a sender sends on a connection
  * @param silenceTimeout how long nothing may be received on a connection before it is closed
--- a/teaseldeal-router/src/test/java/org/teaseldeal/router/CallerAnswersTests.java
+++ b/teaseldeal-router/src/test/java/org/teaseldeal/router/CallerAnswersTests.java
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void areReportedGoneWhenTheCallerDisconnects() throws Exception {
+    void areReportedAsDisconnectedWhenTheCallerDisconnects() throws Exception {
       CallId call;
       try (RawConnection caller = connect()) {
         call = sendChat(caller, BODY);
@@ -178,7 +178,7 @@
     }
 
     @Test
-    void thatAreRefusedStateTheReasonAndTheRetryDelay() throws Exception {
+    void thatAreRefusedStateTheReasonAndTheRetryAfterTime() throws Exception {
       try (RawConnection caller = connect()) {
         CallId call = sendChat(caller, BODY);
         instance.issue(
--- a/teaseldeal-router/src/test/java/org/teaseldeal/router/caller/RequestReaderTests.java
+++ b/teaseldeal-router/src/test/java/org/teaseldeal/router/caller/RequestReaderTests.java
@@ -15,16 +15,16 @@
   void countsTheTimeoutFromTheRequestHead() {
     // Guards against an answer that arrives after the caller has given up. The caller waits 1500 ms
     // from the moment when it sent the head of its request, so the time in which its body arrived
-    // counts against the time-out.
+    // counts against the timeout.
     assertEquals(Duration.ofMillis(1500), timeout("1500", Duration.ZERO));
     assertEquals(Duration.ofMillis(1300), timeout("1500", Duration.ofMillis(200)));
     assertEquals(Duration.ofMillis(1), timeout("1500", Duration.ofMillis(1500)));
   }
 
-  private static Duration timeout(String header, Duration sinceHead) {
+  private static Duration timeout(String header, Duration timeSinceHead) {
     FakeExchange exchange =
         new FakeExchange(
-            "GET", "/services/team/desk", Map.of("Request-Timeout-Ms", header), "", sinceHead);
+            "GET", "/services/team/desk", Map.of("Request-Timeout-Ms", header), "", timeSinceHead);
     Result.Ok<ParsedRequest> read = assertInstanceOf(Result.Ok.class, RequestReader.read(exchange));
     Optional<Duration> timeout = read.value().timeout();
     return timeout.orElseThrow();
--- a/teaseldeal-router/src/test/java/org/teaseldeal/router/fake/FakeBackendServer.java
+++ b/teaseldeal-router/src/test/java/org/teaseldeal/router/fake/FakeBackendServer.java
@@ -33,7 +33,7 @@
     return exchange;
   }
 
-  /** Whether a request was received that {@link #awaitRequest} has not returned yet. */
+  /** Returns whether a request was received that {@link #awaitRequest} has not returned yet. */
   public boolean hasRequest() {
     return !requests.isEmpty();
   }
--- a/teaseldeal-router/src/test/java/org/teaseldeal/router/fake/FakeExchange.java
+++ b/teaseldeal-router/src/test/java/org/teaseldeal/router/fake/FakeExchange.java
@@ -10,7 +10,11 @@
 
 /** A request without a connection; it can be read but not answered. */
 public record FakeExchange(
-    String method, String path, Map<String, String> headersByName, String text, Duration timeSinceHead)
+    String method,
+    String path,
+    Map<String, String> headersByName,
+    String text,
+    Duration timeSinceHead)
     implements HttpExchange {
   @Override
   public List<Map.Entry<String, String>> headers() {
--- a/teaseldeal-router/src/test/java/org/teaseldeal/router/fake/FakeInstance.java
+++ b/teaseldeal-router/src/test/java/org/teaseldeal/router/fake/FakeInstance.java
@@ -45,7 +45,8 @@
   }
 
   /**
-   * Whether an event of {@code type} was received that {@link #awaitEvent} has not returned yet.
+   * Returns whether an event of {@code type} was received that {@link #awaitEvent} has not returned
+   * yet.
    */
   public boolean hasEvent(Class<? extends InstanceEvent> type) {
     return events.stream().anyMatch(type::isInstance);
--- a/teaseldeal-router/src/test/java/org/teaseldeal/router/fake/FakePlatform.java
+++ b/teaseldeal-router/src/test/java/org/teaseldeal/router/fake/FakePlatform.java
@@ -88,7 +88,7 @@
         read(exchange, Integer.parseInt(path.replaceAll(".*[?&]from=([0-9]+).*", "$1")), 50);
       }
     } else if (path.equals("/instances")) {
-      respond(exchange, addBackendServer());
+      respond(exchange, instanceList());
     } else {
       recordRegistration(exchange);
       respond(exchange, "{}");
@@ -99,7 +99,7 @@
     return records.size();
   }
 
-  private synchronized String addBackendServer() {
+  private synchronized String instanceList() {
     return "{\"as_of\":\"%s\",\"instances\":[%s]}"
         .formatted(Instant.now(), String.join(",", entries.values()));
   }
--- a/teaseldeal-router/src/test/java/org/teaseldeal/router/fake/RouterFixture.java
+++ b/teaseldeal-router/src/test/java/org/teaseldeal/router/fake/RouterFixture.java
@@ -27,16 +27,16 @@
   private RouterFixture() {}
 
   public static RouterSettings settings(String platform, Optional<String> adminCredential) {
-    ListenSettings any = new ListenSettings("127.0.0.1", 0, Optional.empty());
+    ListenSettings loopback = new ListenSettings("127.0.0.1", 0, Optional.empty());
     return new RouterSettings(
         new InstanceId("r1"),
         new DataCentre("hal-nord"),
         platform,
         1,
         Duration.ofMillis(5),
-        any,
-        any,
-        any,
+        loopback,
+        loopback,
+        loopback,
         adminCredential,
         LIMITS,
         PlacementChoice.TWO_CHOICES,
