--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/AdmissionQueue.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/AdmissionQueue.java
@@ -18,11 +18,11 @@
  * The queue of requests that wait for a backend server of one pool.
  *
  * <p>In a burst, a few customers may send most of the requests. A queue without a bound would
- * answer all of them too late, and a FIFO queue would give the hot customers all capacity.
- * Therefore a request is queued only if its turn is likely to come before its deadline, urgent
- * priority classes go first, and within a class the customers take turns in proportion to their
- * weights. Turns are counted in work instead of requests, so that a customer with long requests
- * does not get more capacity than one with short requests.
+ * answer all requests too late, and a FIFO queue would give all capacity to those few (hot)
+ * customers. Therefore a request is queued only if its turn is likely to come before its deadline,
+ * urgent priority classes go first, and within a class the customers take turns in proportion to
+ * their weights. Turns are counted in work instead of requests, so that a customer with long
+ * requests does not get more capacity than one with short requests.
  *
  * <p>The turns follow start-time fair queueing: a customer that was idle starts level with the
  * others, with neither credit nor debt.
@@ -68,7 +68,7 @@
 
     /**
      * The request was not queued because it would be served too late. The queue is expected to be
-     * short after {@code comeBack}.
+     * short after {@code retryAfter}.
      */
     record TooLate(Duration retryAfter) implements Verdict {}
   }
@@ -88,8 +88,8 @@
     private final Entry<T> entry;
     private boolean removed;
 
-    Node(Entry<T> waiting) {
-      this.entry = waiting;
+    Node(Entry<T> entry) {
+      this.entry = entry;
     }
   }
 
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/DrainAdmission.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/DrainAdmission.java
@@ -26,7 +26,7 @@
    */
   public static final Duration BALANCER_NOTICE_TIME = Duration.ofMillis(2600);
 
-  /** Retry time of refused callers: almost immediate, since another instance serves them. */
+  /** Retry delay of refused callers: very short, since another instance serves them. */
   private static final Duration RETRY_AFTER = Duration.ofMillis(100);
 
   /**
@@ -78,7 +78,7 @@
     return ends.minus(shorter(MIN_RUN_TIME, total().dividedBy(MIN_RUN_DIVISOR)));
   }
 
-  /** Returns the retry time of a refused caller. */
+  /** Returns the delay after which a refused caller should retry. */
   public Duration retryAfter() {
     return RETRY_AFTER;
   }
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/DrainPhases.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/DrainPhases.java
@@ -13,9 +13,9 @@
  * prevents this: first all requests are refused, and only then is it checked whether answers are
  * outstanding. After that, only refusals can become outstanding.
  *
- * <p>The clock has to continue while the process is frozen, as the time until the process is killed
- * does too. It must not follow steps of the wall clock, which would end the shutdown before its
- * answers have been sent.
+ * <p>The clock has to continue while the process is suspended, because the time until the process
+ * is killed continues too. It must not follow steps of the wall clock, which would end the shutdown
+ * before its answers have been sent.
  */
 public final class DrainPhases {
   /** A phase of the shutdown. A phase is only ever followed by a later one. */
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/IdleTokenRelease.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/IdleTokenRelease.java
@@ -16,9 +16,9 @@
  *
  * <p>If all instances are partitioned from the log for seconds, no note can be written, and callers
  * have to be served nevertheless. Therefore the remaining tokens are released gradually, starting
- * when the successor of a machine that lost power for a short time would have started. The rate is
- * somewhat above the demand, so a successor that starts later still reclaims the tokens that were
- * not yet released.
+ * at the time by which a successor process would have started on a machine that lost power for a
+ * short time. The rate is somewhat above the demand, so a successor that starts later still
+ * reclaims the tokens that were not yet released.
  *
  * @param delayed idle tokens that a note has not released for immediate use
  * @param releasedPerSecond number of those tokens that are released for each second since the note
@@ -51,7 +51,7 @@
    * before its beginning.
    *
    * <p>If the release began with all tokens that the rate gives for the time since the note, the
-   * successor of a machine that is back 0.1 s after that moment would write off three seconds of
+   * successor on a machine that is back 0.1 s after that moment would write off three seconds of
    * use for an instance that had no power for two of them. With a gradual increase, a successor
    * that starts a little later writes off little.
    */
@@ -124,9 +124,9 @@
       return delayed;
     }
     double seconds = since.toMillis() / 1000.0;
-    double sinceGrowth = since.minus(RELEASE_BEGINS_AFTER).toMillis() / 1000.0;
+    double sinceBeginning = since.minus(RELEASE_BEGINS_AFTER).toMillis() / 1000.0;
     return Math.min(
-        delayed, (long) (releasedPerSecond * Math.min(seconds, CATCH_UP_FACTOR * sinceGrowth)));
+        delayed, (long) (releasedPerSecond * Math.min(seconds, CATCH_UP_FACTOR * sinceBeginning)));
   }
 
   /**
@@ -152,10 +152,10 @@
       return untilAll(since);
     }
     double millis = tokens * 1000.0 / releasedPerSecond;
-    Duration byPace = Duration.ofMillis((long) Math.ceil(millis));
+    Duration byRate = Duration.ofMillis((long) Math.ceil(millis));
     Duration duringCatchUp =
         RELEASE_BEGINS_AFTER.plusMillis((long) Math.ceil(millis / CATCH_UP_FACTOR));
-    Duration untilReleased = byPace.compareTo(duringCatchUp) > 0 ? byPace : duringCatchUp;
+    Duration untilReleased = byRate.compareTo(duringCatchUp) > 0 ? byRate : duringCatchUp;
     return until(
         untilReleased.compareTo(ALL_RELEASED_AFTER) < 0 ? untilReleased : ALL_RELEASED_AFTER,
         since);
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/LeaseSizing.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/LeaseSizing.java
@@ -6,10 +6,11 @@
  * Computes how many tokens an instance requests for its lease.
  *
  * <p>A lease that is too small is used up in an outage of the log, and requests are refused
- * although the budget has tokens. A lease that is too large hoards the last tokens of a budget, and
- * more of them are stranded when its holder dies. Therefore the horizon is the longest outage that
- * should go unnoticed, and the limit to a share of the remaining tokens keeps one instance from
- * taking all of the rest.
+ * although the budget has tokens. A lease that is too large withholds the last tokens of a budget
+ * from other instances, and more tokens become unusable when its holder crashes. Therefore a lease
+ * covers the consumption within the horizon, which is the longest outage that should not affect
+ * callers, and the limit to a share of the remaining tokens keeps one instance from taking all of
+ * them.
  */
 public final class LeaseSizing {
   private final Duration horizon;
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/OutageRetryPolicy.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/OutageRetryPolicy.java
@@ -9,8 +9,8 @@
  *
  * <p>Something that every request needs may be unavailable for some seconds. If requests were
  * refused immediately, callers that may retry only once would use up that retry before the outage
- * ends. If they were held until the end, callers with short time-outs would lose the waiting time
- * for nothing. So a request waits if the outage is likely to end before the caller's time-out;
+ * ends. If they were held until the end, callers with short timeouts would lose the waiting time
+ * for nothing. So a request waits if the outage is likely to end before the caller's timeout;
  * otherwise its caller is told immediately to retry when the outage is likely to be over.
  */
 public final class OutageRetryPolicy {
@@ -23,13 +23,13 @@
    */
   private static final Duration MIN_REMAINING = Duration.ofMillis(700);
 
-  /** Callers respect a retry time of up to this fraction (one third) of their remaining time. */
+  /** Callers respect a retry delay of up to this fraction (one third) of their remaining time. */
   private static final int RESPECTED_DIVISOR = 3;
 
   private OutageRetryPolicy() {}
 
   /**
-   * Returns the time after which to retry; empty if the request should wait.
+   * Returns the delay after which to retry; empty if the request should wait.
    *
    * @param outage how long the outage has lasted
    * @param callerTimeout how long the caller still waits for its answer to begin
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/PrepaidLease.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/PrepaidLease.java
@@ -25,10 +25,13 @@
  *
  * @param total the customer's total in tokens
  * @param unreserved tokens that are neither spent nor reserved, as far as known
- * @param instances number of instances that share the pool, including this one
+ * @param instances number of instances that share the total, including this one
  */
 public record PrepaidLease(long total, long unreserved, int instances) {
-  /** Duration of a partition that should go unnoticed; typical ones last seven to nine seconds. */
+  /**
+   * Duration of a partition that should not affect callers; typical ones last seven to nine
+   * seconds.
+   */
   private static final Duration COVERED_PARTITION = Duration.ofSeconds(9);
 
   /**
@@ -38,8 +41,9 @@
   private static final double DEMAND_MARGIN = 1.3;
 
   /**
-   * Fractions of the pool that instances keep at most: by demand, and evenly. An instance that is
-   * killed after seconds without the log loses the tokens it kept; see {@link IdleTokenRelease}.
+   * Fractions of the unreserved tokens that all instances together keep at most: the first is
+   * shared in proportion to demand, the second evenly. An instance that is killed after seconds
+   * without the log loses the tokens it kept; see {@link IdleTokenRelease}.
    */
   private static final double MAX_FRACTION_BY_DEMAND = 0.75;
 
@@ -52,7 +56,7 @@
   private static final double MIN_FRACTION_OF_TOTAL = 0.02;
 
   public PrepaidLease {
-    Preconditions.requireNotNegative(unreserved, "pool");
+    Preconditions.requireNotNegative(unreserved, "unreserved tokens");
     Preconditions.requirePositive(instances, "instances");
   }
 
@@ -70,8 +74,8 @@
         fleetTokensPerSecond > 0
             ? Math.min(1, tokensPerSecond / fleetTokensPerSecond)
             : 1.0 / instances;
-    double maxOfPool =
+    double maxOfUnreserved =
         unreserved * (MAX_FRACTION_BY_DEMAND * share + MAX_FRACTION_EVENLY / instances);
-    return (long) Math.min(wanted, maxOfPool);
+    return (long) Math.min(wanted, maxOfUnreserved);
   }
 }
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/PromptPlacement.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/PromptPlacement.java
@@ -10,8 +10,8 @@
 import org.teaseldeal.api.Preconditions;
 
 /**
- * Chooses the engine of a prompt so that prompts with a common prefix meet where the prefix is
- * cached.
+ * Chooses the engine of a prompt so that prompts with a common prefix are sent to an engine that
+ * has the prefix cached.
  *
  * <p>There may be many subjects, each with a long prefix that its prompts share, and engines whose
  * caches hold only some of these prefixes. If prompts were spread at random, every engine would
@@ -154,7 +154,7 @@
     return Optional.ofNullable(best);
   }
 
-  private static long score(Candidate engine, String beginning) {
-    return Hashing.komihash5_0().hashCharsToLong(engine.id().name() + '\n' + beginning);
+  private static long score(Candidate engine, String prefix) {
+    return Hashing.komihash5_0().hashCharsToLong(engine.id().name() + '\n' + prefix);
   }
 }
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/RelayChoice.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/RelayChoice.java
@@ -46,11 +46,11 @@
   /**
    * Creates the choice of one instance.
    *
-   * @param firstTurn start position in the list of relays; different at each instance, so that not
+   * @param firstIndex start position in the list of relays; different at each instance, so that not
    *     all instances use the same relay
    */
-  public RelayChoice(int firstTurn) {
-    this.relayIndex = firstTurn;
+  public RelayChoice(int firstIndex) {
+    this.relayIndex = firstIndex;
   }
 
   /** Returns the relay of the next call; empty if the call goes directly to the service. */
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/ServerHealth.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/ServerHealth.java
@@ -24,8 +24,8 @@
  * <p>Thresholds: at an error rate of a few percent, five failures in a row are beyond chance (0.05⁵
  * is one in three million). A server is slow if its mean time is four times the pool's median over
  * at least eight answers; queueing alone makes means differ by a factor of two to three. At least
- * two thirds of the servers stay in, so that each remaining server gets at most half as much load
- * again.
+ * two thirds of the servers are never ejected at the same time, so that the load of each remaining
+ * server rises by at most half.
  */
 public final class ServerHealth {
   private static final int MAX_CONSECUTIVE_FAILURES = 5;
@@ -88,8 +88,8 @@
           server,
           id -> {
             Observations observations = new Observations();
-            // When this instance starts, all servers are new to it, but none of them has cold
-            // caches.
+            // When this instance starts, all servers are new to it, but that doesn't mean that
+            // their caches are cold.
             observations.rampStart = firstList ? Instant.MIN : now;
             return observations;
           });
@@ -215,10 +215,10 @@
 
   private void eject(Observations observations, Instant now) {
     long factor = 1L << Math.min(observations.ejections, 16);
-    Duration ejectedCount = firstEjection.multipliedBy(factor);
+    Duration ejection = firstEjection.multipliedBy(factor);
     observations.ejections++;
     observations.ejectedUntil =
-        now.plus(ejectedCount.compareTo(longestEjection) > 0 ? longestEjection : ejectedCount);
+        now.plus(ejection.compareTo(longestEjection) > 0 ? longestEjection : ejection);
     observations.rampStart = observations.ejectedUntil;
     // A returning server is judged by its new answers. Until the first one it is assumed to be as
     // slow as before; otherwise each return would cost a batch of slow answers.
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/ServerView.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/ServerView.java
@@ -9,7 +9,7 @@
  * @param id the server
  * @param own number of requests that this instance has outstanding there, exact
  * @param others estimated number of requests that other instances have outstanding there; known
- *     with a delay
+ *     only with a delay
  * @param limit maximum number of requests that the whole fleet may have outstanding there
  * @param slowness its mean answer time relative to the pool's median
  * @param open whether it may be given another request; see {@link SharedLimit}
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/TokenHolderChoice.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/TokenHolderChoice.java
@@ -12,10 +12,10 @@
  *
  * <p>In a large fleet each instance may get few requests of each customer. If a total were divided
  * among all instances, each would get fewer tokens than one request needs, so each request would
- * wait for the shared log, which all instances would use at once; while the log is unavailable,
- * callers would be refused although most of the total is idle. A few holders each have a lease for
- * many requests and see a steady demand, and the traffic to the log grows with the number of
- * holders instead of the size of the fleet.
+ * wait for the shared log, and all instances would load the log at once; while the log is
+ * unavailable, callers would be refused although most of the total is idle. A few holders each have
+ * a lease for many requests and see a steady demand, and the traffic to the log grows with the
+ * number of holders instead of the size of the fleet.
  *
  * <p>All instances derive the same holders from the names in the fleet. While two instances
  * disagree for a moment, a total has more holders; nothing else is affected.
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/AdmissionQueueTests.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/AdmissionQueueTests.java
@@ -24,7 +24,7 @@
 
   private Verdict offer(
       String item, String customer, int weight, int rank, double cost, int timeoutSeconds) {
-    Entry<String> waiting =
+    Entry<String> entry =
         new Entry<>(
             item,
             CustomerId.parse("team/" + customer),
@@ -33,7 +33,7 @@
             cost,
             NOW.plusSeconds(timeoutSeconds),
             NOW);
-    return queue.offer(waiting, DRAIN, NOW);
+    return queue.offer(entry, DRAIN, NOW);
   }
 
   private List<String> pollAll() {
@@ -49,9 +49,9 @@
     private final AdmissionQueue<String> unbounded = new AdmissionQueue<>(QueueRule.UNBOUNDED);
 
     private void offer(String item, String customer, int rank) {
-      Entry<String> waiting =
+      Entry<String> entry =
           new Entry<>(item, CustomerId.parse("team/" + customer), 1, rank, NOW.plusMillis(1), NOW);
-      assertInstanceOf(Verdict.Queued.class, unbounded.offer(waiting, 0.1, NOW));
+      assertInstanceOf(Verdict.Queued.class, unbounded.offer(entry, 0.1, NOW));
     }
 
     @Test
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/DecisionsUnderLoadTests.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/DecisionsUnderLoadTests.java
@@ -36,7 +36,7 @@
     addArrivals(load, 0, 3, 300, "a", WORK_MICROS);
     addArrivals(load, 3, 5, 3_000, "a", WORK_MICROS);
     addArrivals(load, 5, 10, 300, "a", WORK_MICROS);
-    Simulations runs = play(load, Map.of());
+    Simulations runs = simulate(load, Map.of());
 
     Tally underTest = runs.decisions().all();
     int inTime = underTest.inTime;
@@ -58,7 +58,7 @@
     for (int i = 0; i < 8; i++) {
       addArrivals(load, 0, 10, 0.1 * total / 8, "light-" + i, WORK_MICROS);
     }
-    Simulations runs = play(load, Map.of());
+    Simulations runs = simulate(load, Map.of());
 
     assertAll(
         () -> {
@@ -78,7 +78,7 @@
     List<Arrival> load = new ArrayList<>();
     addArrivals(load, 0, 20, 1.5 * CAPACITY_PER_SECOND, "a", WORK_MICROS);
     addArrivals(load, 20, 30, 0.6 * CAPACITY_PER_SECOND, "a", WORK_MICROS);
-    Simulations runs = play(load, Map.of());
+    Simulations runs = simulate(load, Map.of());
 
     LoadSimulation underTest = runs.decisions();
     double goodput = 0;
@@ -104,7 +104,7 @@
     // requests, and each of those callers would wait at least ten times as long.
     List<Arrival> load = new ArrayList<>();
     addArrivals(load, 0, 20, 0.7 * CAPACITY_PER_SECOND, "a", WORK_MICROS);
-    Simulations runs = play(load, Map.of(4, 10.0));
+    Simulations runs = simulate(load, Map.of(4, 10.0));
 
     LoadSimulation underTest = runs.decisions();
     assertAll(
@@ -125,7 +125,7 @@
     for (int i = 0; i < 5; i++) {
       addArrivals(load, 0, 20, 0.19 * rate, "short-" + i, WORK_MICROS);
     }
-    Simulations runs = play(load, Map.of());
+    Simulations runs = simulate(load, Map.of());
 
     LoadSimulation underTest = runs.decisions();
     assertAll(
@@ -153,16 +153,17 @@
     }
   }
 
-  private static Simulations play(List<Arrival> load, Map<Integer, Double> slow) {
+  private static Simulations simulate(List<Arrival> load, Map<Integer, Double> slow) {
     return new Simulations(
-        play(Policy.ROUND_ROBIN_UNBOUNDED, load, slow),
-        play(Policy.LEAST_OUTSTANDING_UNBOUNDED, load, slow),
-        play(Policy.DECISIONS, load, slow));
+        simulate(Policy.ROUND_ROBIN_UNBOUNDED, load, slow),
+        simulate(Policy.LEAST_OUTSTANDING_UNBOUNDED, load, slow),
+        simulate(Policy.DECISIONS, load, slow));
   }
 
-  private static LoadSimulation play(Policy policy, List<Arrival> load, Map<Integer, Double> slow) {
+  private static LoadSimulation simulate(
+      Policy policy, List<Arrival> load, Map<Integer, Double> slow) {
     LoadSimulation run =
-        new LoadSimulation(policy, INSTANCES, SERVERS, SLOTS_PER_SERVER, slow).play(load);
+        new LoadSimulation(policy, INSTANCES, SERVERS, SLOTS_PER_SERVER, slow).simulate(load);
     Tally all = run.all();
     System.out.printf(
         "%-28s sent %6d in time %6d late %6d refused %6d p50 %5d ms p99 %5d ms%n",
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/DrainAdmissionTests.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/DrainAdmissionTests.java
@@ -45,10 +45,10 @@
   /** With a grace period of one second, half of it is reserved for requests accepted before. */
   @Test
   void admitsNothingLongInTheSecondHalfOfAShortGrace() {
-    DrainAdmission hasty = new DrainAdmission(BEGAN, BEGAN.plusSeconds(1));
+    DrainAdmission shortGrace = new DrainAdmission(BEGAN, BEGAN.plusSeconds(1));
     Instant read = BEGAN.plusMillis(600);
-    assertFalse(hasty.admits(read, read.plusSeconds(15), Duration.ZERO));
-    assertTrue(hasty.admits(read, read.plusMillis(300), Duration.ZERO));
+    assertFalse(shortGrace.admits(read, read.plusSeconds(15), Duration.ZERO));
+    assertTrue(shortGrace.admits(read, read.plusMillis(300), Duration.ZERO));
   }
 
   /** Guards against requests that are sent to a server so late that they are aborted or late. */
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/DrainPhasesTests.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/DrainPhasesTests.java
@@ -64,9 +64,9 @@
   /**
    * Guards against lost or aborted requests during a shutdown. Requests arrive on old and new
    * connections until the process has ended, some with slow bodies and some waiting for tokens that
-   * never arrive; servers take their time, and the process may be frozen for a while. Each request
-   * that is read must be answered or refused as not run, and a run may be aborted only if it began
-   * before the balancer noticed the shutdown or the process was frozen.
+   * never arrive; servers take their time, and the process may be suspended for a while. Each
+   * request that is read must be answered or refused as not run, and a run may be aborted only if
+   * it began before the balancer noticed the shutdown or the process was suspended.
    */
   @Test
   void abortsNothingThatFitsIntoTheGrace() {
@@ -87,15 +87,15 @@
   void seedsCoverAllKindsOfRequests() {
     boolean refusedWaiting = false;
     boolean aborted = false;
-    boolean frozen = false;
+    boolean suspended = false;
     for (long seed = 0; seed < 200; seed++) {
       StoppingInstance instance = new StoppingInstance(seed);
       instance.run();
       refusedWaiting |= instance.refusedWaiting() > 0;
       aborted |= !instance.aborted().isEmpty();
-      frozen |= instance.frozen();
+      suspended |= instance.wasSuspended();
     }
-    assertTrue(refusedWaiting && aborted && frozen);
+    assertTrue(refusedWaiting && aborted && suspended);
   }
 
   @Test
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/LoadSimulation.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/LoadSimulation.java
@@ -223,7 +223,10 @@
     }
 
     private void expire() {
-      while (queue.pollExpired(instant(now)).map(w -> tally(w.item().arrival)).isPresent()) {
+      while (queue
+          .pollExpired(instant(now))
+          .map(entry -> tally(entry.item().arrival))
+          .isPresent()) {
         expired++;
       }
     }
@@ -303,7 +306,7 @@
   }
 
   /** Simulates the load to its end. */
-  LoadSimulation play(List<Arrival> arrivals) {
+  LoadSimulation simulate(List<Arrival> arrivals) {
     long end = 0;
     for (Arrival arrival : arrivals) {
       Instance instance = instances.get(random.nextInt(instances.size()));
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/OutageRetryPolicyTests.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/OutageRetryPolicyTests.java
@@ -18,7 +18,7 @@
   }
 
   @Test
-  void limitsTheRetryTimeToWhatCallersRespect() {
+  void limitsTheRetryDelayToWhatCallersRespect() {
     assertEquals(Optional.of(Duration.ofMillis(1_000)), retryAfter(1_000, 2_400, 3_000));
   }
 
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/RelayChoiceTests.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/RelayChoiceTests.java
@@ -32,9 +32,9 @@
   void relaysCallsUntilTheServiceReturns() {
     choice.onDirectCall(false, now);
     assertEquals(Optional.of("a"), choice.nextRelay(RELAYS, now));
-    int direct = calls(Duration.ofSeconds(5), false, true);
+    int direct = makeCalls(Duration.ofSeconds(5), false, true);
     assertTrue(direct <= 12, "%d of 50 calls were direct, expected at most 12".formatted(direct));
-    calls(Duration.ofSeconds(1), true, true);
+    makeCalls(Duration.ofSeconds(1), true, true);
     assertEquals(Optional.empty(), choice.nextRelay(RELAYS, now));
   }
 
@@ -45,7 +45,7 @@
   @Test
   void callsMostlyDirectlyIfNoRelayReachesTheService() {
     choice.onDirectCall(false, now);
-    int direct = calls(Duration.ofSeconds(5), false, false);
+    int direct = makeCalls(Duration.ofSeconds(5), false, false);
     assertTrue(direct >= 35, "%d of 50 calls were direct, expected at least 35".formatted(direct));
   }
 
@@ -96,7 +96,7 @@
   }
 
   /** Makes a call every {@link #STEP}; returns the number of direct calls. */
-  private int calls(Duration time, boolean directReached, boolean relayReached) {
+  private int makeCalls(Duration time, boolean directReached, boolean relayReached) {
     int direct = 0;
     for (Instant end = now.plus(time); now.isBefore(end); now = now.plus(STEP)) {
       if (choice.nextRelay(RELAYS, now).isEmpty()) {
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/StoppingInstance.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/StoppingInstance.java
@@ -58,7 +58,7 @@
 
     @Override
     public String toString() {
-      return "read %s, deadline %s, runs %s, taken in %s"
+      return "read %s, deadline %s, runs %s, accepted in %s"
           .formatted(read, deadline, runTime, acceptedIn);
     }
   }
@@ -68,8 +68,8 @@
   private final List<Request> arriving = new ArrayList<>();
   private final List<Request> accepted = new ArrayList<>();
   private final List<Request> acceptedAfterRefusing = new ArrayList<>();
-  private final Instant freezesAt;
-  private final Duration freeze;
+  private final Instant suspendedAt;
+  private final Duration suspension;
   private final Duration tokensReturnedAfter;
   private final boolean advancesFirst;
   private Phase phase = Phase.ACCEPTING;
@@ -85,20 +85,21 @@
       arriving.add(new Request(random, grace));
     }
     arriving.sort(Comparator.comparing(request -> request.read));
-    boolean freezes = random.nextInt(4) == 0;
-    freezesAt = BEGAN.plusMillis(random.nextLong(grace.toMillis()));
-    freeze = freezes ? Duration.ofMillis(random.nextLong(grace.toMillis() / 2)) : Duration.ZERO;
+    boolean suspends = random.nextInt(4) == 0;
+    suspendedAt = BEGAN.plusMillis(random.nextLong(grace.toMillis()));
+    suspension =
+        suspends ? Duration.ofMillis(random.nextLong(grace.toMillis() / 2)) : Duration.ZERO;
     tokensReturnedAfter = Duration.ofMillis(random.nextInt(10_000));
     advancesFirst = random.nextBoolean();
   }
 
   void run() {
-    boolean thawed = freeze.isZero();
+    boolean resumed = suspension.isZero();
     while (phase != Phase.DONE) {
       now = now.plus(STEP);
-      if (!thawed && !now.isBefore(freezesAt)) {
-        now = now.plus(freeze);
-        thawed = true;
+      if (!resumed && !now.isBefore(suspendedAt)) {
+        now = now.plus(suspension);
+        resumed = true;
       }
       // A round of the event loop begins with the servers' answers that have arrived. Afterwards
       // the instance accepts requests and advances to the next phase, in either order.
@@ -198,16 +199,16 @@
     Instant ends = phases.admission().ends();
     boolean tooLong = request.sent().plus(request.runTime).isAfter(ends);
     boolean early = request.read.isBefore(phases.admission().balancerNoticed());
-    return (tooLong && early) || (frozen() && !freezesAt.plus(freeze).isBefore(ends));
+    return (tooLong && early) || (wasSuspended() && !suspendedAt.plus(suspension).isBefore(ends));
   }
 
   boolean endedBeforeKill() {
     Instant killed = BEGAN.plus(grace);
-    return endedAt.isBefore(killed) || frozen();
+    return endedAt.isBefore(killed) || wasSuspended();
   }
 
-  boolean frozen() {
-    return !freeze.isZero();
+  boolean wasSuspended() {
+    return !suspension.isZero();
   }
 
   int refusedWaiting() {
