--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/CustomerAccount.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/CustomerAccount.java
@@ -27,9 +27,10 @@
   private static final Duration NEVER = Duration.ofDays(1);
 
   /**
-   * Maximum age of a note after tokens have been taken. A successor's proof of unused tokens has to
-   * begin within {@link IdleTokenRelease}'s bound; each additional 100 ms of age makes callers wait
-   * 100 ms longer at the beginning of a network partition.
+   * Maximum age of a note after tokens have been taken. A successor reclaims all delayed tokens
+   * only if it starts before {@link IdleTokenRelease} begins to release them, counted from the
+   * note. If notes could be 100 ms older, the release would have to begin 100 ms later, and callers
+   * would wait 100 ms longer at the beginning of a network partition.
    */
   private static final Duration MAX_USED_NOTE_AGE = Duration.ofMillis(200);
 
@@ -153,10 +154,11 @@
   /**
    * Takes over from a previous process on this machine.
    *
-   * @param started clocks at the start of this process, when the previous process had already ended
+   * @param clocksAtStart clocks at the start of this process, when the previous process had already
+   *     ended
    */
-  void takeOver(SharedNote.Account note, ClockReading started) {
-    Takeover initial = Takeover.of(note, started);
+  void takeOver(SharedNote.Account note, ClockReading clocksAtStart) {
+    Takeover initial = Takeover.of(note, clocksAtStart);
     takeover = initial;
     spent += note.spent();
     writtenOff += note.writtenOff() + initial.writtenOff();
@@ -171,18 +173,18 @@
    * count as spent. Customers would then be refused for the rest of the day although most of their
    * total is unused.
    *
-   * @param started clocks at the start of this process
+   * @param clocksAtStart clocks at the start of this process
    * @param counted clocks when {@code heartbeats} was counted
    * @return what was taken over; empty if there was no previous process
    */
   Optional<Takeover> recover(
-      ClockReading started, ClockReading counted, HeartbeatCount heartbeats) {
+      ClockReading clocksAtStart, ClockReading counted, HeartbeatCount heartbeats) {
     Takeover initial = takeover;
     if (initial == null) {
       return Optional.empty();
     }
     takeover = null;
-    Takeover updated = initial.withHeartbeats(started, counted, heartbeats);
+    Takeover updated = initial.withHeartbeats(clocksAtStart, counted, heartbeats);
     writtenOff -= initial.writtenOff() - updated.writtenOff();
     noteDue = true;
     return Optional.of(updated);
@@ -395,8 +397,9 @@
   }
 
   /**
-   * Moves unused tokens that other instances gave into this instance's account, in exchange for own
-   * tokens that were spent. The sum in the next note stays the same.
+   * Moves unused tokens that other instances gave into this instance's account: they become idle
+   * own tokens, and as many own tokens fewer count as spent. The sum in the next note stays the
+   * same.
    *
    * <p>Tokens that are in no note are lost when this process ends. Without this exchange, each
    * network partition would cost the customer the tokens that were given to other instances and not
@@ -525,14 +528,14 @@
             || (closing && releaseLimit.confirmed().held() != held());
     boolean old =
         changed && now.isAfter(releaseLimit.confirmed().composedAt().plus(MAX_USED_NOTE_AGE));
-    boolean settled = inUse() != inUsePublished;
+    boolean usageChanged = inUse() != inUsePublished;
     PublishedRelease pending = releaseLimit.pending();
     boolean unrefreshed =
         pending.delayedRelease().delayed() > 0
             && now.isAfter(pending.composedAt().plus(MAX_UNUSED_NOTE_AGE));
     return old
         || unrefreshed
-        || (settled && now.isAfter(pending.composedAt().plus(MAX_SETTLED_NOTE_AGE)));
+        || (usageChanged && now.isAfter(pending.composedAt().plus(MAX_SETTLED_NOTE_AGE)));
   }
 
   private long inUse() {
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/HolderPort.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/HolderPort.java
@@ -16,9 +16,9 @@
    * @param customer the customer whose total the tokens come from
    * @param tokens number of tokens, greater than 0
    * @param maxWait how long the request may wait for the tokens at the holder
-   * @param deadline how long the answer is of use to the caller
+   * @param timeLeft how long the answer is of use to the caller
    */
-  record Request(String customer, long tokens, Duration maxWait, Duration deadline) {
+  record Request(String customer, long tokens, Duration maxWait, Duration timeLeft) {
     public Request {
       Preconditions.requireText(customer, "customer");
       Preconditions.require(tokens > 0, "tokens were %d, expected more".formatted(tokens));
@@ -42,7 +42,7 @@
    *
    * @param answer called once, at the latest shortly after the request's maximum wait has passed
    */
-  void request(String holder, Request ask, Consumer<Answer> answer);
+  void request(String holder, Request request, Consumer<Answer> answer);
 
   /**
    * Returns tokens that a holder gave and no request has used. The message is sent only once: if it
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/HolderService.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/HolderService.java
@@ -22,12 +22,16 @@
    * @return an action that cancels the request, for use when the requesting instance no longer
    *     needs it
    */
-  public Runnable answer(HolderPort.Request ask, Consumer<HolderPort.Answer> answer) {
+  public Runnable answer(HolderPort.Request request, Consumer<HolderPort.Answer> answer) {
     Instant now = clock.instant();
-    PeerRequest request = new PeerRequest(ask.tokens(), answer);
+    PeerRequest listener = new PeerRequest(request.tokens(), answer);
     accounts.reserve(
-        ask.customer(), ask.tokens(), now.plus(ask.maxWait()), now.plus(ask.deadline()), request);
-    return () -> accounts.cancel(ask.customer(), request);
+        request.customer(),
+        request.tokens(),
+        now.plus(request.maxWait()),
+        now.plus(request.timeLeft()),
+        listener);
+    return () -> accounts.cancel(request.customer(), listener);
   }
 
   private final class PeerRequest implements ReservationListener {
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/LogAvailability.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/LogAvailability.java
@@ -16,7 +16,7 @@
    * How long calls to the log must fail before the log counts as unavailable.
    *
    * <p>The answer to a single write can get lost while its repetition is answered a moment later.
-   * If that counted as an outage, callers waiting for tokens would be refused with a retry time of
+   * If that counted as an outage, callers waiting for tokens would be refused with a retry delay of
    * several seconds.
    */
   private static final Duration OUTAGE_AFTER = Duration.ofMillis(550);
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/PrepaidAccounts.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/PrepaidAccounts.java
@@ -36,7 +36,7 @@
  * <p>A process takes over the note of the previous process on the same machine. It reclaims the
  * tokens that the previous process can't have used since the note, if the machine's clocks prove
  * how long ago the note was written; the remaining tokens are lost to the customer, because they
- * may have been spent. Tokens of other instances are never freed by a time-out, since a silent
+ * may have been spent. Tokens of other instances are never freed by a timeout, since a silent
  * instance may only be paused.
  */
 public final class PrepaidAccounts implements LogParticipant {
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/RefusalPolicy.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/RefusalPolicy.java
@@ -17,12 +17,12 @@
   private static final Duration MAX_WAIT = Duration.ofMillis(1500);
 
   /**
-   * Retry time for a request that has waited without success for idle tokens of other instances.
+   * Retry delay for a request that has waited without success for idle tokens of other instances.
    */
   private static final Duration RETRY_AFTER = Duration.ofMillis(500);
 
   /**
-   * Retry time for a request that only a higher total can cover; the operator may raise the total
+   * Retry delay for a request that only a higher total can cover; the operator may raise the total
    * at any time.
    */
   private static final Duration RETRY_AFTER_EXHAUSTED = Duration.ofSeconds(4);
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/TokenDraws.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/TokenDraws.java
@@ -50,8 +50,8 @@
   public void tick() {
     Instant now = clock.instant();
     for (String customer : accounts.customersWaitingSince(now.minus(DrawOrder.FIRST_ROUND_DELAY))) {
-      boolean pausing = now.isBefore(nextRounds.getOrDefault(customer, Instant.MIN));
-      if (!pausing && customersInRound.add(customer)) {
+      boolean betweenRounds = now.isBefore(nextRounds.getOrDefault(customer, Instant.MIN));
+      if (!betweenRounds && customersInRound.add(customer)) {
         Map<String, Long> idle = accounts.idleByPeer(customer);
         idle.keySet().removeIf(instance -> unreachable(instance, now));
         new Round(customer, DrawOrder.peersToAsk(idle, random).iterator()).askNext();
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/TokenHolders.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/TokenHolders.java
@@ -16,9 +16,9 @@
    *
    * @param includesSelf whether this instance is one of them
    * @param count number of holders
-   * @param others the other holders, in the order in which this instance asks them
+   * @param otherHolders the other holders, in the order in which this instance asks them
    */
-  private record Holders(boolean includesSelf, int count, List<String> others) {}
+  private record Holders(boolean includesSelf, int count, List<String> otherHolders) {}
 
   private final String instance;
   private final Supplier<Set<String>> fleet;
@@ -55,7 +55,7 @@
 
   /** Returns the other holders of the customer's total in the order in which to ask them. */
   List<String> otherHolders(String customer) {
-    return holdersOf(customer).others();
+    return holdersOf(customer).otherHolders();
   }
 
   private Holders holdersOf(String customer) {
@@ -74,10 +74,10 @@
 
   private Holders choose(String customer) {
     Set<String> holders = TokenHolderChoice.holders(customer, knownFleet);
-    List<String> others =
+    List<String> otherHolders =
         TokenHolderChoice.preferenceOrder(instance, holders).stream()
             .filter(each -> !each.equals(instance))
             .toList();
-    return new Holders(holders.contains(instance), holders.size(), others);
+    return new Holders(holders.contains(instance), holders.size(), otherHolders);
   }
 }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/TokenRequests.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/TokenRequests.java
@@ -38,7 +38,7 @@
   private static final int MAX_HOLDERS_ASKED = 3;
 
   /** How long an unreachable holder is skipped: about the duration of a restart. */
-  private static final Duration UNREACHABLE_PAUSE = Duration.ofSeconds(2);
+  private static final Duration UNREACHABLE_SKIP_TIME = Duration.ofSeconds(2);
 
   /**
    * Interval between returns of unused tokens. Until the tokens are returned, the holder has to
@@ -128,7 +128,7 @@
    *
    * <p>Some instances may reach the shared log and their callers but no other instance. Each
    * request would then find out anew that no holder answers, and wait until the log has been
-   * loaded. Therefore the log is read as soon as no other instance can be heard.
+   * loaded. Therefore the log is read as soon as no messages of other instances arrive any more.
    */
   public void tick() {
     Instant now = clock.instant();
@@ -201,9 +201,9 @@
       Instant now = clock.instant();
       long missing = tokens - Math.min(accounts.drawn(customer), tokens - 1);
       Duration maxWait = shorter(MAX_WAIT, Duration.between(now, callerTimeout));
-      HolderPort.Request ask =
+      HolderPort.Request request =
           new HolderPort.Request(customer, missing, maxWait, Duration.between(now, deadline));
-      port.request(holder, ask, answer -> onAnswer(holder, missing, answer));
+      port.request(holder, request, answer -> onAnswer(holder, missing, answer));
     }
 
     private void onAnswer(String holder, long asked, HolderPort.Answer answer) {
@@ -212,7 +212,7 @@
         case HolderPort.Answer.Refused refused -> onRefused(refused.problem());
         case HolderPort.Answer.Unreachable unreachable -> {
           events.accept(new GatewayEvent.HolderUnreachable(customer, holder, unreachable.detail()));
-          unreachableUntil.put(holder, clock.instant().plus(UNREACHABLE_PAUSE));
+          unreachableUntil.put(holder, clock.instant().plus(UNREACHABLE_SKIP_TIME));
           continueUnlessCancelled(this::askNext);
         }
       }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/event/GatewayEvent.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/event/GatewayEvent.java
@@ -116,10 +116,10 @@
       String fingerprint)
       implements GatewayEvent {}
 
-  /** A plan came into force. */
+  /** A new plan became the current one. */
   record PlanInForce(long version, int routes, String source) implements GatewayEvent {}
 
-  /** A published plan could not be read. The previous plan stays in force. */
+  /** A published plan could not be read. The previous plan remains the current one. */
   record PlanUnreadable(long offset, String detail) implements GatewayEvent {}
 
   /** A backend server was listed, restarted, is leaving, or was removed from the list. */
@@ -144,7 +144,7 @@
   /**
    * The use of a customer's prepaid total, as this instance knows it.
    *
-   * @param total the total according to the plan in force
+   * @param total the total according to the current plan
    * @param taken the tokens spent, lost and held by all instances
    * @param lostByAll the part of {@code taken} that was held by processes when they ended
    * @param spentHere the tokens spent by this process and earlier ones of this instance
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/Attempt.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/Attempt.java
@@ -16,7 +16,7 @@
   private static final int OK = 200;
 
   private final RequestFlow flow;
-  private final GatewayComponents parts;
+  private final GatewayComponents components;
   private final BackendServer server;
 
   /** The number of prompt tokens that no server can have in its cache. */
@@ -40,23 +40,24 @@
 
   Attempt(
       RequestFlow flow,
-      GatewayComponents parts,
+      GatewayComponents components,
       BackendServer server,
       long uncachedTokens,
       boolean streamed) {
     this.flow = flow;
-    this.parts = parts;
+    this.components = components;
     this.server = server;
     this.uncachedTokens = uncachedTokens;
     this.streamed = streamed;
     this.promptTokens = flow.request().prompt().map(PromptDescription::unsharedTokens).orElse(0L);
-    this.startedAt = parts.clock().instant();
+    this.startedAt = components.clock().instant();
     this.lastReceivedAt = startedAt;
   }
 
-  void start(ForwardingTerms handover) {
+  void start(ForwardingTerms terms) {
     server.onRequestSent(uncachedTokens);
-    HttpCall sent = parts.backends().send(parts.dialect().forward(flow.request(), handover), this);
+    HttpCall sent =
+        components.backends().send(components.dialect().forward(flow.request(), terms), this);
     if (!ended) {
       call = sent;
     }
@@ -74,12 +75,12 @@
   }
 
   Duration age() {
-    return Duration.between(startedAt, parts.clock().instant());
+    return Duration.between(startedAt, components.clock().instant());
   }
 
   /** How long the server has sent nothing. */
   Duration silence() {
-    return Duration.between(lastReceivedAt, parts.clock().instant());
+    return Duration.between(lastReceivedAt, components.clock().instant());
   }
 
   /** Cancels the attempt by closing its connection, so that the server stops working on it. */
@@ -95,15 +96,15 @@
 
   @Override
   public boolean acceptsAnswer(int answerStatus, Map<String, String> answerHeaders) {
-    return parts.dialect().isAnswerTo(flow.request(), answerHeaders);
+    return components.dialect().isAnswerTo(flow.request(), answerHeaders);
   }
 
   @Override
   public void onHead(int answerStatus, Map<String, String> answerHeaders) {
     markReceived();
     status = answerStatus;
-    headers = parts.dialect().answerHeaders(answerHeaders);
-    verdict = parts.dialect().verdict(answerStatus, answerHeaders);
+    headers = components.dialect().answerHeaders(answerHeaders);
+    verdict = components.dialect().verdict(answerStatus, answerHeaders);
     if (verdict == AnswerVerdict.DOUBTFUL) {
       HttpCall used = call;
       fail(AttemptFailure.MAY_HAVE_RUN, "status %d is not the server's own".formatted(status));
@@ -187,7 +188,7 @@
   }
 
   private void markReceived() {
-    lastReceivedAt = parts.clock().instant();
+    lastReceivedAt = components.clock().instant();
   }
 
   private boolean isEventStream() {
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/Dialect.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/Dialect.java
@@ -19,7 +19,7 @@
   String requestId(HttpExchange exchange);
 
   /** Creates the request that is sent to a backend server. */
-  HttpCallRequest forward(CallerRequest request, ForwardingTerms handover);
+  HttpCallRequest forward(CallerRequest request, ForwardingTerms terms);
 
   /** Whether the headers of an answer identify it as an answer to {@code request}. */
   boolean isAnswerTo(CallerRequest request, Map<String, String> headers);
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/GatewayComponents.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/GatewayComponents.java
@@ -16,7 +16,7 @@
 /**
  * The components that handle requests and what they depend on.
  *
- * @param plan the configuration in force; null until one is known
+ * @param plan the current plan; null until one is known
  * @param peerLoads the load that the other instances have outstanding at the backend servers
  * @param cachedPrompts the prompt parts that are presumably in the backend servers' caches
  * @param instances the number of instances, including this one
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/InstanceDrain.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/InstanceDrain.java
@@ -31,7 +31,7 @@
   private static final Duration STEP_INTERVAL = Duration.ofMillis(20);
 
   private final ScheduledExecutorService loop;
-  private final HttpServer callers;
+  private final HttpServer callerServer;
   private final RequestDispatcher dispatcher;
   private final PrepaidAccounts accounts;
   private final EventSink events;
@@ -43,22 +43,23 @@
   private int abortedRequests;
 
   /**
-   * Starts the stop's clock now; {@link #run()} carries out the stop.
+   * Creates a drain whose grace period begins now; {@link #run()} carries it out.
    *
+   * @param callerServer accepts the callers' connections
    * @param loop the event loop that serves the callers' connections
    * @param clock a monotonic clock, which doesn't follow adjustments of the time of day
    * @param grace the time until the process is killed
    */
   public InstanceDrain(
       ScheduledExecutorService loop,
-      HttpServer callers,
+      HttpServer callerServer,
       RequestDispatcher dispatcher,
       PrepaidAccounts accounts,
       EventSink events,
       InstantSource clock,
       Duration grace) {
     this.loop = loop;
-    this.callers = callers;
+    this.callerServer = callerServer;
     this.dispatcher = dispatcher;
     this.accounts = accounts;
     this.events = events;
@@ -67,9 +68,9 @@
     this.phases = new DrainPhases(clock.instant(), grace);
   }
 
-  /** Carries out the stop and returns when the process may exit. */
+  /** Carries out the drain and returns when the process may exit. */
   public void run() throws InterruptedException {
-    callers.closeAfterAnswers();
+    callerServer.closeAfterAnswers();
     loop.execute(this::begin);
     Future<?> steps =
         loop.scheduleAtFixedRate(
@@ -93,7 +94,7 @@
       Phase next =
           phases.advance(
               clock.instant(),
-              new Outstanding(callers.unansweredRequests(), accounts.allReturned()));
+              new Outstanding(callerServer.unansweredRequests(), accounts.allReturned()));
       if (next != phase) {
         phase = next;
         enter(next);
@@ -113,8 +114,8 @@
         abortedRequests = dispatcher.openRequests();
         dispatcher.abortAll();
       }
-      case CLOSING -> callers.stopAcceptingAsync();
-      case FLUSHING -> callers.stopReading();
+      case CLOSING -> callerServer.stopAcceptingAsync();
+      case FLUSHING -> callerServer.stopReading();
       case DONE -> done.countDown();
     }
   }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/RequestDispatcher.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/RequestDispatcher.java
@@ -35,7 +35,7 @@
    * The suggested delay before a retry while the instance is starting: about the time that it takes
    * to become ready.
    */
-  private static final Duration STARTING_RETRY_DELAY = Duration.ofMillis(500);
+  private static final Duration STARTING_RETRY_AFTER = Duration.ofMillis(500);
 
   /**
    * How long a request is held until the first configuration is read, which happens some tens of
@@ -70,7 +70,7 @@
   /** A request that arrived before the first configuration was known. */
   private record EarlyRequest(HttpExchange exchange, Instant arrived) {}
 
-  private final GatewayComponents parts;
+  private final GatewayComponents components;
   private final ServerSelector selector;
   private final IsolatedTasks isolatedTasks = new IsolatedTasks();
   private final List<EarlyRequest> earlyRequests = new ArrayList<>();
@@ -80,11 +80,14 @@
   private @Nullable DrainAdmission drainAdmission;
   private boolean refusingAll;
 
-  public RequestDispatcher(GatewayComponents parts) {
-    this.parts = parts;
+  public RequestDispatcher(GatewayComponents components) {
+    this.components = components;
     this.selector =
         new ServerSelector(
-            parts.servers(), parts.peerLoads(), parts.cachedPrompts(), parts.random());
+            components.servers(),
+            components.peerLoads(),
+            components.cachedPrompts(),
+            components.random());
   }
 
   /** The number of requests that have no final answer yet. */
@@ -97,7 +100,7 @@
    * the others.
    */
   public int ejectedServers() {
-    return selector.ejectedCount(parts.clock().instant());
+    return selector.ejectedCount(components.clock().instant());
   }
 
   /** From now on admits only the requests that {@code admission} allows. */
@@ -127,8 +130,8 @@
 
   @Override
   public void handle(HttpExchange exchange) {
-    Instant arrived = parts.clock().instant().minus(exchange.timeSinceHead());
-    if (parts.plan().get() == null && !refusingAll) {
+    Instant arrived = components.clock().instant().minus(exchange.timeSinceHead());
+    if (components.plan().get() == null && !refusingAll) {
       EarlyRequest request = new EarlyRequest(exchange, arrived);
       earlyRequests.add(request);
       exchange.onCallerDisconnect(() -> earlyRequests.remove(request));
@@ -138,7 +141,7 @@
   }
 
   private void handle(HttpExchange exchange, Instant arrived) {
-    Result<CallerRequest> read = parts.dialect().read(exchange);
+    Result<CallerRequest> read = components.dialect().read(exchange);
     switch (admit(read, arrived)) {
       case Result.Ok<Admitted> admitted -> start(exchange, admitted.value());
       case Result.Err<Admitted> refused -> refuse(exchange, read, refused.problem(), arrived);
@@ -153,11 +156,12 @@
    * refusal and fail, although the request could be served a moment later.
    */
   private void handleDueEarlyRequests() {
-    Instant now = parts.clock().instant();
+    Instant now = components.clock().instant();
     List<EarlyRequest> due =
         earlyRequests.stream()
             .filter(
-                each -> parts.plan().get() != null || refusingAll || hasWaitedTooLong(each, now))
+                each ->
+                    components.plan().get() != null || refusingAll || hasWaitedTooLong(each, now))
             .toList();
     earlyRequests.removeAll(due);
     due.forEach(each -> handle(each.exchange(), each.arrived()));
@@ -170,23 +174,23 @@
   /** Ends requests whose deadline has passed and retries those that wait. */
   public void tick() {
     handleDueEarlyRequests();
-    selector.tick(parts.clock().instant());
-    parts.quarantine().tick();
+    selector.tick(components.clock().instant());
+    components.quarantine().tick();
     new ArrayList<>(flows).forEach(flow -> isolatedTasks.run(flow.request().id(), flow::tick));
   }
 
   private void start(HttpExchange exchange, Admitted admitted) {
-    RequestFlow flow = new RequestFlow(parts, this, exchange, admitted);
+    RequestFlow flow = new RequestFlow(components, this, exchange, admitted);
     flows.add(flow);
     retryWindow(admitted.service()).onFirstAttempt(admitted.arrived());
     flow.start();
   }
 
   private Result<Admitted> admit(Result<CallerRequest> request, Instant arrived) {
-    GatewayPlan plan = parts.plan().get();
+    GatewayPlan plan = components.plan().get();
     if (plan == null) {
       return retryableRefusal(
-          ErrorKind.NOT_READY, "no configuration is known yet", STARTING_RETRY_DELAY);
+          ErrorKind.NOT_READY, "no configuration is known yet", STARTING_RETRY_AFTER);
     }
     return switch (request) {
       case Result.Err<CallerRequest> malformed -> Result.err(malformed.problem());
@@ -205,14 +209,15 @@
       return Result.err(
           Problem.of(ErrorKind.UNAUTHENTICATED, "key unknown in version " + plan.version()));
     }
-    if (parts.quarantine().hasCounts() && parts.quarantine().isQuarantined(request.fingerprint())) {
+    if (components.quarantine().hasCounts()
+        && components.quarantine().isQuarantined(request.fingerprint())) {
       return Result.err(
           Problem.of(ErrorKind.QUARANTINED, "it has crashed several backend servers"));
     }
     if (!admitsWhileDraining(route.get(), arrived.plus(maxDuration(request, route.get())))) {
       return Result.err(drainingProblem());
     }
-    String service = route.get().drawService(parts.random());
+    String service = route.get().drawService(components.random());
     int tokensPerEvent = plan.service(service).map(PlannedService::tokensPerEvent).orElse(0);
     return Result.ok(
         new Admitted(
@@ -225,7 +230,7 @@
       return true;
     }
     Duration usualDuration = answerTimes(route).ninetiethPercentile();
-    return !refusingAll && drain.admits(parts.clock().instant(), deadline, usualDuration);
+    return !refusingAll && drain.admits(components.clock().instant(), deadline, usualDuration);
   }
 
   private RecentDurations answerTimes(Route route) {
@@ -238,14 +243,14 @@
 
   private void refuse(
       HttpExchange exchange, Result<CallerRequest> read, Problem problem, Instant arrived) {
-    HttpAnswer answer = parts.dialect().refuse(problem);
+    HttpAnswer answer = components.dialect().refuse(problem);
     exchange.respond(answer.status(), answer.headers(), answer.body());
-    GatewayPlan plan = parts.plan().get();
-    parts
+    GatewayPlan plan = components.plan().get();
+    components
         .events()
         .accept(
             new GatewayEvent.RequestEnded(
-                parts.dialect().requestId(exchange),
+                components.dialect().requestId(exchange),
                 "",
                 "",
                 problem.kind().label(),
@@ -255,7 +260,7 @@
                 0,
                 plan == null ? 0 : plan.version(),
                 Duration.ZERO,
-                Duration.between(arrived, parts.clock().instant()),
+                Duration.between(arrived, components.clock().instant()),
                 "",
                 Duration.ZERO,
                 fingerprint(read)));
@@ -285,7 +290,7 @@
   /** The error for a request that has not run when the instance stops. */
   Problem drainingProblem() {
     DrainAdmission drain = drainAdmission;
-    Duration retryAfter = drain == null ? STARTING_RETRY_DELAY : drain.retryAfter();
+    Duration retryAfter = drain == null ? STARTING_RETRY_AFTER : drain.retryAfter();
     return Problem.retryable(ErrorKind.DRAINING, "the instance stops", withJitter(retryAfter));
   }
 
@@ -298,7 +303,8 @@
   }
 
   boolean tryRetry(String service) {
-    return retryWindow(service).tryRetry(parts.clock().instant(), parts.instances().getAsInt());
+    return retryWindow(service)
+        .tryRetry(components.clock().instant(), components.instances().getAsInt());
   }
 
   /** How long a server of {@code route} may send nothing before it counts as silent. */
@@ -310,7 +316,7 @@
 
   /** Adds jitter to a suggested retry delay, so that the callers don't all return at once. */
   Duration withJitter(Duration retryAfter) {
-    return RetryAfterJitter.addJitter(retryAfter, parts.random());
+    return RetryAfterJitter.addJitter(retryAfter, components.random());
   }
 
   void onEnded(RequestFlow flow) {
@@ -323,8 +329,8 @@
         service,
         name ->
             new RetryWindow(
-                parts.retryLimits().retryShare(),
-                parts.retryLimits().retryReserve(),
-                parts.retryLimits().retryWindow()));
+                components.retryLimits().retryShare(),
+                components.retryLimits().retryReserve(),
+                components.retryLimits().retryWindow()));
   }
 }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/RequestFlow.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/RequestFlow.java
@@ -82,12 +82,12 @@
    * The suggested delay before a retry if no server can take the request. A server takes some
    * seconds to restart.
    */
-  private static final Duration NO_SERVER_RETRY_DELAY = Duration.ofMillis(500);
+  private static final Duration NO_SERVER_RETRY_AFTER = Duration.ofMillis(500);
 
   /**
    * The suggested delay before a retry if a server was full: its queue drains within a few answers.
    */
-  private static final Duration FULL_RETRY_DELAY = Duration.ofMillis(150);
+  private static final Duration FULL_RETRY_AFTER = Duration.ofMillis(150);
 
   /**
    * Tolerance when a call's timeout is compared with the request's deadline. The call's own timer
@@ -95,7 +95,7 @@
    */
   private static final Duration TIMER_TOLERANCE = Duration.ofMillis(2);
 
-  private final GatewayComponents parts;
+  private final GatewayComponents components;
   private final RequestDispatcher dispatcher;
   private final HttpExchange exchange;
   private final CallerAnswer answer;
@@ -121,14 +121,14 @@
   private Instant waitingForServerSince = Instant.MAX;
 
   RequestFlow(
-      GatewayComponents parts,
+      GatewayComponents components,
       RequestDispatcher dispatcher,
       HttpExchange exchange,
       RequestDispatcher.Admitted admitted) {
-    this.parts = parts;
+    this.components = components;
     this.dispatcher = dispatcher;
     this.exchange = exchange;
-    this.answer = new CallerAnswer(exchange, parts.clock());
+    this.answer = new CallerAnswer(exchange, components.clock());
     this.request = admitted.request();
     this.route = admitted.route();
     this.customer = admitted.customer();
@@ -156,7 +156,7 @@
   }
 
   void start() {
-    exchange.onCallerDisconnect(this::onCallerGone);
+    exchange.onCallerDisconnect(this::onCallerDisconnected);
     if (customer.isPresent() && request.prompt().isPresent()) {
       reserve(customer.get().name(), request.prompt().get().maxTokens());
     } else {
@@ -165,11 +165,12 @@
   }
 
   private void reserve(String name, long tokens) {
-    TokenRequests requests = parts.tokens();
-    Instant abandonAt = arrivedAt.plus(route.silenceTimeout(Duration.between(arrivedAt, deadline)));
-    requests.reserve(name, tokens, abandonAt, deadline, this);
+    TokenRequests requests = components.tokens();
+    Instant callerTimeout =
+        arrivedAt.plus(route.silenceTimeout(Duration.between(arrivedAt, deadline)));
+    requests.reserve(name, tokens, callerTimeout, deadline, this);
     if (stage == Stage.TOKENS && requests.waitsLocally(name)) {
-      parts
+      components
           .events()
           .accept(
               new GatewayEvent.WaitsForTokens(
@@ -253,10 +254,11 @@
     stage = Stage.ANSWER;
     sendCount++;
     placementDelay = Duration.between(arrivedAt, now());
-    parts.events().accept(placedEvent(chosen.get()));
-    parts.cachedPrompts().onSent(server.incarnation(), sharedPartIds(), now());
+    components.events().accept(placedEvent(chosen.get()));
+    components.cachedPrompts().onSent(server.incarnation(), sharedPartIds(), now());
     Attempt next =
-        new Attempt(this, parts, server, chosen.get().uncachedTokens(), route.kind().streamed());
+        new Attempt(
+            this, components, server, chosen.get().uncachedTokens(), route.kind().streamed());
     attempt = next;
     next.start(
         new ForwardingTerms(
@@ -371,8 +373,8 @@
   private void recordAnswer() {
     mayHaveRun = true;
     dispatcher.onAnswered(route, Duration.between(arrivedAt, now()));
-    if (parts.quarantine().hasCounts()) {
-      parts.quarantine().onAnswered(fingerprint());
+    if (components.quarantine().hasCounts()) {
+      components.quarantine().onAnswered(fingerprint());
     }
     Attempt last = attempt;
     if (last != null) {
@@ -402,21 +404,21 @@
       tokenUsage.onAttemptEnded(failed);
     }
     BackendServer server = failed.server();
-    parts
+    components
         .events()
         .accept(
             new GatewayEvent.AttemptFailed(
                 request.id(), server.id().name(), sendCount, reason.name(), detail, failed.age()));
     failedIncarnations.add(server.incarnation());
     if (reason.provesNotRun()) {
-      parts.cachedPrompts().onNotRun(server.incarnation(), sharedPartIds());
+      components.cachedPrompts().onNotRun(server.incarnation(), sharedPartIds());
     }
     stage = Stage.SERVER;
     switch (reason) {
       case NOT_SENT -> {
         sendCount--;
         connectFailures++;
-        parts.quarantine().onUnreachable(server.incarnation());
+        components.quarantine().onUnreachable(server.incarnation());
         server.excludeUntil(now().plus(UNREACHABLE_EXCLUSION));
         resendIf(connectFailures < MAX_CONNECT_FAILURES, ErrorKind.NO_BACKEND_SERVER, detail);
       }
@@ -444,7 +446,7 @@
     boolean outOfTime = !now().isBefore(deadline.minus(TIMER_TOLERANCE));
     if (!outOfTime || isOverdue(failed)) {
       dispatcher.selector().onFailed(failed.server());
-      parts.quarantine().onConnectionLost(fingerprint(), failed.server().incarnation());
+      components.quarantine().onConnectionLost(fingerprint(), failed.server().incarnation());
     }
     if (outOfTime) {
       fail(Problem.of(ErrorKind.DEADLINE_PASSED, detail));
@@ -457,12 +459,12 @@
     return sendCount < route.maxAttempts() && dispatcher.tryRetry(service);
   }
 
-  private void resendIf(boolean allowed, ErrorKind otherwise, String detail) {
+  private void resendIf(boolean allowed, ErrorKind errorKind, String detail) {
     if (allowed && now().isBefore(deadline)) {
       waitingForServerSince = now();
       send();
     } else {
-      giveUp(otherwise, detail);
+      giveUp(errorKind, detail);
     }
   }
 
@@ -474,7 +476,7 @@
     if (mayHaveRun) {
       fail(Problem.of(ErrorKind.BACKEND_FAILED, detail));
     } else if (kind.retryable()) {
-      Duration retryAfter = kind == ErrorKind.OVERLOADED ? FULL_RETRY_DELAY : NO_SERVER_RETRY_DELAY;
+      Duration retryAfter = kind == ErrorKind.OVERLOADED ? FULL_RETRY_AFTER : NO_SERVER_RETRY_AFTER;
       refuse(Problem.retryable(kind, detail, dispatcher.withJitter(retryAfter)));
     } else {
       refuse(Problem.of(kind, detail));
@@ -501,7 +503,7 @@
   }
 
   private void refuse(Problem problem) {
-    HttpAnswer refusal = parts.dialect().refuse(problem);
+    HttpAnswer refusal = components.dialect().refuse(problem);
     answer.respond(refusal);
     end(problem.kind().label(), refusal.status(), problem.detail());
   }
@@ -512,7 +514,7 @@
     end(ErrorKind.STREAM_BROKEN.label(), 0, detail);
   }
 
-  private void onCallerGone() {
+  private void onCallerDisconnected() {
     if (stage == Stage.ENDED) {
       return;
     }
@@ -530,17 +532,17 @@
 
   private void end(String outcome, int status, String detail) {
     if (stage == Stage.TOKENS && customer.isPresent()) {
-      parts.tokens().cancel(customer.get().name(), this);
+      components.tokens().cancel(customer.get().name(), this);
     }
     stage = Stage.ENDED;
     attempt = null;
     long used = tokenUsage.usedTokens(answer.eventsSent());
-    parts.tokens().settle(reservation, used);
+    components.tokens().settle(reservation, used);
     dispatcher.onEnded(this);
     if (outcome.equals(ANSWERED)) {
       reportIfLate();
     }
-    parts
+    components
         .events()
         .accept(
             new GatewayEvent.RequestEnded(
@@ -565,7 +567,7 @@
     boolean paused =
         route.kind().streamed() && answer.longestPause().compareTo(route.pauseAim()) > 0;
     if (paused || toFirst.compareTo(route.aim()) > 0) {
-      parts
+      components
           .events()
           .accept(
               new GatewayEvent.AnsweredLate(
@@ -579,6 +581,6 @@
   }
 
   private Instant now() {
-    return parts.clock().instant();
+    return components.clock().instant();
   }
 }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/ServerSelector.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/ServerSelector.java
@@ -146,10 +146,10 @@
             .filter(server -> !server.isExcluded(now) && health.isEligible(server.id(), now))
             .toList();
     List<BackendServer> candidates = healthy.isEmpty() ? untried : healthy;
-    PeerLoads fleet = peerLoads.get();
+    PeerLoads loads = peerLoads.get();
     List<PromptPlacement.Candidate> views =
         candidates.stream()
-            .map(server -> candidate(server, fleet.at(server.id()), prompt))
+            .map(server -> candidate(server, loads.at(server.id()), prompt))
             .toList();
     String prefix = prompt.map(PromptDescription::lastSharedPartId).orElse("");
     return PromptPlacement.choose(views, new PromptPlacement.Prompt(prefix, aim), random)
@@ -159,20 +159,20 @@
                 new Selection(
                     server,
                     candidates.size(),
-                    fleet.at(server.id()),
+                    loads.at(server.id()),
                     uncachedTokens(server, prompt),
-                    fleet.age()));
+                    loads.age()));
   }
 
   private PromptPlacement.Candidate candidate(
-      BackendServer server, PeerLoad others, Optional<PromptDescription> prompt) {
+      BackendServer server, PeerLoad peerLoad, Optional<PromptDescription> prompt) {
     long tokensToRead = uncachedTokens(server, prompt);
     return new PromptPlacement.Candidate(
         server.id(),
-        server.running() + others.running(),
-        Math.max(0, server.promptTokensAhead()) + others.promptTokensAhead(),
+        server.running() + peerLoad.running(),
+        Math.max(0, server.promptTokensAhead()) + peerLoad.promptTokensAhead(),
         tokensToRead,
-        prompt.map(terms -> tokensToRead == terms.unsharedTokens()).orElse(false),
+        prompt.map(description -> tokensToRead == description.unsharedTokens()).orElse(false),
         health(server.service()).slowness(server.id()));
   }
 
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/TokenUsage.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/TokenUsage.java
@@ -26,12 +26,14 @@
   /** The largest number of tokens used if {@code events} events were sent to the caller. */
   long usedTokens(long events) {
     return promptRead || events > 0
-        ? prompt.map(terms -> terms.inputTokens() + usedOutputTokens(terms, events)).orElse(0L)
+        ? prompt
+            .map(description -> description.inputTokens() + usedOutputTokens(description, events))
+            .orElse(0L)
         : 0;
   }
 
-  private long usedOutputTokens(PromptDescription terms, long events) {
-    return Math.min(terms.maxOutputTokens(), outputTokensIn(events));
+  private long usedOutputTokens(PromptDescription description, long events) {
+    return Math.min(description.maxOutputTokens(), outputTokensIn(events));
   }
 
   /** The largest number of output tokens in {@code events} events. */
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/log/FleetLog.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/log/FleetLog.java
@@ -33,10 +33,10 @@
   /** Read interval while a request waits for tokens that other instances may return. */
   private static final Duration URGENT_READ_INTERVAL = Duration.ofMillis(100);
 
-  /** First pause after a failure: half of the answer time of a slow log. */
-  private static final Duration FIRST_PAUSE = Duration.ofMillis(40);
+  /** Back-off after the first failure: half of the answer time of a slow log. */
+  private static final Duration INITIAL_BACKOFF = Duration.ofMillis(40);
 
-  private static final Duration MAX_PAUSE = Duration.ofMillis(500);
+  private static final Duration MAX_BACKOFF = Duration.ofMillis(500);
 
   /**
    * How far the epoch is advanced after finding one in use: by more than the clocks of two restarts
@@ -79,11 +79,11 @@
   private boolean appending;
   private boolean reading;
   private long requiredPosition;
-  private Instant pauseUntil = Instant.MIN;
-  private Duration pause = FIRST_PAUSE;
+  private Instant backoffUntil = Instant.MIN;
+  private Duration backoff = INITIAL_BACKOFF;
   private Instant nextRead = Instant.MIN;
   private boolean reloadDue;
-  private boolean readingSuspended;
+  private boolean readingPaused;
   private @Nullable String failureDetail;
 
   /**
@@ -128,7 +128,7 @@
   /** Starts the calls that are due. */
   public void tick() {
     Instant now = clock.instant();
-    if (now.isBefore(pauseUntil)) {
+    if (now.isBefore(backoffUntil)) {
       return;
     }
     switch (state) {
@@ -144,21 +144,21 @@
       return;
     }
     appending = true;
-    log.append(epoch, sequence, List.of(), this::fenced);
+    log.append(epoch, sequence, List.of(), this::onFenceOutcome);
   }
 
-  private void fenced(SharedLog.AppendOutcome outcome) {
+  private void onFenceOutcome(SharedLog.AppendOutcome outcome) {
     appending = false;
     switch (outcome) {
       case SharedLog.AppendOutcome.Appended appended -> {
-        recovered();
+        recordSuccess();
         sequence++;
         state = State.LOADING;
         load();
       }
       case SharedLog.AppendOutcome.Superseded superseded -> epoch += EPOCH_STEP_MS;
       case SharedLog.AppendOutcome.OutOfSequence other -> sequence = other.sequence();
-      case SharedLog.AppendOutcome.Unknown unknown -> failed(unknown.detail());
+      case SharedLog.AppendOutcome.Unknown unknown -> recordFailure(unknown.detail());
     }
   }
 
@@ -167,14 +167,14 @@
       return;
     }
     reading = true;
-    log.readNewest(this::loaded);
+    log.readNewest(this::onLoadOutcome);
   }
 
-  private void loaded(SharedLog.ReadOutcome outcome) {
+  private void onLoadOutcome(SharedLog.ReadOutcome outcome) {
     reading = false;
     switch (outcome) {
       case SharedLog.ReadOutcome.Records records -> {
-        recovered();
+        recordSuccess();
         position = records.next();
         processedOffset = Math.max(processedOffset, position - 1);
         List<SharedNote> notes = new ArrayList<>();
@@ -186,13 +186,13 @@
         loadedOnce = true;
         state = State.TAILING;
       }
-      case SharedLog.ReadOutcome.Expired expired -> failed("newest records expired");
-      case SharedLog.ReadOutcome.Failed failure -> failed(failure.detail());
+      case SharedLog.ReadOutcome.Expired expired -> recordFailure("newest records expired");
+      case SharedLog.ReadOutcome.Failed failure -> recordFailure(failure.detail());
     }
   }
 
   private void follow(Instant now) {
-    if (readingSuspended()) {
+    if (readingPaused()) {
       return;
     }
     if (reloadDue) {
@@ -205,28 +205,28 @@
     if (!reading && (position < requiredPosition || !now.isBefore(nextRead))) {
       nextRead = now.plus(readInterval());
       reading = true;
-      log.read(position, this::read);
+      log.read(position, this::onReadOutcome);
     }
   }
 
   /**
-   * Returns whether reading is suspended because no participant needs the log.
+   * Returns whether reading is paused because no participant needs the log.
    *
    * <p>An instance of a large fleet that depends on no notes would still receive those of all
    * others. They arrive in bursts that saturate its network link for a tenth of a second, and its
    * callers' requests are delayed behind them.
    */
-  private boolean readingSuspended() {
+  private boolean readingPaused() {
     boolean needed = participants.stream().anyMatch(LogParticipant::needsLog);
-    if (readingSuspended && needed) {
-      readingSuspended = false;
+    if (readingPaused && needed) {
+      readingPaused = false;
       reloadDue = true;
       participants.forEach(LogParticipant::onLogReadingResumed);
-    } else if (!readingSuspended && !needed && !appending && !reading && batch.isEmpty()) {
-      readingSuspended = true;
+    } else if (!readingPaused && !needed && !appending && !reading && batch.isEmpty()) {
+      readingPaused = true;
       participants.forEach(LogParticipant::onLogReadingPaused);
     }
-    return readingSuspended;
+    return readingPaused;
   }
 
   /**
@@ -256,15 +256,15 @@
     }
     if (!batch.isEmpty()) {
       appending = true;
-      log.append(epoch, sequence, batch, this::appended);
+      log.append(epoch, sequence, batch, this::onAppendOutcome);
     }
   }
 
-  private void appended(SharedLog.AppendOutcome outcome) {
+  private void onAppendOutcome(SharedLog.AppendOutcome outcome) {
     appending = false;
     switch (outcome) {
       case SharedLog.AppendOutcome.Appended appended -> {
-        recovered();
+        recordSuccess();
         if (participants.stream().anyMatch(LogParticipant::awaitsOwnNote)) {
           requiredPosition = appended.offset() + batch.size();
         }
@@ -285,15 +285,15 @@
             "another process writes as instance {}; this process spends no more tokens", instance);
         state = State.SUPERSEDED;
       }
-      case SharedLog.AppendOutcome.Unknown unknown -> failed(unknown.detail());
+      case SharedLog.AppendOutcome.Unknown unknown -> recordFailure(unknown.detail());
     }
   }
 
-  private void read(SharedLog.ReadOutcome outcome) {
+  private void onReadOutcome(SharedLog.ReadOutcome outcome) {
     reading = false;
     switch (outcome) {
       case SharedLog.ReadOutcome.Records records -> {
-        recovered();
+        recordSuccess();
         records.records().forEach(this::deliver);
         position = Math.max(position, records.next());
         nextRead = clock.instant().plus(readInterval());
@@ -304,7 +304,7 @@
             "notes from offset {} on are no longer retained; reloading the newest notes", position);
         reloadDue = true;
       }
-      case SharedLog.ReadOutcome.Failed failure -> failed(failure.detail());
+      case SharedLog.ReadOutcome.Failed failure -> recordFailure(failure.detail());
     }
   }
 
@@ -340,21 +340,22 @@
     }
   }
 
-  private void failed(String detail) {
+  private void recordFailure(String detail) {
     if (failureDetail == null) {
       LOG.warn("shared log unavailable; retrying with back-off: {}", detail);
     }
     failureDetail = detail;
-    pauseUntil = clock.instant().plus(pause);
-    pause = pause.multipliedBy(2).compareTo(MAX_PAUSE) > 0 ? MAX_PAUSE : pause.plus(pause);
+    backoffUntil = clock.instant().plus(backoff);
+    backoff =
+        backoff.multipliedBy(2).compareTo(MAX_BACKOFF) > 0 ? MAX_BACKOFF : backoff.plus(backoff);
   }
 
-  private void recovered() {
+  private void recordSuccess() {
     if (failureDetail != null) {
       LOG.info("shared log available again");
     }
     failureDetail = null;
-    pause = FIRST_PAUSE;
-    pauseUntil = Instant.MIN;
+    backoff = INITIAL_BACKOFF;
+    backoffUntil = Instant.MIN;
   }
 }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/log/LogParticipant.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/log/LogParticipant.java
@@ -23,8 +23,8 @@
   default void onWritten() {}
 
   /**
-   * Returns whether something depends on reading back an own note; until then no other note may be
-   * written.
+   * Returns whether this component waits until an own note has been read back; until then no other
+   * note may be written.
    */
   default boolean awaitsOwnNote() {
     return false;
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/CachedPromptsCalls.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/CachedPromptsCalls.java
@@ -36,7 +36,7 @@
   private static final int OK = 200;
 
   private final LoadExchange loadExchange;
-  private final Supplier<List<String>> others;
+  private final Supplier<List<String>> peerAddresses;
   private final RelayedCalls.Caller caller;
   private final InstantSource clock;
   private final Instant giveUpAt;
@@ -47,16 +47,17 @@
   /**
    * Creates the calls of an instance.
    *
+   * @param peerAddresses supplies the addresses of the other instances
    * @param nextIndex determines which of the other instances is asked first
    */
   public CachedPromptsCalls(
       LoadExchange loadExchange,
-      Supplier<List<String>> others,
+      Supplier<List<String>> peerAddresses,
       RelayedCalls.Caller caller,
       InstantSource clock,
       int nextIndex) {
     this.loadExchange = loadExchange;
-    this.others = others;
+    this.peerAddresses = peerAddresses;
     this.caller = caller;
     this.clock = clock;
     this.giveUpAt = clock.instant().plus(MAX_TRY_TIME);
@@ -69,7 +70,7 @@
    * @param ready whether the backend servers are known; without them an answer can't be used
    */
   public void tick(boolean ready) {
-    List<String> addresses = others.get();
+    List<String> addresses = peerAddresses.get();
     if (finished || requestInFlight || !ready || addresses.isEmpty()) {
       return;
     }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/HolderCalls.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/HolderCalls.java
@@ -37,7 +37,7 @@
   private final Function<String, Optional<String>> addresses;
   private final RelayedCalls.Caller caller;
   private final PrepaidAccounts accounts;
-  private final HolderService answers;
+  private final HolderService holderService;
 
   /**
    * Creates the calls of an instance.
@@ -52,18 +52,18 @@
     this.addresses = addresses;
     this.caller = caller;
     this.accounts = accounts;
-    this.answers = new HolderService(accounts, clock);
+    this.holderService = new HolderService(accounts, clock);
   }
 
   @Override
-  public void request(String holder, Request ask, Consumer<Answer> answer) {
+  public void request(String holder, Request request, Consumer<Answer> answer) {
     Optional<String> address = addresses.apply(holder);
     if (address.isEmpty()) {
       answer.accept(new Answer.Unreachable("its address isn't known"));
       return;
     }
-    byte[] body = HolderMessages.encode(ask);
-    Duration timeout = ask.maxWait().plus(ROUND_TRIP_ALLOWANCE);
+    byte[] body = HolderMessages.encode(request);
+    Duration timeout = request.maxWait().plus(ROUND_TRIP_ALLOWANCE);
     caller
         .call(new HttpCallRequest(address.get(), "POST", PATH, Map.of(), body, timeout))
         .whenComplete((response, failure) -> answer.accept(decode(response, failure)));
@@ -106,21 +106,21 @@
 
   @Override
   public void handle(HttpExchange exchange) {
-    Request ask;
+    Request request;
     try {
-      ask = HolderMessages.decodeAsk(exchange.body());
+      request = HolderMessages.decodeRequest(exchange.body());
     } catch (IllegalArgumentException e) {
       LOG.warn("refused a request for tokens that could not be decoded: {}", e.getMessage());
       exchange.respond(BAD_REQUEST, Map.of(), new byte[0]);
       return;
     }
-    if (!accounts.mayGiveTokens(ask.customer())) {
+    if (!accounts.mayGiveTokens(request.customer())) {
       // The instance stops, or doesn't know the customer's plan yet. Another holder may serve it.
       exchange.respond(UNAVAILABLE, Map.of(), new byte[0]);
       return;
     }
     exchange.onCallerDisconnect(
-        answers.answer(ask, answer -> exchange.respond(OK, Map.of(), encode(answer))));
+        holderService.answer(request, answer -> exchange.respond(OK, Map.of(), encode(answer))));
   }
 
   private static byte[] encode(Answer answer) {
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/HolderMessages.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/HolderMessages.java
@@ -21,17 +21,17 @@
   private static final byte LAYOUT = 1;
   private static final byte GRANTED = 0;
   private static final byte REFUSED = 1;
-  private static final long NO_RETRY_DELAY = -1;
+  private static final long NO_RETRY_AFTER = -1;
 
   private HolderMessages() {}
 
-  static byte[] encode(HolderPort.Request ask) {
+  static byte[] encode(HolderPort.Request request) {
     return encodeWith(
         out -> {
-          out.writeUTF(ask.customer());
-          out.writeLong(ask.tokens());
-          out.writeLong(ask.maxWait().toMillis());
-          out.writeLong(ask.deadline().toMillis());
+          out.writeUTF(request.customer());
+          out.writeLong(request.tokens());
+          out.writeLong(request.maxWait().toMillis());
+          out.writeLong(request.timeLeft().toMillis());
         });
   }
 
@@ -40,7 +40,7 @@
    *
    * @throws IllegalArgumentException if {@code message} doesn't have this layout
    */
-  static HolderPort.Request decodeAsk(byte[] message) {
+  static HolderPort.Request decodeRequest(byte[] message) {
     return decodeWith(
         message,
         in ->
@@ -87,7 +87,7 @@
           out.writeByte(REFUSED);
           out.writeUTF(problem.kind().name());
           out.writeUTF(problem.detail());
-          out.writeLong(problem.retryAfter().map(Duration::toMillis).orElse(NO_RETRY_DELAY));
+          out.writeLong(problem.retryAfter().map(Duration::toMillis).orElse(NO_RETRY_AFTER));
         });
   }
 
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/LoadExchange.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/LoadExchange.java
@@ -64,7 +64,7 @@
   /** How long reports are sent after a change; each change is repeated in several reports. */
   private static final Duration REPORTING_TIME = Duration.ofMillis(100);
 
-  /** Limits the cache contents that a starting instance is sent to some tens of kilobytes. */
+  /** Limits the cache contents sent to a starting instance to some tens of kilobytes. */
   private static final int MAX_CACHED_PARTS = 4_096;
 
   private final String instance;
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/RelayedCalls.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/RelayedCalls.java
@@ -74,9 +74,9 @@
   /**
    * Sends a request. If a relay rejects it, the next relay is tried at once.
    *
-   * @param further the number of relays that may be tried after the first one
+   * @param remainingRelays the number of relays that may be tried after the first one
    */
-  private CompletableFuture<HttpAnswer> call(HttpCallRequest request, int further) {
+  private CompletableFuture<HttpAnswer> call(HttpCallRequest request, int remainingRelays) {
     List<String> present = relays.get();
     Optional<String> relay = choice.nextRelay(present, clock.instant());
     if (relay.isEmpty()) {
@@ -89,8 +89,8 @@
                 choice.onRelayedCall(reached(answer, failure), present.size(), clock.instant()))
         .thenCompose(
             answer ->
-                answer.status() == UNAVAILABLE && further > 0
-                    ? call(request, further - 1)
+                answer.status() == UNAVAILABLE && remainingRelays > 0
+                    ? call(request, remainingRelays - 1)
                     : CompletableFuture.completedFuture(answer));
   }
 
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/quarantine/RequestQuarantine.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/quarantine/RequestQuarantine.java
@@ -26,9 +26,9 @@
  *
  * <p>A broken connection alone doesn't prove a crash, as an answer may have been lost in the
  * network. It counts only once the server refuses connections, is gone from the list, or is listed
- * with a later start time. A request that ran beside the crashing one is counted too. That this
- * happens to the same request {@link #CRASH_LIMIT} times without an answer in between is too
- * unlikely to matter.
+ * with a later start time. A request that ran on the server at the same time as the crashing one is
+ * counted too. It is too unlikely to matter that this happens to the same request {@link
+ * #CRASH_LIMIT} times without an answer in between.
  */
 public final class RequestQuarantine implements LogParticipant {
   /**
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/server/ServerListing.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/server/ServerListing.java
@@ -27,7 +27,7 @@
   public ServerListing {
     Preconditions.requireText(service, "service of " + id);
     Preconditions.requireText(address, "address of " + id);
-    Preconditions.requirePositive(maxConcurrentRequests, "places of " + id);
+    Preconditions.requirePositive(maxConcurrentRequests, "max concurrent requests of " + id);
   }
 
   /** The incarnation that the entry describes. */
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/account/AccountFleet.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/account/AccountFleet.java
@@ -60,8 +60,8 @@
     }
   }
 
-  void setLines(FakeSharedLog.Behaviour line) {
-    instances.forEach(instance -> instance.port.behaviour(line));
+  void setBehaviours(FakeSharedLog.Behaviour behaviour) {
+    instances.forEach(instance -> instance.port.behaviour(behaviour));
   }
 
   /** Simulates a loss of power of all machines; their monotonic clocks start anew. */
@@ -127,27 +127,27 @@
   }
 
   private void draw(String name, String customer, long tokens, Consumer<OptionalLong> given) {
-    Optional<Instance> asked =
+    Optional<Instance> peer =
         instances.stream().filter(each -> each.name.equals(name) && each.alive).findFirst();
-    if (asked.isEmpty() || peers == Peers.UNREACHABLE) {
+    if (peer.isEmpty() || peers == Peers.UNREACHABLE) {
       given.accept(OptionalLong.empty());
       return;
     }
-    long gift = asked.get().book.giveToPeer(customer, tokens);
-    given.accept(peers == Peers.ANSWERS_LOST ? OptionalLong.empty() : OptionalLong.of(gift));
+    long tokensGiven = peer.get().accounts.giveToPeer(customer, tokens);
+    given.accept(peers == Peers.ANSWERS_LOST ? OptionalLong.empty() : OptionalLong.of(tokensGiven));
   }
 
   /** Delivers requests and answers without delay; a holder answers as soon as it has the tokens. */
   private final class FakeHolderPort implements HolderPort {
     @Override
-    public void request(String holder, Request ask, Consumer<Answer> answer) {
-      Optional<Instance> asked = reachable(holder);
-      if (asked.isEmpty()) {
+    public void request(String holder, Request request, Consumer<Answer> answer) {
+      Optional<Instance> peer = reachable(holder);
+      if (peer.isEmpty()) {
         answer.accept(new Answer.Unreachable("down"));
         return;
       }
-      new HolderService(asked.get().book, clock)
-          .answer(ask, given -> answer.accept(afterTransport(given)));
+      new HolderService(peer.get().accounts, clock)
+          .answer(request, given -> answer.accept(afterTransport(given)));
     }
 
     private Answer afterTransport(Answer given) {
@@ -157,7 +157,7 @@
 
     @Override
     public void returnTokens(String holder, String customer, long tokens) {
-      reachable(holder).ifPresent(each -> each.book.takeBackUnused(customer, tokens));
+      reachable(holder).ifPresent(each -> each.accounts.takeBackUnused(customer, tokens));
     }
 
     private Optional<Instance> reachable(String name) {
@@ -196,7 +196,7 @@
   final class Instance {
     final String name;
     final FakeSharedLog.Port port;
-    final PrepaidAccounts book;
+    final PrepaidAccounts accounts;
     final FleetLog fleetLog;
     final TokenRequests requests;
     final TokenDraws draws;
@@ -210,7 +210,7 @@
       this.name = name;
       this.port = log.port(name);
       TokenHolders holders = new TokenHolders(name, () -> names);
-      this.book =
+      this.accounts =
           new PrepaidAccounts(
               name,
               customer -> OptionalLong.of(total),
@@ -221,10 +221,12 @@
               AccountFleet.this::machineClock,
               () -> Optional.of(heartbeats()));
       this.fleetLog =
-          new FleetLog(port, name, ++lastEpoch, clock, IDLE_READ_INTERVAL, List.of(book));
+          new FleetLog(port, name, ++lastEpoch, clock, IDLE_READ_INTERVAL, List.of(accounts));
       this.requests =
-          new TokenRequests(book, holders, new FakeHolderPort(), () -> true, event -> {}, clock);
-      this.draws = new TokenDraws(book, AccountFleet.this::draw, event -> {}, clock, new Random(1));
+          new TokenRequests(
+              accounts, holders, new FakeHolderPort(), () -> true, event -> {}, clock);
+      this.draws =
+          new TokenDraws(accounts, AccountFleet.this::draw, event -> {}, clock, new Random(1));
     }
 
     void request(long tokens) {
@@ -258,7 +260,7 @@
     void settle(long used) {
       Reservation oldest = reserved.removeFirst();
       givenTokens -= oldest.tokens() - used;
-      book.settle(oldest, used);
+      accounts.settle(oldest, used);
     }
 
     void step() {
@@ -267,8 +269,8 @@
       }
       port.answerCalls();
       fleetLog.tick();
-      book.onLogReachable(!fleetLog.failing());
-      book.tick();
+      accounts.onLogReachable(!fleetLog.failing());
+      accounts.tick();
       requests.tick();
       draws.tick();
     }
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/account/ClockReadingTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/account/ClockReadingTests.java
@@ -7,12 +7,12 @@
 import org.junit.jupiter.api.Test;
 
 class ClockReadingTests {
-  private final ClockReading written = new ClockReading(5_000_000_000L, 1_000_000);
+  private final ClockReading atNote = new ClockReading(5_000_000_000L, 1_000_000);
 
   @Test
   void measuresTheTimeWithinOneRunOfTheMachine() {
-    ClockReading started = new ClockReading(6_300_000_000L, 1_001_290);
-    assertEquals(Optional.of(Duration.ofMillis(1_300)), started.since(written));
+    ClockReading atStart = new ClockReading(6_300_000_000L, 1_001_290);
+    assertEquals(Optional.of(Duration.ofMillis(1_300)), atStart.since(atNote));
   }
 
   /**
@@ -22,12 +22,12 @@
    */
   @Test
   void returnsEmptyAfterALossOfPower() {
-    assertEquals(Optional.empty(), new ClockReading(9_000_000_000L, 1_002_600).since(written));
-    assertEquals(Optional.empty(), new ClockReading(1_000_000_000L, 1_002_600).since(written));
+    assertEquals(Optional.empty(), new ClockReading(9_000_000_000L, 1_002_600).since(atNote));
+    assertEquals(Optional.empty(), new ClockReading(1_000_000_000L, 1_002_600).since(atNote));
   }
 
   @Test
   void returnsEmptyAfterAStepOfTheWallClock() {
-    assertEquals(Optional.empty(), new ClockReading(6_300_000_000L, 999_300).since(written));
+    assertEquals(Optional.empty(), new ClockReading(6_300_000_000L, 999_300).since(atNote));
   }
 }
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/account/ForeignNoteTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/account/ForeignNoteTests.java
@@ -34,11 +34,11 @@
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void countsTheLastReadableNoteAfterAnUnreadableOne(boolean takenAway) {
+  void countsTheLastReadableNoteAfterAnUnreadableOne(boolean emptied) {
     spendMostOfTheTotalAtInstance1();
     fleet.stop(1);
     fleet.instance(0).port.behaviour(Behaviour.UNREACHABLE);
-    fleet.overwriteNote(1, takenAway ? EMPTY : UNREADABLE);
+    fleet.overwriteNote(1, emptied ? EMPTY : UNREADABLE);
     fleet.log.compact();
     fleet.run(SETTLE_TIME);
     fleet.instance(0).port.behaviour(Behaviour.NORMAL);
@@ -129,26 +129,27 @@
   @Property(tries = 100, seed = "4711")
   void staysWithinTheTotalWhateverBytesAreWritten(
       @ForAll @Size(min = 1, max = 6) List<@Size(max = 40) byte[]> values, @ForAll long seed) {
-    AccountFleet drawing = new AccountFleet(3, TOTAL);
+    AccountFleet randomFleet = new AccountFleet(3, TOTAL);
     Random random = new Random(seed);
     for (byte[] value : values) {
-      for (AccountFleet.Instance instance : drawing.instances) {
+      for (AccountFleet.Instance instance : randomFleet.instances) {
         instance.request(TOTAL / 8 + random.nextInt((int) TOTAL / 4));
       }
-      drawing.run(Duration.ofMillis(random.nextInt(500)));
+      randomFleet.run(Duration.ofMillis(random.nextInt(500)));
       int overwritten = random.nextInt(3);
-      drawing.overwriteNote(overwritten, value);
+      randomFleet.overwriteNote(overwritten, value);
       if (random.nextBoolean()) {
-        drawing.log.compact();
+        randomFleet.log.compact();
       }
       if (random.nextInt(3) == 0) {
-        drawing.stop(overwritten);
-        drawing.run(Duration.ofMillis(random.nextInt(500)));
-        drawing.restart(overwritten);
+        randomFleet.stop(overwritten);
+        randomFleet.run(Duration.ofMillis(random.nextInt(500)));
+        randomFleet.restart(overwritten);
       }
-      drawing.run(Duration.ofMillis(random.nextInt(1_000)));
+      randomFleet.run(Duration.ofMillis(random.nextInt(1_000)));
     }
-    assertTrue(drawing.givenTokens() <= TOTAL, drawing.givenTokens() + " tokens were given");
+    assertTrue(
+        randomFleet.givenTokens() <= TOTAL, randomFleet.givenTokens() + " tokens were given");
   }
 
   private void spendMostOfTheTotalAtInstance1() {
@@ -169,14 +170,14 @@
   }
 
   /** Returns a note of the newest layout in which all other numbers are 0. */
-  private static byte[] note(long spent, long held, long asked) {
+  private static byte[] note(long spent, long held, long claimed) {
     return ByteBuffer.allocate(1 + 12 * Long.BYTES)
         .put((byte) 4)
         .putLong(spent)
         .putLong(0)
         .putLong(held)
         .putLong(0)
-        .putLong(asked)
+        .putLong(claimed)
         .array();
   }
 }
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/account/LargeFleetTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/account/LargeFleetTests.java
@@ -47,7 +47,7 @@
   @Test
   void grantsLargeRequestsImmediatelyWhileTheLogIsAvailable() {
     fleet.log.appendsPerRound(APPENDS_PER_STEP);
-    Outcome outcome = play(Duration.ofSeconds(10));
+    Outcome outcome = sendRequestsFor(Duration.ofSeconds(10));
     assertShareAtMost(1, 1_000, outcome.refused(), outcome);
     assertShareAtMost(1, 100, outcome.late(), outcome);
   }
@@ -59,9 +59,9 @@
   @Test
   void servesLargeRequestsWhileTheLogIsUnavailable() {
     fleet.log.appendsPerRound(APPENDS_PER_STEP);
-    play(Duration.ofSeconds(5));
-    fleet.setLines(Behaviour.UNREACHABLE);
-    Outcome outcome = play(Duration.ofSeconds(7));
+    sendRequestsFor(Duration.ofSeconds(5));
+    fleet.setBehaviours(Behaviour.UNREACHABLE);
+    Outcome outcome = sendRequestsFor(Duration.ofSeconds(7));
     assertShareAtMost(1, 10, outcome.refused(), outcome);
     assertShareAtMost(1, 10, outcome.late(), outcome);
   }
@@ -72,9 +72,9 @@
    */
   @Test
   void instancesThatHoldNoTokensReadNoNotes() {
-    play(Duration.ofSeconds(5));
+    sendRequestsFor(Duration.ofSeconds(5));
     fleet.instances.forEach(each -> each.port.resetReads());
-    play(Duration.ofSeconds(5));
+    sendRequestsFor(Duration.ofSeconds(5));
     long reading = fleet.instances.stream().filter(each -> each.port.reads() > 0).count();
     assertTrue(
         reading <= INSTANCES / 2,
@@ -112,7 +112,7 @@
   /**
    * Sends requests for some time; returns the outcomes of the requests that were decided meanwhile.
    */
-  private Outcome play(Duration time) {
+  private Outcome sendRequestsFor(Duration time) {
     Outcome before = outcome();
     for (Duration passed = Duration.ZERO; passed.compareTo(time) < 0; passed = passed.plus(STEP)) {
       if (random.nextDouble() < REQUESTS_PER_STEP) {
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/account/PrepaidAccountsTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/account/PrepaidAccountsTests.java
@@ -27,7 +27,7 @@
   void servesFromLeasesWhileTheLogIsUnavailable() {
     AccountFleet fleet = new AccountFleet(7, 5_000_000);
     sendRequestsFor(fleet, Duration.ofSeconds(10));
-    fleet.setLines(Behaviour.UNREACHABLE);
+    fleet.setBehaviours(Behaviour.UNREACHABLE);
     int reservedBefore = reserved(fleet);
     int refusedBefore = refused(fleet);
     sendRequestsFor(fleet, Duration.ofSeconds(8));
@@ -44,10 +44,10 @@
   }
 
   private static void sendRequestsFor(
-      AccountFleet fleet, List<AccountFleet.Instance> drawing, Duration time) {
+      AccountFleet fleet, List<AccountFleet.Instance> requesters, Duration time) {
     Random random = new Random(7);
     for (long passed = 0; passed < time.toMillis(); passed += 50) {
-      for (AccountFleet.Instance instance : drawing) {
+      for (AccountFleet.Instance instance : requesters) {
         if (random.nextInt(7) == 0) {
           instance.request(LARGE / 2 + random.nextInt((int) LARGE));
         }
@@ -94,7 +94,7 @@
           @Override
           public void onReserved(Reservation reservation) {
             served.add(reservation);
-            instance.book.settle(reservation, reservation.tokens());
+            instance.accounts.settle(reservation, reservation.tokens());
           }
 
           @Override
@@ -102,10 +102,11 @@
             throw new AssertionError(problem);
           }
         };
-    Instant leaves = fleet.clock.instant().plusSeconds(5);
-    instance.book.reserve(AccountFleet.CUSTOMER, 100_000, leaves, leaves, settling);
+    Instant callerTimeout = fleet.clock.instant().plusSeconds(5);
+    instance.accounts.reserve(
+        AccountFleet.CUSTOMER, 100_000, callerTimeout, callerTimeout, settling);
     assertEquals(List.of(), served, "was served immediately, expected to wait for the log");
-    instance.book.addDrawn(AccountFleet.CUSTOMER, 500_000);
+    instance.accounts.addDrawn(AccountFleet.CUSTOMER, 500_000);
     assertEquals(1, served.size());
   }
 
@@ -159,10 +160,10 @@
       case 5 -> instance.port.behaviour(Behaviour.ANSWERS_LOST);
       case 6 -> instance.port.behaviour(Behaviour.APPLIED_LATE);
       case 7, 8, 9, 10 -> instance.port.behaviour(Behaviour.NORMAL);
-      case 11 -> fleet.setLines(Behaviour.UNREACHABLE);
-      case 12, 13 -> fleet.setLines(Behaviour.NORMAL);
+      case 11 -> fleet.setBehaviours(Behaviour.UNREACHABLE);
+      case 12, 13 -> fleet.setBehaviours(Behaviour.NORMAL);
       case 14 -> fleet.total += 20_000;
-      case 15, 16, 17 -> fleet.setLines(Behaviour.SLOW_APPENDS);
+      case 15, 16, 17 -> fleet.setBehaviours(Behaviour.SLOW_APPENDS);
       case 18, 19 -> fleet.log.compact();
       case 20 -> fleet.stepWallClock(Duration.ofMillis(random.nextInt(4_000) - 2_000));
       case 24 ->
@@ -203,14 +204,14 @@
     AccountFleet fleet = new AccountFleet(4, 4_000_000);
     sendRequestsFor(fleet, Duration.ofSeconds(4));
     fleet.run(Duration.ofSeconds(3));
-    Duration down = Duration.ofMillis(1_500);
-    fleet.powerLoss(down);
-    Duration most = down.plusMillis(700);
+    Duration downtime = Duration.ofMillis(1_500);
+    fleet.powerLoss(downtime);
+    Duration maxSinceNote = downtime.plusMillis(700);
     assertEquals(4, fleet.takeovers.size());
     for (GatewayEvent.AccountTakenOver takeover : fleet.takeovers) {
       assertTrue(
-          takeover.since().compareTo(most) <= 0,
-          "was %s, expected at most %s".formatted(takeover, most));
+          takeover.since().compareTo(maxSinceNote) <= 0,
+          "was %s, expected at most %s".formatted(takeover, maxSinceNote));
     }
   }
 
@@ -254,11 +255,11 @@
   void reclaimsNothingIfTheWallClockWasSetBack() {
     AccountFleet fleet = new AccountFleet(4, 1_000_000);
     sendRequestsFor(fleet, Duration.ofSeconds(2));
-    fleet.setLines(Behaviour.UNREACHABLE);
+    fleet.setBehaviours(Behaviour.UNREACHABLE);
     requestEverywhere(fleet, 5_000, 500);
     fleet.stepWallClock(Duration.ofSeconds(-5));
     fleet.powerLoss(Duration.ofMillis(1_500));
-    fleet.setLines(Behaviour.NORMAL);
+    fleet.setBehaviours(Behaviour.NORMAL);
     requestEverywhere(fleet, 5_000, 300);
     assertWithinTotal(fleet);
   }
@@ -271,7 +272,7 @@
    */
   @Test
   void obeysANoteWhoseAnswerWasLost() {
-    for (int cutFor = 1_700; cutFor < 2_400; cutFor += 20) {
+    for (int partitionMillis = 1_700; partitionMillis < 2_400; partitionMillis += 20) {
       AccountFleet fleet = new AccountFleet(2, 1_000_000);
       AccountFleet.Instance instance = fleet.instance(0);
       sendRequestsFor(fleet, List.of(instance), Duration.ofSeconds(4));
@@ -279,17 +280,17 @@
       instance.request(1_000);
       fleet.run(Duration.ofMillis(250));
       instance.port.behaviour(Behaviour.UNREACHABLE);
-      fleet.run(Duration.ofMillis(cutFor));
+      fleet.run(Duration.ofMillis(partitionMillis));
       for (int step = 0; step < 30; step++) {
         instance.request(5_000);
       }
       fleet.kill(Duration.ofMillis(10));
-      fleet.setLines(Behaviour.NORMAL);
+      fleet.setBehaviours(Behaviour.NORMAL);
       requestEverywhere(fleet, 2_000, 400);
       assertTrue(
           fleet.givenTokens() <= fleet.total,
           "partitioned for %d ms: %d tokens were given, expected at most %d"
-              .formatted(cutFor, fleet.givenTokens(), fleet.total));
+              .formatted(partitionMillis, fleet.givenTokens(), fleet.total));
     }
   }
 
@@ -313,9 +314,9 @@
     while (!stopping.reserved.isEmpty()) {
       stopping.settle(1);
     }
-    stopping.book.close();
+    stopping.accounts.close();
     fleet.run(Duration.ofSeconds(2));
-    assertTrue(stopping.book.allReturned(), "tokens are still held at the end");
+    assertTrue(stopping.accounts.allReturned(), "tokens are still held at the end");
   }
 
   /**
@@ -325,7 +326,7 @@
   @Test
   void refusesImmediatelyInAnOutageWithoutEnoughTokens() {
     AccountFleet fleet = new AccountFleet(2, 100_000);
-    fleet.setLines(Behaviour.UNREACHABLE);
+    fleet.setBehaviours(Behaviour.UNREACHABLE);
     fleet.run(Duration.ofSeconds(1));
     fleet.instance(0).request(90_000);
     assertEquals(ErrorKind.NO_LEASE, fleet.instance(0).refusals.getFirst().kind());
@@ -342,12 +343,12 @@
     AccountFleet fleet = new AccountFleet(2, 1_000_000);
     fleet.instance(0).request(1_000);
     fleet.run(Duration.ofSeconds(1));
-    fleet.setLines(Behaviour.UNREACHABLE);
+    fleet.setBehaviours(Behaviour.UNREACHABLE);
     fleet.instance(0).request(1_000);
     fleet.run(Duration.ofMillis(7_500));
     fleet.instance(0).request(400_000);
     fleet.run(Duration.ofMillis(1_800));
-    fleet.setLines(Behaviour.NORMAL);
+    fleet.setBehaviours(Behaviour.NORMAL);
     fleet.run(Duration.ofSeconds(1));
     assertEquals(List.of(), fleet.instance(0).refusals);
     assertEquals(3, fleet.instance(0).grantedRequests);
@@ -361,13 +362,13 @@
   @Test
   void servesALargeRequestFromPeersWhileTheLogIsUnavailable() {
     AccountFleet fleet = fleetUnderSteadyLoad();
-    fleet.setLines(Behaviour.UNREACHABLE);
+    fleet.setBehaviours(Behaviour.UNREACHABLE);
     fleet.run(Duration.ofMillis(300));
-    AccountFleet.Instance asked = fleet.instance(0);
-    int before = asked.grantedRequests;
-    asked.request(3 * LARGE);
+    AccountFleet.Instance requester = fleet.instance(0);
+    int before = requester.grantedRequests;
+    requester.request(3 * LARGE);
     fleet.run(Duration.ofMillis(150));
-    assertEquals(before + 1, asked.grantedRequests);
+    assertEquals(before + 1, requester.grantedRequests);
   }
 
   /**
@@ -378,13 +379,13 @@
   @Test
   void countsDrawnTokensOnceAfterAKill() {
     AccountFleet fleet = fleetUnderSteadyLoad();
-    fleet.setLines(Behaviour.UNREACHABLE);
+    fleet.setBehaviours(Behaviour.UNREACHABLE);
     for (int step = 0; step < 100; step++) {
       fleet.instance(0).request(LARGE);
       fleet.run(Duration.ofMillis(10));
     }
     fleet.kill(Duration.ofMillis(10));
-    fleet.setLines(Behaviour.NORMAL);
+    fleet.setBehaviours(Behaviour.NORMAL);
     requestEverywhere(fleet, LARGE, 300);
     assertWithinTotal(fleet);
   }
@@ -396,12 +397,12 @@
   @Test
   void countsDrawnTokensOnceAfterAnOutage() {
     AccountFleet fleet = fleetUnderSteadyLoad();
-    fleet.setLines(Behaviour.UNREACHABLE);
+    fleet.setBehaviours(Behaviour.UNREACHABLE);
     for (int step = 0; step < 700; step++) {
       fleet.instance(0).request(LARGE / 4);
       fleet.run(Duration.ofMillis(10));
     }
-    fleet.setLines(Behaviour.NORMAL);
+    fleet.setBehaviours(Behaviour.NORMAL);
     requestEverywhere(fleet, LARGE, 300);
     assertWithinTotal(fleet);
   }
@@ -414,16 +415,16 @@
   @Test
   void returnsUnusedDrawnTokens() {
     AccountFleet fleet = fleetUnderSteadyLoad();
-    fleet.setLines(Behaviour.UNREACHABLE);
+    fleet.setBehaviours(Behaviour.UNREACHABLE);
     fleet.run(Duration.ofMillis(300));
-    AccountFleet.Instance asked = fleet.instance(0);
-    asked.request(3 * LARGE);
+    AccountFleet.Instance requester = fleet.instance(0);
+    requester.request(3 * LARGE);
     fleet.run(Duration.ofMillis(150));
-    while (!asked.reserved.isEmpty()) {
-      asked.settle(1);
+    while (!requester.reserved.isEmpty()) {
+      requester.settle(1);
     }
-    fleet.setLines(Behaviour.NORMAL);
-    asked.book.close();
+    fleet.setBehaviours(Behaviour.NORMAL);
+    requester.accounts.close();
     fleet.run(Duration.ofSeconds(2));
     AccountFleet.Instance other = fleet.instance(1);
     int before = other.grantedRequests;
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/account/TokenRequestsTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/account/TokenRequestsTests.java
@@ -33,18 +33,19 @@
           .findFirst()
           .orElseThrow();
 
-  private record Asked(String holder, HolderPort.Request ask, Consumer<HolderPort.Answer> answer) {}
+  private record SentRequest(
+      String holder, HolderPort.Request request, Consumer<HolderPort.Answer> answer) {}
 
   private record Returned(String holder, long tokens) {}
 
   private boolean peersHeard = true;
   private final ManualClock clock = new ManualClock();
-  private final List<Asked> asked = new ArrayList<>();
+  private final List<SentRequest> sentRequests = new ArrayList<>();
   private final List<Returned> returned = new ArrayList<>();
   private final List<Reservation> reserved = new ArrayList<>();
   private final List<Problem> refused = new ArrayList<>();
   private final TokenHolders holders = new TokenHolders(REQUESTER, () -> FLEET);
-  private final PrepaidAccounts book =
+  private final PrepaidAccounts accounts =
       new PrepaidAccounts(
           REQUESTER,
           customer -> OptionalLong.of(1_000_000),
@@ -55,13 +56,13 @@
           () -> new ClockReading(0, 0),
           Optional::empty);
   private final TokenRequests requests =
-      new TokenRequests(book, holders, new Port(), () -> peersHeard, event -> {}, clock);
+      new TokenRequests(accounts, holders, new Port(), () -> peersHeard, event -> {}, clock);
   private final ReservationListener listener = new Listener();
 
   @Test
   void asksAHolderForTheTokensOfARequest() {
     request();
-    assertEquals(TOKENS, lastAsked().ask().tokens());
+    assertEquals(TOKENS, lastSentRequest().request().tokens());
     answer(new HolderPort.Answer.Granted());
     assertEquals(List.of(new Reservation(CUSTOMER, TOKENS, TOKENS)), reserved);
   }
@@ -70,12 +71,12 @@
   @Test
   void asksTheNextHolderIfOneIsUnreachable() {
     request();
-    String down = lastAsked().holder();
+    String down = lastSentRequest().holder();
     answer(new HolderPort.Answer.Unreachable("down"));
-    assertNotEquals(down, lastAsked().holder());
+    assertNotEquals(down, lastSentRequest().holder());
     answer(new HolderPort.Answer.Granted());
     request();
-    assertNotEquals(down, lastAsked().holder());
+    assertNotEquals(down, lastSentRequest().holder());
     assertEquals(1, reserved.size());
   }
 
@@ -86,10 +87,10 @@
     for (int i = 0; i < 3; i++) {
       answer(new HolderPort.Answer.Unreachable("down"));
     }
-    assertEquals(3, asked.size());
+    assertEquals(3, sentRequests.size());
     assertEquals(
         1,
-        book.customersWaitingSince(clock.instant()).size(),
+        accounts.customersWaitingSince(clock.instant()).size(),
         "expected the request to wait in this instance's account");
   }
 
@@ -101,12 +102,12 @@
   void asksNoHolderIfNoPeerIsHeard() {
     peersHeard = false;
     requests.tick();
-    assertTrue(book.needsLog(), "expected the log to be read before a request arrives");
+    assertTrue(accounts.needsLog(), "expected the log to be read before a request arrives");
     request();
-    assertEquals(0, asked.size());
+    assertEquals(0, sentRequests.size());
     assertEquals(
         1,
-        book.customersWaitingSince(clock.instant()).size(),
+        accounts.customersWaitingSince(clock.instant()).size(),
         "expected the request to wait in this instance's account");
   }
 
@@ -116,14 +117,14 @@
     request();
     clock.advance(Duration.ofSeconds(4));
     answer(new HolderPort.Answer.Unreachable("down"));
-    assertEquals(1, asked.size());
+    assertEquals(1, sentRequests.size());
   }
 
   @Test
   void asksAnotherHolderIfOneHasTooFewTokens() {
     request();
     answer(new HolderPort.Answer.Refused(noLease()));
-    assertEquals(2, asked.size());
+    assertEquals(2, sentRequests.size());
     assertTrue(refused.isEmpty());
   }
 
@@ -153,20 +154,20 @@
     answer(new HolderPort.Answer.Granted());
     requests.settle(reserved.getFirst(), TOKENS - 2_000);
     request();
-    assertEquals(TOKENS - 2_000, lastAsked().ask().tokens());
+    assertEquals(TOKENS - 2_000, lastSentRequest().request().tokens());
   }
 
   private void request() {
-    Instant leaves = clock.instant().plus(Duration.ofSeconds(3));
-    requests.reserve(CUSTOMER, TOKENS, leaves, leaves, listener);
+    Instant callerTimeout = clock.instant().plus(Duration.ofSeconds(3));
+    requests.reserve(CUSTOMER, TOKENS, callerTimeout, callerTimeout, listener);
   }
 
-  private Asked lastAsked() {
-    return asked.getLast();
+  private SentRequest lastSentRequest() {
+    return sentRequests.getLast();
   }
 
   private void answer(HolderPort.Answer answer) {
-    lastAsked().answer().accept(answer);
+    lastSentRequest().answer().accept(answer);
   }
 
   private static Problem noLease() {
@@ -175,8 +176,8 @@
 
   private final class Port implements HolderPort {
     @Override
-    public void request(String holder, Request ask, Consumer<Answer> answer) {
-      asked.add(new Asked(holder, ask, answer));
+    public void request(String holder, Request request, Consumer<Answer> answer) {
+      sentRequests.add(new SentRequest(holder, request, answer));
     }
 
     @Override
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/fake/FakeDialect.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/fake/FakeDialect.java
@@ -42,14 +42,14 @@
   }
 
   @Override
-  public HttpCallRequest forward(CallerRequest request, ForwardingTerms handover) {
+  public HttpCallRequest forward(CallerRequest request, ForwardingTerms terms) {
     return new HttpCallRequest(
-        handover.address(),
+        terms.address(),
         request.method(),
         request.target(),
         Map.of(),
         request.body(),
-        handover.timeLeft());
+        terms.timeLeft());
   }
 
   @Override
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/fake/FakeSharedLog.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/fake/FakeSharedLog.java
@@ -89,8 +89,8 @@
     }
 
     /** Sets the behaviour of the following calls. */
-    public void behaviour(Behaviour line) {
-      this.behaviour = line;
+    public void behaviour(Behaviour newBehaviour) {
+      this.behaviour = newBehaviour;
     }
 
     /** The number of reads since the count was last reset. */
@@ -141,15 +141,15 @@
     }
 
     private void appendNormally(Supplier<AppendOutcome> append, Consumer<AppendOutcome> outcome) {
-      Runnable take =
+      Runnable apply =
           () -> {
             AppendOutcome done = append.get();
             answers.add(() -> outcome.accept(done));
           };
       if (appendsPerRound == 0) {
-        take.run();
+        apply.run();
       } else if (queuedAppends.size() < MAX_QUEUED_ROUNDS * appendsPerRound) {
-        queuedAppends.add(take);
+        queuedAppends.add(apply);
       } else {
         answers.add(() -> outcome.accept(new AppendOutcome.Unknown("busy")));
       }
@@ -169,8 +169,8 @@
       answers.add(() -> outcome.accept(result));
     }
 
-    private void answerAfter(int further, Runnable answer) {
-      answers.add(further == 0 ? answer : () -> answerAfter(further - 1, answer));
+    private void answerAfter(int remainingRounds, Runnable answer) {
+      answers.add(remainingRounds == 0 ? answer : () -> answerAfter(remainingRounds - 1, answer));
     }
 
     private boolean readable() {
@@ -178,7 +178,7 @@
     }
 
     private static ReadOutcome failed() {
-      return new ReadOutcome.Failed("cut off");
+      return new ReadOutcome.Failed("the log is unreachable");
     }
   }
 
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/GatewayFixture.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/GatewayFixture.java
@@ -36,7 +36,7 @@
 import org.teaseldeal.net.HttpFailure;
 import org.teaseldeal.net.HttpListener;
 
-/** A gateway in virtual time, for which the test plays the backend servers. */
+/** A gateway in virtual time; the test receives and answers its requests to backend servers. */
 final class GatewayFixture {
   static final String SERVICE = "register";
 
@@ -158,7 +158,7 @@
   /** A port without peers, for a single instance that holds every customer itself. */
   private static final class NoPeers implements HolderPort {
     @Override
-    public void request(String holder, Request ask, Consumer<Answer> answer) {
+    public void request(String holder, Request request, Consumer<Answer> answer) {
       throw new AssertionError("unexpected request to holder " + holder);
     }
 
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/IsolatedTasksTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/flow/IsolatedTasksTests.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 class IsolatedTasksTests {
-  private final IsolatedTasks steps = new IsolatedTasks();
+  private final IsolatedTasks tasks = new IsolatedTasks();
   private final List<String> ran = new ArrayList<>();
 
   /**
@@ -17,17 +17,17 @@
   @Test
   void runsEachTaskEvenIfAnEarlierOneThrows() {
     for (int round = 0; round < 2; round++) {
-      steps.run("broken", () -> fail(new IllegalStateException("expected by the test")));
-      steps.run("worse", () -> fail(new AssertionError("expected by the test")));
-      steps.run("deadlines", () -> ran.add("deadlines"));
+      tasks.run("broken", () -> fail(new IllegalStateException("expected by the test")));
+      tasks.run("worse", () -> fail(new AssertionError("expected by the test")));
+      tasks.run("deadlines", () -> ran.add("deadlines"));
     }
     assertEquals(List.of("deadlines", "deadlines"), ran);
   }
 
   @Test
   void runsAFailedTaskAgain() {
-    steps.run("step", () -> fail(new IllegalStateException("expected by the test")));
-    steps.run("step", () -> ran.add("step"));
+    tasks.run("step", () -> fail(new IllegalStateException("expected by the test")));
+    tasks.run("step", () -> ran.add("step"));
     assertEquals(List.of("step"), ran);
   }
 
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/peer/HolderCallsTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/peer/HolderCallsTests.java
@@ -50,20 +50,20 @@
       new FleetLog(log, HOLDER, 1, clock, Duration.ofMillis(300), List.of(accounts));
   private final List<FakeExchange> exchanges = new ArrayList<>();
   private final List<CompletableFuture<HttpAnswer>> calls = new ArrayList<>();
-  private final HolderCalls holder = calls();
-  private final HolderCalls requester = calls();
+  private final HolderCalls holder = newHolderCalls();
+  private final HolderCalls requester = newHolderCalls();
   private final List<HolderPort.Answer> answers = new ArrayList<>();
 
   @Test
   void grantsARequestOnceItsTokensAreAvailable() {
-    ask(CUSTOMER, 50_000);
+    requestTokens(CUSTOMER, 50_000);
     run(Duration.ofSeconds(1));
     assertEquals(List.of(new HolderPort.Answer.Granted()), answers);
   }
 
   @Test
   void refusesARequestThatExceedsTheTotalWithTheReason() {
-    ask(CUSTOMER, TOTAL + 1);
+    requestTokens(CUSTOMER, TOTAL + 1);
     run(Duration.ofSeconds(2));
     HolderPort.Answer.Refused refused =
         assertInstanceOf(HolderPort.Answer.Refused.class, answers.getFirst());
@@ -72,10 +72,10 @@
 
   @Test
   void grantsReturnedTokensAgain() {
-    ask(CUSTOMER, TOTAL);
+    requestTokens(CUSTOMER, TOTAL);
     run(Duration.ofSeconds(1));
     requester.returnTokens(HOLDER, CUSTOMER, TOTAL);
-    ask(CUSTOMER, TOTAL);
+    requestTokens(CUSTOMER, TOTAL);
     run(Duration.ofSeconds(1));
     HolderPort.Answer granted = new HolderPort.Answer.Granted();
     assertEquals(List.of(granted, granted), answers);
@@ -88,7 +88,7 @@
   @Test
   void isUnreachableAsAHolderWhileTheInstanceStops() {
     accounts.close();
-    ask(CUSTOMER, 10);
+    requestTokens(CUSTOMER, 10);
     run(Duration.ofSeconds(1));
     assertInstanceOf(HolderPort.Answer.Unreachable.class, answers.getFirst());
   }
@@ -99,16 +99,16 @@
    */
   @Test
   void isUnreachableAsAHolderOfAnUnknownCustomer() {
-    ask("stranger", 10);
+    requestTokens("stranger", 10);
     run(Duration.ofSeconds(1));
     assertInstanceOf(HolderPort.Answer.Unreachable.class, answers.getFirst());
   }
 
   @Test
   void treatsAHolderWithoutADecodableAnswerAsUnreachable() {
-    ask(CUSTOMER, 10);
-    ask(CUSTOMER, 10);
-    ask(CUSTOMER, 10);
+    requestTokens(CUSTOMER, 10);
+    requestTokens(CUSTOMER, 10);
+    requestTokens(CUSTOMER, 10);
     calls.get(0).completeExceptionally(new CompletionException("connection refused", null));
     calls.get(1).complete(new HttpAnswer(404, Map.of(), new byte[0]));
     calls.get(2).complete(new HttpAnswer(200, Map.of(), new byte[] {9}));
@@ -126,7 +126,7 @@
     assertEquals(400, garbageReturn.status());
   }
 
-  private HolderCalls calls() {
+  private HolderCalls newHolderCalls() {
     return new HolderCalls(name -> Optional.of("10.0.0.1:7000"), this::call, accounts, clock);
   }
 
@@ -144,7 +144,7 @@
     return call;
   }
 
-  private void ask(String customer, long tokens) {
+  private void requestTokens(String customer, long tokens) {
     requester.request(
         HOLDER, new HolderPort.Request(customer, tokens, MAX_WAIT, DEADLINE), answers::add);
   }
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/server/ServerDirectoryTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/server/ServerDirectoryTests.java
@@ -70,7 +70,7 @@
    */
   @Test
   void replacesAnIncarnationByALaterOne() {
-    directory.put(started("c", FIRST_START, false));
+    directory.put(listingWithStart("c", FIRST_START, false));
     BackendServer crashed = find("c");
     List<BackendServer> replaced = new ArrayList<>();
     directory.onReplaced(replaced::add);
@@ -103,8 +103,8 @@
   /** A draining server ends and restarts under its id. It can be chosen at once. */
   @Test
   void listsAServerThatLeftAndRestarted() {
-    directory.put(started("c", FIRST_START, true));
-    directory.put(started("c", SECOND_START, false));
+    directory.put(listingWithStart("c", FIRST_START, true));
+    directory.put(listingWithStart("c", SECOND_START, false));
     assertEquals(List.of("a", "b", "c"), ready("models"));
   }
 
@@ -114,18 +114,18 @@
    */
   @Test
   void ignoresListingsOfAnEarlierIncarnation() {
-    directory.put(started("c", SECOND_START, false));
+    directory.put(listingWithStart("c", SECOND_START, false));
     BackendServer current = find("c");
-    directory.put(started("c", FIRST_START, false));
-    directory.put(started("c", FIRST_START, true));
+    directory.put(listingWithStart("c", FIRST_START, false));
+    directory.put(listingWithStart("c", FIRST_START, true));
     assertSame(current, find("c"));
     assertTrue(current.isListedAsReady(), "a listing of an earlier incarnation made it leave");
   }
 
   @Test
   void keepsALeavingIncarnationFromBecomingReadyAgain() {
-    directory.put(started("c", FIRST_START, true));
-    directory.put(started("c", FIRST_START, false));
+    directory.put(listingWithStart("c", FIRST_START, true));
+    directory.put(listingWithStart("c", FIRST_START, false));
     assertEquals(List.of("a", "b"), ready("models"));
   }
 
@@ -134,19 +134,19 @@
    */
   @Test
   void ignoresADelayedListingOfAServerThatLeft() {
-    directory.put(started("c", FIRST_START, true));
+    directory.put(listingWithStart("c", FIRST_START, true));
     directory.remove(new BackendServerId("c"));
-    directory.put(started("c", FIRST_START, false));
+    directory.put(listingWithStart("c", FIRST_START, false));
     assertEquals(List.of("a", "b"), ready("models"));
-    directory.put(started("c", SECOND_START, false));
+    directory.put(listingWithStart("c", SECOND_START, false));
     assertEquals(List.of("a", "b", "c"), ready("models"));
   }
 
   @Test
   void ignoresAnEarlierIncarnationOfARemovedServer() {
-    directory.put(started("c", SECOND_START, false));
+    directory.put(listingWithStart("c", SECOND_START, false));
     directory.remove(new BackendServerId("c"));
-    directory.put(started("c", FIRST_START, false));
+    directory.put(listingWithStart("c", FIRST_START, false));
     assertEquals(List.of("a", "b"), ready("models"));
   }
 
@@ -154,13 +154,13 @@
   @Test
   void acceptsAnEarlierStartTimeAfterTheRetentionTime() {
     directory.tick(LIST_BACK_AT);
-    directory.put(started("c", SECOND_START, false));
+    directory.put(listingWithStart("c", SECOND_START, false));
     directory.remove(new BackendServerId("c"));
     directory.tick(LIST_BACK_AT.plus(Duration.ofMinutes(1)));
-    directory.put(started("c", FIRST_START, false));
+    directory.put(listingWithStart("c", FIRST_START, false));
     assertEquals(List.of("a", "b"), ready("models"));
     directory.tick(LIST_BACK_AT.plus(Duration.ofMinutes(2)));
-    directory.put(started("c", FIRST_START, false));
+    directory.put(listingWithStart("c", FIRST_START, false));
     assertEquals(List.of("a", "b", "c"), ready("models"));
   }
 
@@ -170,9 +170,9 @@
    */
   @Test
   void listsAServerAgainAfterItsListingHadExpired() {
-    directory.put(started("c", FIRST_START, false));
+    directory.put(listingWithStart("c", FIRST_START, false));
     directory.remove(new BackendServerId("c"));
-    directory.put(started("c", FIRST_START, false));
+    directory.put(listingWithStart("c", FIRST_START, false));
     assertEquals(List.of("a", "b", "c"), ready("models"));
   }
 
@@ -182,7 +182,7 @@
    */
   @Test
   void ignoresAListingWithoutAStartTimeAfterOneWithAStartTime() {
-    directory.put(started("c", FIRST_START, false));
+    directory.put(listingWithStart("c", FIRST_START, false));
     BackendServer current = find("c");
     directory.put(listing("c", true));
     assertSame(current, find("c"));
@@ -199,7 +199,7 @@
   @Test
   void replacesAServerWithoutAStartTimeByOneWithAStartTime() {
     directory.put(listing("a", true));
-    directory.put(started("a", FIRST_START, false));
+    directory.put(listingWithStart("a", FIRST_START, false));
     assertEquals(2, directory.ready("models").size());
   }
 
@@ -210,10 +210,10 @@
    */
   @Test
   void ignoresServersWithoutAStartTimeOnceMostHaveOne() {
-    directory.put(started("c", FIRST_START, false));
+    directory.put(listingWithStart("c", FIRST_START, false));
     directory.tick(LIST_BACK_AT);
     assertEquals(List.of("a", "b", "c"), ready("models"));
-    directory.put(started("d", FIRST_START, false));
+    directory.put(listingWithStart("d", FIRST_START, false));
     directory.tick(LIST_BACK_AT);
     assertEquals(List.of("c", "d"), ready("models"));
     directory.retain(Set.of());
@@ -225,7 +225,7 @@
   /** A single listing with a start time must not remove a fleet whose servers publish none. */
   @Test
   void keepsAFleetWithoutStartTimes() {
-    directory.put(started("c", FIRST_START, false));
+    directory.put(listingWithStart("c", FIRST_START, false));
     directory.remove(new BackendServerId("c"));
     directory.tick(LIST_BACK_AT);
     directory.put(listing("d", false));
@@ -243,7 +243,7 @@
     return directory.ready(service).stream().map(server -> server.id().name()).sorted().toList();
   }
 
-  private static ServerListing started(String id, Instant start, boolean leaving) {
+  private static ServerListing listingWithStart(String id, Instant start, boolean leaving) {
     return new ServerListing(
         new BackendServerId(id),
         "models",
