--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/AdmissionQueue.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/AdmissionQueue.java
@@ -24,8 +24,8 @@
  * their weights. Turns are counted in work instead of requests, so that a customer with long
  * requests does not get more capacity than one with short requests.
  *
- * <p>The turns follow start-time fair queueing: a customer that was idle starts level with the
- * others, with neither credit nor debt.
+ * <p>The turns follow start-time fair queueing: a customer that was idle starts like the others,
+ * with neither credit nor debt.
  *
  * @param <T> type of the queued items
  */
@@ -109,7 +109,7 @@
     private int timesPassedOver;
   }
 
-  private final TreeMap<Integer, PriorityClass<T>> levels = new TreeMap<>();
+  private final TreeMap<Integer, PriorityClass<T>> priorityClasses = new TreeMap<>();
   private final Map<T, Node<T>> nodes = new HashMap<>();
   private final PriorityQueue<Node<T>> byDeadline =
       new PriorityQueue<>(Comparator.comparing((Node<T> node) -> node.entry.deadline()));
@@ -153,18 +153,18 @@
 
   /** Removes and returns the request whose turn it is. */
   public Optional<Entry<T>> poll() {
-    PriorityClass<T> level = nextClass();
-    if (level == null) {
+    PriorityClass<T> priorityClass = nextClass();
+    if (priorityClass == null) {
       return Optional.empty();
     }
     Lane<T> lane =
-        level.lanes.values().stream()
+        priorityClass.lanes.values().stream()
             .filter(candidate -> candidate.size > 0)
-            .min(Comparator.comparingDouble(candidate -> startTag(level, candidate)))
+            .min(Comparator.comparingDouble(candidate -> startTag(priorityClass, candidate)))
             .orElseThrow();
     Node<T> node = removeFirstQueued(lane);
-    level.virtualTime = startTag(level, lane);
-    lane.finishTag = level.virtualTime + node.entry.cost() / node.entry.weight();
+    priorityClass.virtualTime = startTag(priorityClass, lane);
+    lane.finishTag = priorityClass.virtualTime + node.entry.cost() / node.entry.weight();
     unlink(node);
     return Optional.of(node.entry);
   }
@@ -209,29 +209,33 @@
    */
   private Duration expectedWait(Entry<T> request, double drainPerSecond) {
     int aheadByRank =
-        levels.headMap(request.rank()).values().stream().mapToInt(level -> level.size).sum();
-    PriorityClass<T> level = levels.get(request.rank());
-    double ahead = aheadByRank + (level == null ? 0 : aheadInClass(level, request));
+        priorityClasses.headMap(request.rank()).values().stream()
+            .mapToInt(priorityClass -> priorityClass.size)
+            .sum();
+    PriorityClass<T> priorityClass = priorityClasses.get(request.rank());
+    double ahead = aheadByRank + (priorityClass == null ? 0 : aheadInClass(priorityClass, request));
     double rate = Math.max(drainPerSecond, 0.1);
     return Duration.ofMillis((long) (1000 * ahead / rate));
   }
 
-  private double aheadInClass(PriorityClass<T> level, Entry<T> request) {
-    Lane<T> own = level.lanes.get(request.customer());
+  private double aheadInClass(PriorityClass<T> priorityClass, Entry<T> request) {
+    Lane<T> own = priorityClass.lanes.get(request.customer());
     int ownSize = own == null ? 0 : own.size;
     double otherWeights =
-        level.lanes.entrySet().stream()
+        priorityClass.lanes.entrySet().stream()
             .filter(entry -> entry.getValue().size > 0)
             .filter(entry -> !entry.getKey().equals(request.customer()))
             .mapToDouble(entry -> entry.getValue().weight)
             .sum();
     double atOwnShare = (ownSize + 1) * (otherWeights + request.weight()) / request.weight() - 1;
-    return Math.min(level.size, atOwnShare);
+    return Math.min(priorityClass.size, atOwnShare);
   }
 
   private void add(Entry<T> request) {
-    PriorityClass<T> level = levels.computeIfAbsent(request.rank(), rank -> new PriorityClass<>());
-    Lane<T> lane = level.lanes.computeIfAbsent(request.customer(), customer -> new Lane<>());
+    PriorityClass<T> priorityClass =
+        priorityClasses.computeIfAbsent(request.rank(), rank -> new PriorityClass<>());
+    Lane<T> lane =
+        priorityClass.lanes.computeIfAbsent(request.customer(), customer -> new Lane<>());
     Node<T> node = new Node<>(request);
     Preconditions.require(
         nodes.put(request.item(), node) == null,
@@ -239,20 +243,20 @@
     lane.weight = request.weight();
     lane.nodes.addLast(node);
     lane.size++;
-    level.size++;
+    priorityClass.size++;
     byDeadline.add(node);
   }
 
   private @Nullable PriorityClass<T> nextClass() {
     PriorityClass<T> chosen = null;
-    for (PriorityClass<T> level : levels.values()) {
-      if (level.size == 0) {
+    for (PriorityClass<T> priorityClass : priorityClasses.values()) {
+      if (priorityClass.size == 0) {
         continue;
       }
       if (chosen == null) {
-        chosen = level;
-      } else if (++level.timesPassedOver >= STARTS_PER_LOWER_CLASS_START - 1) {
-        chosen = level;
+        chosen = priorityClass;
+      } else if (++priorityClass.timesPassedOver >= STARTS_PER_LOWER_CLASS_START - 1) {
+        chosen = priorityClass;
         break;
       }
     }
@@ -262,8 +266,8 @@
     return chosen;
   }
 
-  private static <T> double startTag(PriorityClass<T> level, Lane<T> lane) {
-    return Math.max(level.virtualTime, lane.finishTag);
+  private static <T> double startTag(PriorityClass<T> priorityClass, Lane<T> lane) {
+    return Math.max(priorityClass.virtualTime, lane.finishTag);
   }
 
   private static <T> Node<T> removeFirstQueued(Lane<T> lane) {
@@ -277,16 +281,16 @@
   private void unlink(Node<T> node) {
     node.removed = true;
     nodes.remove(node.entry.item());
-    PriorityClass<T> level = levels.get(node.entry.rank());
-    Lane<T> lane = level == null ? null : level.lanes.get(node.entry.customer());
-    if (level == null || lane == null) {
+    PriorityClass<T> priorityClass = priorityClasses.get(node.entry.rank());
+    Lane<T> lane = priorityClass == null ? null : priorityClass.lanes.get(node.entry.customer());
+    if (priorityClass == null || lane == null) {
       return;
     }
-    level.size--;
+    priorityClass.size--;
     lane.size--;
     if (lane.size == 0) {
       lane.nodes.clear();
-      dropIfIdle(level, node.entry.customer(), lane);
+      dropIfIdle(priorityClass, node.entry.customer(), lane);
     }
   }
 
@@ -294,9 +298,10 @@
    * Drops an empty lane without debt, which is equivalent to no lane; keeping it would make the
    * memory use grow with the number of customers.
    */
-  private static <T> void dropIfIdle(PriorityClass<T> level, CustomerId customer, Lane<T> lane) {
-    if (lane.finishTag <= level.virtualTime) {
-      level.lanes.remove(customer);
+  private static <T> void dropIfIdle(
+      PriorityClass<T> priorityClass, CustomerId customer, Lane<T> lane) {
+    if (lane.finishTag <= priorityClass.virtualTime) {
+      priorityClass.lanes.remove(customer);
     }
   }
 }
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/StoppingInstance.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/StoppingInstance.java
@@ -42,8 +42,8 @@
       read = BEGAN.plusMillis(random.nextLong(grace.toMillis()));
       Duration body = Duration.ofMillis(random.nextInt(10) == 0 ? random.nextInt(3_000) : 0);
       deadline = read.minus(body).plusMillis(100 + random.nextInt(15_000));
-      boolean never = random.nextInt(12) == 0;
-      tokenWait = never ? Duration.ofDays(1) : Duration.ofMillis(random.nextInt(400));
+      boolean neverGetsTokens = random.nextInt(12) == 0;
+      tokenWait = neverGetsTokens ? Duration.ofDays(1) : Duration.ofMillis(random.nextInt(400));
       runTime = Duration.ofMillis(20 + random.nextInt(random.nextBoolean() ? 500 : 6_000));
       flushTime = Duration.ofMillis(random.nextInt(30));
     }
@@ -131,12 +131,12 @@
   }
 
   private void acceptRequests() {
-    while (!arriving.isEmpty() && !arriving.getFirst().read.isAfter(now) && reads()) {
+    while (!arriving.isEmpty() && !arriving.getFirst().read.isAfter(now) && readsRequests()) {
       arrive(arriving.removeFirst());
     }
   }
 
-  private boolean reads() {
+  private boolean readsRequests() {
     return phase.compareTo(Phase.FLUSHING) < 0;
   }
 
