--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/CustomerAccount.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/CustomerAccount.java
@@ -51,7 +51,7 @@
    * request arrived, no note would be written, and other instances would refuse requests as unpaid
    * although the total covers them.
    */
-  private static final Duration MAX_SETTLED_NOTE_AGE = Duration.ofSeconds(1);
+  private static final Duration MAX_OUTDATED_USAGE_AGE = Duration.ofSeconds(1);
 
   /**
    * The share of the total that this instance is to hold.
@@ -535,7 +535,7 @@
             && now.isAfter(pending.composedAt().plus(MAX_UNUSED_NOTE_AGE));
     return old
         || unrefreshed
-        || (usageChanged && now.isAfter(pending.composedAt().plus(MAX_SETTLED_NOTE_AGE)));
+        || (usageChanged && now.isAfter(pending.composedAt().plus(MAX_OUTDATED_USAGE_AGE)));
   }
 
   private long inUse() {
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/RefusalPolicy.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/RefusalPolicy.java
@@ -72,8 +72,8 @@
   /** Returns whether peers may still give the missing tokens; see {@link TokenDraws}. */
   private static boolean peersMayGive(
       CustomerAccount account, WaitingRequest request, Instant now) {
-    boolean asked = !now.isBefore(request.waitingSince().plus(DrawOrder.MAX_ROUND_TIME));
-    return !asked && account.coveredWithPeers(request.tokens());
+    boolean peersAsked = !now.isBefore(request.waitingSince().plus(DrawOrder.MAX_ROUND_TIME));
+    return !peersAsked && account.coveredWithPeers(request.tokens());
   }
 
   private Optional<Problem> refusalInOutage(
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/Attempt.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/Attempt.java
@@ -20,7 +20,7 @@
   private final BackendServer server;
 
   /** The number of prompt tokens that no server can have in its cache. */
-  private final long promptTokens;
+  private final long unsharedTokens;
 
   /** The number of prompt tokens that the server presumably has to read. */
   private final long uncachedTokens;
@@ -49,7 +49,7 @@
     this.server = server;
     this.uncachedTokens = uncachedTokens;
     this.streamed = streamed;
-    this.promptTokens = flow.request().prompt().map(PromptDescription::unsharedTokens).orElse(0L);
+    this.unsharedTokens = flow.request().prompt().map(PromptDescription::unsharedTokens).orElse(0L);
     this.startedAt = components.clock().instant();
     this.lastReceivedAt = startedAt;
   }
@@ -71,7 +71,7 @@
    * Whether the server may have read the prompt: it answered, or enough time has passed to read it.
    */
   boolean mayHaveReadPrompt() {
-    return verdict == AnswerVerdict.GENUINE || PrefillTime.mayBeComplete(promptTokens, age());
+    return verdict == AnswerVerdict.GENUINE || PrefillTime.mayBeComplete(unsharedTokens, age());
   }
 
   Duration age() {
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/server/DepartedServers.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/server/DepartedServers.java
@@ -15,8 +15,8 @@
  */
 final class DepartedServers {
   /**
-   * The size of some tens of fleets: a listing isn't delayed for so many departures. An entry takes
-   * about 200 bytes.
+   * As many servers as some tens of fleets have; fewer depart while a listing is delayed. An entry
+   * takes about 200 bytes.
    */
   private static final int MAX_ENTRIES = 4_096;
 
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/log/NoteCodecTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/log/NoteCodecTests.java
@@ -96,7 +96,8 @@
 
   /**
    * Guards against disturbances by foreign writers. An invalid address would make every message to
-   * all other instances fail; a negative count would release a request that crashes servers.
+   * all other instances fail; a negative count would lift the quarantine of a request that crashes
+   * servers.
    */
   @Test
   void rejectsInvalidNumbersAndAddresses() {
