--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/BenchFiles.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/BenchFiles.java
@@ -15,7 +15,7 @@
 import org.teaseldeal.cli.ExitStatus;
 import org.teaseldeal.settings.SettingsParser.Parsed;
 
-/** Reads and writes the bench's files; what is wrong with one ends the command. */
+/** Reads and writes the bench's files. A file that is missing or invalid ends the command. */
 final class BenchFiles {
   private static final ObjectMapper JSON =
       new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
@@ -39,7 +39,7 @@
       return JSON.readValue(text(file), LoadResult.class);
     } catch (IOException e) {
       throw new CommandException(
-          ExitStatus.WRONG_FILE, "%s is no load result: %s".formatted(file, e.getMessage()));
+          ExitStatus.WRONG_FILE, "%s is not a load result: %s".formatted(file, e.getMessage()));
     }
   }
 
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/CommandArguments.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/CommandArguments.java
@@ -4,11 +4,11 @@
 import org.teaseldeal.cli.CommandException;
 import org.teaseldeal.cli.ExitStatus;
 
-/** Checks of options that more than one command has. */
+/** Validation of options that several commands share. */
 final class CommandArguments {
   private CommandArguments() {}
 
-  static <T> T given(@Nullable T value, String option) throws CommandException {
+  static <T> T required(@Nullable T value, String option) throws CommandException {
     if (value == null) {
       throw new CommandException(ExitStatus.WRONG_COMMAND_LINE, option + " is missing");
     }
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/CostCommand.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/CostCommand.java
@@ -22,14 +22,14 @@
   @Parameter(names = "--fleet", description = "Folder of settings; needs team auction")
   private Path fleet = Path.of("examples/association");
 
-  @Parameter(names = "--calls", description = "Calls of each way")
+  @Parameter(names = "--calls", description = "Calls measured directly and by a router")
   private int calls = 600;
 
   @ParametersDelegate private final FleetOptions options = new FleetOptions();
 
   @Override
   protected ExitStatus run(PrintStream console, PrintStream err) throws CommandException {
-    console.printf("Starting %s ...%n", options.text());
+    console.printf("Starting %s ...%n", options.description());
     try (HttpClient client = new HttpClient(HttpClientConfig.defaults());
         LoadFleet own = options.start(fleet, client)) {
       CostRun run =
@@ -52,7 +52,7 @@
     }
   }
 
-  private static void printAdded(CostRun.Added added, PrintStream console) {
+  private static void printAdded(CostRun.AddedLatency added, PrintStream console) {
     printWays("first token", added.direct().toFirst(), added.routed().toFirst(), console);
     printWays("whole answer", added.direct().toEnd(), added.routed().toEnd(), console);
     console.printf("calls without a whole answer: %d%n", added.failed());
@@ -75,14 +75,14 @@
         routed.p99() / direct.p99());
   }
 
-  private static void printRate(String name, CostRun.Rate rate, PrintStream console) {
+  private static void printRate(String name, CostRun.Throughput rate, PrintStream console) {
     console.printf(
         Locale.ROOT,
         "%-14s %d answers (%d not in time), %d tokens in %.1f s; the router used %.2f s of a core:"
             + " %.0f requests and %.0f tokens a second per core%n",
         name,
         rate.answers(),
-        rate.others(),
+        rate.notInTime(),
         rate.frames(),
         rate.seconds(),
         rate.processorSeconds(),
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/FaultTimer.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/FaultScheduler.java
@@ -7,31 +7,32 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import org.teaseldeal.bench.demo.LoadFleet;
-import org.teaseldeal.bench.scenario.FaultStep;
+import org.teaseldeal.bench.scenario.FaultChange;
 
-/** Carries out a scenario's changes of faults at their times; closing drops those still to come. */
-final class FaultTimer implements AutoCloseable {
-  private final ScheduledExecutorService timer =
+/** Applies a scenario's fault changes at their times. Closing it cancels the remaining changes. */
+final class FaultScheduler implements AutoCloseable {
+  private final ScheduledExecutorService executor =
       Executors.newSingleThreadScheduledExecutor(Thread.ofPlatform().daemon().factory());
   private final List<String> failures = new CopyOnWriteArrayList<>();
 
-  FaultTimer(LoadFleet fleet, List<FaultStep> steps) {
+  FaultScheduler(LoadFleet fleet, List<FaultChange> steps) {
     steps.forEach(
         step ->
-            timer.schedule(() -> change(fleet, step), step.at().toMillis(), TimeUnit.MILLISECONDS));
+            executor.schedule(
+                () -> change(fleet, step), step.at().toMillis(), TimeUnit.MILLISECONDS));
   }
 
-  /** Changes that could not be made; the load then was another one than the scenario's. */
+  /** Returns the changes that failed. If there are any, the load did not follow the scenario. */
   List<String> failures() {
     return failures;
   }
 
   @Override
   public void close() {
-    timer.shutdownNow();
+    executor.shutdownNow();
   }
 
-  private void change(LoadFleet fleet, FaultStep step) {
+  private void change(LoadFleet fleet, FaultChange step) {
     try {
       fleet.change(step);
     } catch (IOException | IllegalArgumentException e) {
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/FleetOptions.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/FleetOptions.java
@@ -9,7 +9,7 @@
 import org.teaseldeal.cli.ExitStatus;
 import org.teaseldeal.net.HttpClient;
 
-/** Options of the commands that start a fleet. */
+/** The options of commands that start a fleet. */
 final class FleetOptions {
   @Parameter(names = "--launchers", description = "Folder of the programs' launchers")
   private Path launchers = Path.of("bin");
@@ -23,10 +23,10 @@
   @Parameter(names = "--services", description = "Plain servers of the fleet: 4, at Aarhus 3")
   private int services = 4;
 
-  @Parameter(names = "--places", description = "Requests that an engine runs at once")
-  private int places = 4;
+  @Parameter(names = "--places", description = "Requests that an engine runs concurrently")
+  private int concurrencyPerEngine = 4;
 
-  @Parameter(names = "--iteration-micros", description = "Time of an engine for a token of each")
+  @Parameter(names = "--iteration-micros", description = "Microseconds per engine iteration")
   private int iterationMicros = 20_000;
 
   @Parameter(names = "--placement", description = "two-choices, least-outstanding, round-robin")
@@ -43,7 +43,7 @@
             routers,
             engines,
             services,
-            places,
+            concurrencyPerEngine,
             iterationMicros,
             "[decisions]\nplacement = \"%s\"\nqueue = \"%s\"\n".formatted(placement, queue));
     try {
@@ -53,9 +53,9 @@
     }
   }
 
-  /** What one line of a result has to say about the fleet. */
-  String text() {
-    return "%d routers (%s, %s), %d engines with %d places"
-        .formatted(routers, placement, queue, engines, places);
+  /** Returns a one-line description of the fleet. */
+  String description() {
+    return "%d routers (%s, %s), %d engines with %d concurrent requests each"
+        .formatted(routers, placement, queue, engines, concurrencyPerEngine);
   }
 }
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/LoadCommand.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/LoadCommand.java
@@ -20,7 +20,7 @@
 import org.teaseldeal.net.HttpClient;
 import org.teaseldeal.net.HttpClientConfig;
 
-@Parameters(commandDescription = "Play a scenario against entry instances on loopback")
+@Parameters(commandDescription = "Run a scenario against entry instances on loopback")
 final class LoadCommand extends Command {
   private static final String LOOPBACK = "127.";
 
@@ -34,12 +34,13 @@
 
   @Parameter(
       names = "--fleet",
-      description = "Folder of settings, such as examples/association: start a fleet of its own")
+      description =
+          "Folder of settings, such as examples/association: start a fleet with these settings")
   private @Nullable Path fleet;
 
   @ParametersDelegate private final FleetOptions options = new FleetOptions();
 
-  @Parameter(names = "--label", description = "What this run is called in a report")
+  @Parameter(names = "--label", description = "Label of this run in a report")
   private String label = "run";
 
   @Parameter(names = "--out", description = "File for the result as JSON")
@@ -49,8 +50,8 @@
   protected ExitStatus run(PrintStream console, PrintStream err) throws CommandException {
     requireEitherTargetOrFleet();
     requireLoopback();
-    Scenario loaded = BenchFiles.scenario(CommandArguments.given(scenario, "--scenario"));
-    LoadResult result = play(loaded, console);
+    Scenario loaded = BenchFiles.scenario(CommandArguments.required(scenario, "--scenario"));
+    LoadResult result = run(loaded, console);
     printSummary(result, console);
     if (out != null) {
       BenchFiles.write(out, result);
@@ -76,19 +77,19 @@
     }
   }
 
-  private LoadResult play(Scenario loaded, PrintStream console) throws CommandException {
+  private LoadResult run(Scenario loaded, PrintStream console) throws CommandException {
     String run = Long.toString(System.currentTimeMillis(), Character.MAX_RADIX);
     try (HttpClient client = new HttpClient(HttpClientConfig.defaults())) {
       return fleet == null
-          ? playOn(targets, loaded, run, client, console)
-          : playOnOwn(fleet, loaded, run, client, console);
+          ? runOn(targets, loaded, run, client, console)
+          : runOnOwnFleet(fleet, loaded, run, client, console);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       throw new CommandException(ExitStatus.REFUSED, "interrupted");
     }
   }
 
-  private LoadResult playOn(
+  private LoadResult runOn(
       List<String> addresses, Scenario loaded, String run, HttpClient client, PrintStream console)
       throws CommandException, InterruptedException {
     if (!loaded.faults().isEmpty() && fleet == null) {
@@ -98,13 +99,13 @@
     return new LoadRunner(client, addresses).run(loaded, run, label, console::println);
   }
 
-  private LoadResult playOnOwn(
+  private LoadResult runOnOwnFleet(
       Path settings, Scenario loaded, String run, HttpClient client, PrintStream console)
       throws CommandException, InterruptedException {
-    console.printf("Starting %s ...%n", options.text());
+    console.printf("Starting %s ...%n", options.description());
     try (LoadFleet own = options.start(settings, client);
-        FaultTimer faults = new FaultTimer(own, loaded.faults())) {
-      LoadResult result = playOn(own.callerAddresses(), loaded, run, client, console);
+        FaultScheduler faults = new FaultScheduler(own, loaded.faults())) {
+      LoadResult result = runOn(own.callerAddresses(), loaded, run, client, console);
       if (!faults.failures().isEmpty()) {
         throw new CommandException(
             ExitStatus.UNREACHABLE, "faults were not set: " + faults.failures());
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/ReportCommand.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/ReportCommand.java
@@ -13,7 +13,7 @@
 import org.teaseldeal.cli.CommandException;
 import org.teaseldeal.cli.ExitStatus;
 
-@Parameters(commandDescription = "Draw one HTML page of one result, or of several side by side")
+@Parameters(commandDescription = "Render an HTML page of one result or of several side by side")
 final class ReportCommand extends Command {
   @Parameter(description = "RESULT.json ...", required = true)
   private List<Path> results = new ArrayList<>();
@@ -27,7 +27,7 @@
     for (Path result : results) {
       loaded.add(BenchFiles.result(result));
     }
-    Path page = CommandArguments.given(out, "--out");
+    Path page = CommandArguments.required(out, "--out");
     BenchFiles.write(page, HtmlReport.of(loaded));
     console.println("wrote " + page);
     return ExitStatus.OK;
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/cost/TimedAnswer.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/cost/AnswerTimer.java
@@ -6,11 +6,11 @@
 import org.teaseldeal.net.HttpFailure;
 import org.teaseldeal.net.HttpListener;
 
-/** Notes when the first part and the end of one answer came. */
-final class TimedAnswer implements HttpListener {
+/** Records the arrival times of the first part and the end of an answer. */
+final class AnswerTimer implements HttpListener {
   private static final String DONE = "[DONE]";
 
-  /** Times in microseconds since the request was sent. */
+  /** The times in microseconds since the request was sent, and whether the answer was complete. */
   record Times(long toFirst, long toEnd, boolean whole) {}
 
   final CompletableFuture<Times> times = new CompletableFuture<>();
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/cost/CostRun.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/cost/CostRun.java
@@ -22,7 +22,7 @@
 import org.teaseldeal.net.HttpCallRequest;
 import org.teaseldeal.net.HttpClient;
 
-/** Measures one router before an engine, and the engine without it, in one run. */
+/** Measures calls of an engine through a router and directly, in one run. */
 public final class CostRun {
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final String CUSTOMER = "mill-buyers";
@@ -47,36 +47,45 @@
     this.routerPid = routerPid;
   }
 
-  /** Times of answers either way, and how many calls of both had no whole one. */
-  public record Added(Way direct, Way routed, long failed) {}
+  /**
+   * The latencies of direct and routed calls, and the number of calls without a complete answer.
+   */
+  public record AddedLatency(PathLatencies direct, PathLatencies routed, long failed) {}
 
-  /** Times to the first part and to the end. */
-  public record Way(Percentiles toFirst, Percentiles toEnd) {}
+  /** The times to the first part and to the end of an answer, for one of the two paths. */
+  public record PathLatencies(Percentiles toFirst, Percentiles toEnd) {}
 
-  private static final class Gathered {
+  private static final class Aggregate {
     private final Histogram toFirst = new Histogram(3);
     private final Histogram toEnd = new Histogram(3);
 
-    Way way() {
-      return new Way(Percentiles.of(toFirst), Percentiles.of(toEnd));
+    PathLatencies latencies() {
+      return new PathLatencies(Percentiles.of(toFirst), Percentiles.of(toEnd));
     }
   }
 
-  /** What the router carried and the processor time that it took for it. */
-  public record Rate(
-      long answers, long others, long frames, double seconds, double processorSeconds) {}
-
-  /** Calls both ways in turn, one at a time, so that both meet the same machine. */
-  public Added added(int each) throws InterruptedException {
-    alternate(WARM_UP_CALLS, new Gathered(), new Gathered());
-    Gathered direct = new Gathered();
-    Gathered routed = new Gathered();
+  /**
+   * The load that a router served, and the processor time that it used.
+   *
+   * @param answers the number of complete answers in time
+   * @param notInTime the number of other requests
+   */
+  public record Throughput(
+      long answers, long notInTime, long frames, double seconds, double processorSeconds) {}
+
+  /**
+   * Alternates direct and routed calls, one at a time, so that both run under the same conditions.
+   */
+  public AddedLatency added(int each) throws InterruptedException {
+    alternate(WARM_UP_CALLS, new Aggregate(), new Aggregate());
+    Aggregate direct = new Aggregate();
+    Aggregate routed = new Aggregate();
     long failed = alternate(each, direct, routed);
-    return new Added(direct.way(), routed.way(), failed);
+    return new AddedLatency(direct.latencies(), routed.latencies(), failed);
   }
 
-  /** Sends at a moderate rate through the router, once to warm up and once measured. */
-  public Rate rate(double perSecond, int tokens) throws IOException, InterruptedException {
+  /** Sends requests through the router at a moderate rate, first to warm up and then measured. */
+  public Throughput rate(double perSecond, int tokens) throws IOException, InterruptedException {
     Scenario scenario = scenario(perSecond, tokens);
     LoadRunner runner = new LoadRunner(client, List.of(router));
     runner.run(scenario, run + "w" + tokens, "warm-up", line -> {});
@@ -84,31 +93,32 @@
     LoadResult result = runner.run(scenario, run + "m" + tokens, "measured", line -> {});
     double used = processorSeconds() - before;
     long answers = result.all().outcomes().getOrDefault(Outcome.IN_TIME, 0L);
-    return new Rate(
+    return new Throughput(
         answers, result.all().sent() - answers, result.all().frames(), result.seconds(), used);
   }
 
-  private long alternate(int each, Gathered direct, Gathered routed) throws InterruptedException {
+  private long alternate(int each, Aggregate direct, Aggregate routed) throws InterruptedException {
     long failed = 0;
     for (int i = 0; i < each; i++) {
-      failed += timed(engine, "fleece-query", Map.of("Attempt-Id", run + "-" + i), direct);
-      failed += timed(router, "fleece-query", Map.of(), routed);
+      failed += measureCall(engine, "fleece-query", Map.of("Attempt-Id", run + "-" + i), direct);
+      failed += measureCall(router, "fleece-query", Map.of(), routed);
     }
     return failed;
   }
 
-  private long timed(String address, String service, Map<String, String> headers, Gathered gathered)
+  private long measureCall(
+      String address, String service, Map<String, String> headers, Aggregate aggregate)
       throws InterruptedException {
     Thread.sleep(PACE);
     HttpCallRequest request = request(address, service, headers);
-    TimedAnswer answer = new TimedAnswer();
+    AnswerTimer answer = new AnswerTimer();
     client.send(request, answer);
-    TimedAnswer.Times times = answer.times.join();
+    AnswerTimer.Times times = answer.times.join();
     if (!times.whole()) {
       return 1;
     }
-    gathered.toFirst.recordValue(times.toFirst());
-    gathered.toEnd.recordValue(times.toEnd());
+    aggregate.toFirst.recordValue(times.toFirst());
+    aggregate.toEnd.recordValue(times.toEnd());
     return 0;
   }
 
@@ -155,7 +165,10 @@
     return new Scenario("rate", "Moderate rate", 1, RATE_TIME, List.of(flow), List.of(), List.of());
   }
 
-  /** User and system time are the 14th and 15th field; the second may hold spaces. */
+  /**
+   * Returns the user and system time from fields 14 and 15 of {@code /proc/PID/stat}. Field 2, the
+   * name in parentheses, may contain spaces, so the fields are counted from its end.
+   */
   private double processorSeconds() throws IOException {
     String stat = Files.readString(Path.of("/proc", Long.toString(routerPid), "stat"));
     String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/cost/package-info.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/cost/package-info.java
@@ -1,4 +1,6 @@
-/** What a router costs: time that it adds to a call, and processor time per request and token. */
+/**
+ * Measures the latency that a router adds to a call and its processor time per request and token.
+ */
 @NullMarked
 package org.teaseldeal.bench.cost;
 
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/Child.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/ChildProcess.java
@@ -9,8 +9,8 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 
-/** A daemon that the demo started. */
-final class Child {
+/** A daemon process that the demo started. */
+final class ChildProcess {
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final String LISTENING = "{\"event\":\"listening\"";
   private static final Duration START_BOUND = Duration.ofSeconds(20);
@@ -20,7 +20,7 @@
   private final Process process;
   private final Path output;
 
-  Child(String name, Process process, Path output) {
+  ChildProcess(String name, Process process, Path output) {
     this.name = name;
     this.process = process;
     this.output = output;
@@ -34,7 +34,7 @@
     return process.pid();
   }
 
-  /** Waits for the line that tells the daemon's addresses. */
+  /** Waits for the output line that contains the daemon's addresses. */
   JsonNode awaitListening() throws DemoException, InterruptedException {
     long end = System.nanoTime() + START_BOUND.toNanos();
     while (System.nanoTime() < end && process.isAlive()) {
@@ -47,17 +47,17 @@
     throw new DemoException("%s did not start to listen; see %s".formatted(name, output));
   }
 
-  /** Ends the process at once, as a crash does. */
+  /** Kills the process immediately, like a crash. */
   void kill() {
     process.destroyForcibly();
   }
 
-  /** Asks the process to end. */
+  /** Asks the process to stop. */
   void terminate() {
     process.destroy();
   }
 
-  /** The exit status, if the process ends within {@code bound}. */
+  /** Returns the exit status if the process ends within {@code bound}, otherwise empty. */
   Optional<Integer> awaitEnd(Duration bound) throws InterruptedException {
     return process.waitFor(bound.toMillis(), TimeUnit.MILLISECONDS)
         ? Optional.of(process.exitValue())
@@ -78,7 +78,7 @@
     try {
       return JSON.readTree(line);
     } catch (IOException e) {
-      throw new DemoException("%s printed no JSON: %s".formatted(name, line));
+      throw new DemoException("%s printed a line that is not JSON: %s".formatted(name, line));
     }
   }
 }
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/Children.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/ChildProcesses.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** All processes that the demo started; closing ends whatever of them is still there. */
-final class Children implements AutoCloseable {
+/** The processes that the demo started. Closing kills those that are still running. */
+final class ChildProcesses implements AutoCloseable {
   private static final Duration COMMAND_BOUND = Duration.ofSeconds(60);
 
   private final Path launchers;
@@ -18,18 +18,18 @@
   private final List<Process> processes = new ArrayList<>();
   private boolean closed;
 
-  Children(Path launchers, Path folder) {
+  ChildProcesses(Path launchers, Path folder) {
     this.launchers = launchers;
     this.folder = folder;
   }
 
-  /** Starts a daemon whose output goes to {@code name}.out and {@code name}.err. */
-  Child start(String name, String launcher, List<String> arguments) throws DemoException {
+  /** Starts a daemon and writes its output to {@code name}.out and {@code name}.err. */
+  ChildProcess start(String name, String launcher, List<String> arguments) throws DemoException {
     Path output = folder.resolve(name + ".out");
-    return new Child(name, launch(name, launcher, arguments), output);
+    return new ChildProcess(name, launch(name, launcher, arguments), output);
   }
 
-  /** Runs a program to its end. */
+  /** Runs a program and waits until it ends. */
   CommandRun run(String name, String launcher, List<String> arguments)
       throws DemoException, InterruptedException {
     Process process = launch(name, launcher, arguments);
@@ -46,7 +46,7 @@
     }
   }
 
-  /** Ends all processes at once; also called when the demo is interrupted. */
+  /** Kills all processes immediately. It is also called when the demo is interrupted. */
   @Override
   public synchronized void close() {
     closed = true;
@@ -73,6 +73,6 @@
     }
   }
 
-  /** How a program ended and what it printed. */
+  /** The exit status and the output of a program. */
   record CommandRun(int status, String output, String errors) {}
 }
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/Demo.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/Demo.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
 import java.util.concurrent.TimeUnit;
-import org.teaseldeal.bench.demo.Children.CommandRun;
+import org.teaseldeal.bench.demo.ChildProcesses.CommandRun;
 import org.teaseldeal.bench.demo.DemoChecks.Check;
 import org.teaseldeal.bench.load.ArrivalSchedule;
 import org.teaseldeal.bench.load.Sample;
@@ -19,7 +19,10 @@
 import org.teaseldeal.net.HttpClient;
 import org.teaseldeal.settings.SettingsParser.Parsed;
 
-/** Plays the whole path once and says whether everything adds up. */
+/**
+ * Runs the demo: sends a load to a fleet of processes, kills one router and checks that charges,
+ * budgets and answers are consistent.
+ */
 final class Demo {
   private static final List<String> TEAMS = List.of("licensing", "auction");
   private static final Map<String, Long> BUDGETS =
@@ -37,24 +40,25 @@
 
   private final PrintStream out;
   private final long seed;
-  private final DemoFiles files;
+  private final SettingsFiles files;
   private final DemoFleet fleet;
   private final HttpClient client;
-  private final Web web;
+  private final JsonClient web;
 
-  Demo(PrintStream out, long seed, DemoFiles files, Children children, HttpClient client) {
+  Demo(
+      PrintStream out, long seed, SettingsFiles files, ChildProcesses children, HttpClient client) {
     this.out = out;
     this.seed = seed;
     this.files = files;
     this.client = client;
-    this.web = new Web(client);
+    this.web = new JsonClient(client);
     this.fleet = new DemoFleet(children, files, web);
   }
 
-  /** Returns whether all checks hold. */
+  /** Runs the demo and returns whether all checks hold. */
   boolean run() throws DemoException, InterruptedException {
     out.println("Starting a platform, two engines, a plain service and three routers ...");
-    fleet.startSurroundings();
+    fleet.startPlatformAndServers();
     prepareLedger();
     fleet.startRouters();
     Scenario scenario = scenario();
@@ -67,8 +71,8 @@
     String incarnation = await(killed);
     out.println("Releasing what the killed router held, and ending the others ...");
     release(incarnation);
-    List<String> endings = new ArrayList<>(fleet.endRouters());
-    return report(callers, ArrivalSchedule.of(scenario).size(), incarnation, endings);
+    List<String> routerProblems = new ArrayList<>(fleet.stopRouters());
+    return report(callers, ArrivalSchedule.of(scenario).size(), incarnation, routerProblems);
   }
 
   private void prepareLedger() throws DemoException, InterruptedException {
@@ -119,11 +123,12 @@
     try {
       return killed.join();
     } catch (CompletionException e) {
-      throw new DemoException("the router could not be killed: " + e.getCause());
+      throw new DemoException("could not kill the router: " + e.getCause());
     }
   }
 
-  // The operator's command refuses while the lagging list still has the dead incarnation.
+  // The operator's command is refused as long as the platform's list, which lags behind, still
+  // contains the killed incarnation.
   private void release(String incarnation) throws DemoException, InterruptedException {
     long end = System.nanoTime() + RELEASE_BOUND.toNanos();
     while (true) {
@@ -141,7 +146,8 @@
     }
   }
 
-  private boolean report(DemoCallers callers, int sent, String incarnation, List<String> endings)
+  private boolean report(
+      DemoCallers callers, int sent, String incarnation, List<String> routerProblems)
       throws DemoException, InterruptedException {
     List<Sample> samples = callers.samples();
     LedgerAudit ledger = LedgerAudit.read(web, fleet.platform());
@@ -149,7 +155,7 @@
     List<Check> checks =
         new ArrayList<>(
             new DemoChecks(sent, samples, ledger, servers, BUDGETS, NON_IDEMPOTENT).all());
-    checks.add(new Check("every process ended with status 0", endings(endings)));
+    checks.add(new Check("every process ended with status 0", exitProblems(routerProblems)));
     out.println();
     out.println(DemoTables.requests(samples, ledger));
     out.println(DemoTables.causes(samples));
@@ -159,19 +165,19 @@
             + " %d records on the log%n%n",
         incarnation, callers.repeats(), ledger.repeatedCharges(), ledger.records());
     checks.forEach(check -> out.println(check.text()));
-    boolean all = checks.stream().allMatch(Check::holds);
-    out.println(all ? "\nEverything adds up." : "\nNOT everything adds up.");
-    return all;
+    boolean allHold = checks.stream().allMatch(Check::holds);
+    out.println(allHold ? "\nEverything adds up." : "\nNOT everything adds up.");
+    return allHold;
   }
 
-  private List<String> endings(List<String> routers) throws InterruptedException {
+  private List<String> exitProblems(List<String> routers) throws InterruptedException {
     List<String> problems = new ArrayList<>(routers);
-    problems.addAll(fleet.endSurroundings());
+    problems.addAll(fleet.stopPlatformAndServers());
     return problems;
   }
 
   private Scenario scenario() throws DemoException {
-    return switch (ScenarioParser.parse(DemoFiles.text("scenario.toml"))) {
+    return switch (ScenarioParser.parse(SettingsFiles.text("scenario.toml"))) {
       case Parsed.Valid<Scenario>(Scenario scenario) -> scenario.withSeed(seed);
       case Parsed.Invalid<Scenario> invalid ->
           throw new DemoException(invalid.problems().toString());
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/DemoCallers.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/DemoCallers.java
@@ -16,10 +16,12 @@
 import org.teaseldeal.net.HttpClient;
 
 /**
- * The callers of the demo: each sends its request at its time, and sends it again, with the same
- * key, if it has one and its connection broke before the answer was whole.
+ * The callers of the demo. Each caller sends its request when it is due. It resends a request that
+ * has an idempotency key, with the same key, if the connection broke before the answer was
+ * complete.
  *
- * <p>A caller whose request was never sent sends it again too: there was nothing that could run.
+ * <p>A caller also resends a request that could not be sent, because such a request cannot have
+ * been run.
  */
 final class DemoCallers {
   private static final int MAX_REPEATS = 5;
@@ -29,7 +31,7 @@
 
   private final LoadRunner runner;
   private final String run;
-  private final Map<Arrival, Sample> last = new HashMap<>();
+  private final Map<Arrival, Sample> lastSamples = new HashMap<>();
   private final Map<Arrival, Integer> repeats = new HashMap<>();
   private int waiting;
 
@@ -38,7 +40,7 @@
     this.run = run;
   }
 
-  /** Sends the scenario's requests and waits until each caller knows where it stands. */
+  /** Sends the scenario's requests and waits a limited time until no request is to be resent. */
   void play(Scenario scenario) throws InterruptedException {
     runner.run(scenario, run, "demo", progress -> {});
     long end = System.nanoTime() + REPEATS_BOUND.toNanos();
@@ -47,14 +49,14 @@
     }
   }
 
-  /** Requests whose last answer neither ended nor failed. */
+  /** Returns the number of resent requests that have not ended yet. */
   synchronized int waiting() {
     return waiting;
   }
 
-  /** What each caller saw in the end. */
+  /** Returns the last sample of each request. */
   synchronized List<Sample> samples() {
-    return new ArrayList<>(last.values());
+    return new ArrayList<>(lastSamples.values());
   }
 
   synchronized int repeats() {
@@ -62,7 +64,7 @@
   }
 
   private synchronized void onSample(Sample sample) {
-    last.put(sample.arrival(), sample);
+    lastSamples.put(sample.arrival(), sample);
     int before = repeats.getOrDefault(sample.arrival(), 0);
     if (!mayRepeat(sample) || before >= MAX_REPEATS) {
       return;
@@ -70,7 +72,7 @@
     repeats.put(sample.arrival(), before + 1);
     waiting++;
     CompletableFuture.delayedExecutor(REPEAT_AFTER_MILLIS, TimeUnit.MILLISECONDS)
-        .execute(() -> runner.repeat(sample.arrival(), run, this::onRepeated));
+        .execute(() -> runner.resend(sample.arrival(), run, this::onRepeated));
   }
 
   private synchronized void onRepeated(Sample sample) {
@@ -78,13 +80,13 @@
     onSample(sample);
   }
 
-  // A refusal is an answer: whoever gets one knows where it stands.
+  // A refusal is a final answer, so a refused request is not resent.
   private static boolean mayRepeat(Sample sample) {
     boolean neverSent = sample.cause().filter("connection-not_sent"::equals).isPresent();
-    boolean broke =
+    boolean interrupted =
         sample.outcome() == Outcome.SILENT
             || sample.outcome() == Outcome.BROKEN
             || sample.cause().filter("already-claimed"::equals).isPresent();
-    return neverSent || (broke && sample.arrival().flow().keyed());
+    return neverSent || (interrupted && sample.arrival().flow().keyed());
   }
 }
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/DemoChecks.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/DemoChecks.java
@@ -13,11 +13,11 @@
 import org.teaseldeal.ledger.outcome.Outcome.Charged;
 import org.teaseldeal.ledger.state.AccountView;
 
-/** What must hold at the end of the demo, each with what was found against it. */
+/** The checks of the demo, each with the problems that it found. */
 final class DemoChecks {
   private static final int MAX_SHOWN = 5;
 
-  /** As the demo's settings have it for each plain service. */
+  /** The price that the demo's settings contain for a call of a plain service. */
   private static final int TOKENS_PER_CALL = 1;
 
   private final List<Sample> samples;
@@ -30,9 +30,9 @@
   /**
    * Creates the checks.
    *
-   * @param sent how many requests callers had
-   * @param granted what the operator put into each account
-   * @param nonIdempotent the services whose calls may run once at most, as {@code team/service}
+   * @param sent the number of requests that callers sent
+   * @param granted the tokens that the operator granted to each account
+   * @param nonIdempotent the services whose calls may run at most once, as {@code team/service}
    */
   DemoChecks(
       int sent,
@@ -49,21 +49,21 @@
     this.nonIdempotent = Set.copyOf(nonIdempotent);
   }
 
-  /** All checks in the order in which they are shown. */
+  /** Returns all checks in the order in which they are printed. */
   List<Check> all() {
     return List.of(
-        new Check("every caller's request came to an end", withoutEnd()),
+        new Check("every caller's request came to an end", unfinishedRequests()),
         new Check("no caller got a part of another's answer", wrongAnswers()),
         new Check("no request is charged twice", doubleCharges()),
-        new Check("every charge is what was used", untrueCharges()),
+        new Check("every charge is what was used", wrongCharges()),
         new Check("every whole answer is charged", unchargedAnswers()),
         new Check("no call that may not be repeated ran twice", doubleRuns()),
-        new Check("every refusal that says not-run was not run", untrueRefusals()),
+        new Check("every refusal that says not-run was not run", falseRefusals()),
         new Check("granted = charged + written off + leased + remaining", imbalances()),
         new Check("what was used is covered by charged + written off + leased", overspend()));
   }
 
-  private List<String> withoutEnd() {
+  private List<String> unfinishedRequests() {
     return samples.size() == sent
         ? List.of()
         : List.of("%d of %d".formatted(sent - samples.size(), sent));
@@ -83,7 +83,7 @@
         .toList();
   }
 
-  private List<String> untrueCharges() {
+  private List<String> wrongCharges() {
     List<String> problems = new ArrayList<>();
     for (List<Charged> charges : ledger.charges().values()) {
       Charged charge = charges.getFirst();
@@ -102,7 +102,7 @@
 
   private List<String> unchargedAnswers() {
     return samples.stream()
-        .filter(DemoChecks::whole)
+        .filter(DemoChecks::isComplete)
         .filter(sample -> !ledger.charges().containsKey(requestId(sample)))
         .map(DemoChecks::name)
         .toList();
@@ -114,13 +114,13 @@
             .filter(sample -> !nonIdempotent.contains(sample.arrival().flow().service().toString()))
             .map(sample -> requestId(sample).value())
             .collect(Collectors.toSet());
-    return servers.ranTwice().stream()
+    return servers.repeatedRuns().stream()
         .filter(request -> !mayRunAgain.contains(request))
         .sorted()
         .toList();
   }
 
-  private List<String> untrueRefusals() {
+  private List<String> falseRefusals() {
     return samples.stream()
         .filter(sample -> sample.outcome() == Outcome.REFUSED && sample.requestId().isPresent())
         .filter(sample -> ran(requestId(sample).value()))
@@ -161,7 +161,7 @@
         || servers.tokens(request).stream().anyMatch(tokens -> tokens > 0);
   }
 
-  static boolean whole(Sample sample) {
+  static boolean isComplete(Sample sample) {
     return sample.outcome() == Outcome.IN_TIME || sample.outcome() == Outcome.LATE;
   }
 
@@ -175,7 +175,7 @@
         .formatted(flow.name(), sample.arrival().number(), sample.requestId().orElse("no id"));
   }
 
-  /** One thing that must hold; it holds if nothing was found against it. */
+  /** A statement about the run. It holds if no problem was found. */
   record Check(String promise, List<String> problems) {
     Check {
       problems = List.copyOf(problems);
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/DemoCommand.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/DemoCommand.java
@@ -15,8 +15,11 @@
 import org.teaseldeal.net.HttpClient;
 import org.teaseldeal.net.HttpClientConfig;
 
-/** Starts the whole path on this host, plays a load, kills a router, and says what adds up. */
-@Parameters(commandDescription = "Start the whole path, play a load, kill a router, and add up")
+/**
+ * Starts a complete fleet on this host, sends a load, kills a router and checks that charges,
+ * budgets and answers are consistent.
+ */
+@Parameters(commandDescription = "Start a fleet, send a load, kill a router and audit the outcome")
 public final class DemoCommand extends Command {
   @Parameter(names = "--launchers", description = "Folder of the programs' launchers")
   private Path launchers = Path.of("bin");
@@ -30,13 +33,13 @@
   @Override
   protected ExitStatus run(PrintStream out, PrintStream err) throws CommandException {
     Path folder = createFolder();
-    Children children = new Children(launchers.toAbsolutePath(), folder);
-    // Interrupted in the middle, the demo ends without its finally block.
+    ChildProcesses children = new ChildProcesses(launchers.toAbsolutePath(), folder);
+    // A signal ends the process without the finally block, so a hook ends the child processes.
     Thread hook = new Thread(children::close, "end-children");
     Runtime.getRuntime().addShutdownHook(hook);
     boolean holds = false;
     try (HttpClient client = new HttpClient(HttpClientConfig.defaults())) {
-      holds = new Demo(out, seed, new DemoFiles(folder), children, client).run();
+      holds = new Demo(out, seed, new SettingsFiles(folder), children, client).run();
       return holds ? ExitStatus.OK : ExitStatus.REFUSED;
     } catch (DemoException e) {
       throw new CommandException(ExitStatus.UNREACHABLE, String.valueOf(e.getMessage()));
@@ -56,7 +59,8 @@
     try {
       return Files.createTempDirectory("teaseldeal-demo");
     } catch (IOException e) {
-      throw new CommandException(ExitStatus.WRONG_FILE, "no folder for the demo: " + e);
+      throw new CommandException(
+          ExitStatus.WRONG_FILE, "could not create a folder for the demo: " + e);
     }
   }
 
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/DemoException.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/DemoException.java
@@ -1,6 +1,6 @@
 package org.teaseldeal.bench.demo;
 
-/** The demo can't go on. */
+/** Thrown when the demo cannot continue. */
 public final class DemoException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/DemoFleet.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/DemoFleet.java
@@ -9,59 +9,60 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.concurrent.CopyOnWriteArrayList;
-import org.teaseldeal.bench.demo.Children.CommandRun;
+import org.teaseldeal.bench.demo.ChildProcesses.CommandRun;
 
-/** The whole path: a platform, two engines, a plain service and three routers. */
+/** The processes of the demo: a platform, two engines, a plain service and three routers. */
 final class DemoFleet {
   private static final List<String> ENGINES = List.of("engine-1", "engine-2");
   private static final String SERVICE = "service-1";
   private static final List<String> ROUTERS = List.of("router-1", "router-2", "router-3");
-  private static final Duration READY_BOUND = Duration.ofSeconds(30);
-  private static final Duration END_BOUND = Duration.ofSeconds(40);
+  private static final Duration READY_TIMEOUT = Duration.ofSeconds(30);
+  private static final Duration STOP_TIMEOUT = Duration.ofSeconds(40);
   private static final Duration POLL = Duration.ofMillis(100);
 
-  private final Children children;
-  private final DemoFiles files;
-  private final Web web;
-  private final Map<String, Running> running = new LinkedHashMap<>();
+  private final ChildProcesses children;
+  private final SettingsFiles files;
+  private final JsonClient web;
+  private final Map<String, RunningProcess> running = new LinkedHashMap<>();
   private final List<String> serving = new CopyOnWriteArrayList<>();
   private String platform = "";
 
-  DemoFleet(Children children, DemoFiles files, Web web) {
+  DemoFleet(ChildProcesses children, SettingsFiles files, JsonClient web) {
     this.children = children;
     this.files = files;
     this.web = web;
   }
 
-  /** Starts everything but the routers. */
-  void startSurroundings() throws DemoException, InterruptedException {
+  /** Starts the platform, the engines and the plain service. */
+  void startPlatformAndServers() throws DemoException, InterruptedException {
     platform = start("platform", "teaseldeal-standin", "platform", files.platform()).address();
-    List<Child> begun = new ArrayList<>();
+    List<ChildProcess> started = new ArrayList<>();
     for (String engine : ENGINES) {
-      begun.add(begin(engine, "engine", files.backendServer(engine, "language", platform)));
+      started.add(
+          startStandin(engine, "engine", files.backendServer(engine, "language", platform)));
     }
-    begun.add(begin(SERVICE, "service", files.backendServer(SERVICE, "apps", platform)));
-    for (Child child : begun) {
+    started.add(startStandin(SERVICE, "service", files.backendServer(SERVICE, "apps", platform)));
+    for (ChildProcess child : started) {
       listen(child);
     }
   }
 
-  /** Starts the routers and waits until each says that it is ready. */
+  /** Starts the routers and waits until each reports that it is ready. */
   void startRouters() throws DemoException, InterruptedException {
-    List<Child> begun = new ArrayList<>();
+    List<ChildProcess> started = new ArrayList<>();
     for (String router : ROUTERS) {
       Path settings = files.router(router, platform);
-      begun.add(
+      started.add(
           children.start(router, "teaseldeal-router", List.of("--settings", settings.toString())));
     }
-    for (Child child : begun) {
-      Running router = listen(child);
+    for (ChildProcess child : started) {
+      RunningProcess router = listen(child);
       awaitReady(router);
       serving.add(router.address());
     }
   }
 
-  /** The addresses to which the balancer sends callers. */
+  /** Returns the addresses of the routers that accept callers. */
   List<String> serving() {
     return serving;
   }
@@ -71,14 +72,14 @@
   }
 
   List<String> engineAdmins() {
-    return ENGINES.stream().map(name -> named(name).adminAddress()).toList();
+    return ENGINES.stream().map(name -> process(name).adminAddress()).toList();
   }
 
   String serviceAdmin() {
-    return named(SERVICE).adminAddress();
+    return process(SERVICE).adminAddress();
   }
 
-  /** Runs the operator's command line; fails unless it ends with status 0. */
+  /** Runs the operator's command line. Throws unless it ends with status 0. */
   String operate(String name, String... arguments) throws DemoException, InterruptedException {
     CommandRun run = tryOperate(name, arguments);
     if (run.status() != 0) {
@@ -97,9 +98,9 @@
     return children.run(name, "teaseldeal-operator", command);
   }
 
-  /** Kills a router in the middle of whatever it does; returns the incarnation that it had. */
+  /** Kills a router while it serves requests and returns its incarnation. */
   String killRouter() throws DemoException, InterruptedException {
-    Running victim = named(ROUTERS.get(1));
+    RunningProcess victim = process(ROUTERS.get(1));
     String incarnation = incarnation(victim.child().name());
     victim.child().kill();
     serving.remove(victim.address());
@@ -107,25 +108,28 @@
     return incarnation;
   }
 
-  /** Asks the routers that are left to end, and says which didn't with status 0. */
-  List<String> endRouters() throws InterruptedException {
-    return end(running.keySet().stream().filter(ROUTERS::contains).toList());
+  /** Stops the running routers and returns a problem for each that did not exit with status 0. */
+  List<String> stopRouters() throws InterruptedException {
+    return stop(running.keySet().stream().filter(ROUTERS::contains).toList());
   }
 
-  /** Asks the rest to end, and says which didn't with status 0. */
-  List<String> endSurroundings() throws InterruptedException {
-    List<String> problems = new ArrayList<>(end(List.of(SERVICE, ENGINES.get(0), ENGINES.get(1))));
-    problems.addAll(end(List.of("platform")));
+  /**
+   * Stops the plain service, the engines and the platform, and returns a problem for each that did
+   * not exit with status 0.
+   */
+  List<String> stopPlatformAndServers() throws InterruptedException {
+    List<String> problems = new ArrayList<>(stop(List.of(SERVICE, ENGINES.get(0), ENGINES.get(1))));
+    problems.addAll(stop(List.of("platform")));
     return problems;
   }
 
-  private List<String> end(List<String> names) throws InterruptedException {
-    names.forEach(name -> named(name).child().terminate());
+  private List<String> stop(List<String> names) throws InterruptedException {
+    names.forEach(name -> process(name).child().terminate());
     List<String> problems = new ArrayList<>();
     for (String name : names) {
-      var status = named(name).child().awaitEnd(END_BOUND);
+      var status = process(name).child().awaitEnd(STOP_TIMEOUT);
       if (status.isEmpty()) {
-        problems.add("%s did not end within %s of SIGTERM".formatted(name, END_BOUND));
+        problems.add("%s did not end within %s of SIGTERM".formatted(name, STOP_TIMEOUT));
       } else if (status.get() != 0) {
         problems.add("%s ended with status %d".formatted(name, status.get()));
       }
@@ -139,31 +143,32 @@
         return instance.path("incarnation").asText();
       }
     }
-    throw new DemoException("the platform doesn't list " + id);
+    throw new DemoException("the platform's list does not contain " + id);
   }
 
-  private Running start(String name, String launcher, String command, Path settings)
+  private RunningProcess start(String name, String launcher, String command, Path settings)
       throws DemoException, InterruptedException {
     return listen(
         children.start(name, launcher, List.of(command, "--settings", settings.toString())));
   }
 
-  private Child begin(String name, String command, Path settings) throws DemoException {
+  private ChildProcess startStandin(String name, String command, Path settings)
+      throws DemoException {
     return children.start(
         name, "teaseldeal-standin", List.of(command, "--settings", settings.toString()));
   }
 
-  private Running listen(Child child) throws DemoException, InterruptedException {
+  private RunningProcess listen(ChildProcess child) throws DemoException, InterruptedException {
     JsonNode listening = child.awaitListening();
-    Running started =
-        new Running(
+    RunningProcess started =
+        new RunningProcess(
             child, listening.path("address").asText(), listening.path("admin_address").asText());
     running.put(child.name(), started);
     return started;
   }
 
-  private void awaitReady(Running router) throws DemoException, InterruptedException {
-    long end = System.nanoTime() + READY_BOUND.toNanos();
+  private void awaitReady(RunningProcess router) throws DemoException, InterruptedException {
+    long end = System.nanoTime() + READY_TIMEOUT.toNanos();
     while (web.status(router.adminAddress(), "/ready") != 200) {
       if (System.nanoTime() > end) {
         throw new DemoException("%s was not ready in time".formatted(router.child().name()));
@@ -172,9 +177,9 @@
     }
   }
 
-  private Running named(String name) {
+  private RunningProcess process(String name) {
     return Objects.requireNonNull(running.get(name), name);
   }
 
-  private record Running(Child child, String address, String adminAddress) {}
+  private record RunningProcess(ChildProcess child, String address, String adminAddress) {}
 }
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/DemoTables.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/DemoTables.java
@@ -12,11 +12,11 @@
 import org.teaseldeal.ledger.outcome.Outcome.Charged;
 import org.teaseldeal.ledger.state.AccountView;
 
-/** The demo's tables for people. */
+/** Formats the tables that the demo prints. */
 final class DemoTables {
   private DemoTables() {}
 
-  /** What callers saw, by service, and what was charged for it. */
+  /** Returns the outcomes of requests and the number of charges, by service. */
   static String requests(List<Sample> samples, LedgerAudit ledger) {
     List<List<String>> rows = new ArrayList<>();
     rows.add(
@@ -33,13 +33,13 @@
     return table(rows);
   }
 
-  /** How many were refused, failed or broke, by cause. */
+  /** Returns the number of requests without a complete answer, by outcome and cause. */
   static String causes(List<Sample> samples) {
     List<List<String>> rows = new ArrayList<>();
     rows.add(List.of("not answered whole", "cause", "requests"));
     Map<String, Long> counts =
         samples.stream()
-            .filter(sample -> !DemoChecks.whole(sample))
+            .filter(sample -> !DemoChecks.isComplete(sample))
             .collect(
                 Collectors.groupingBy(
                     sample ->
@@ -57,7 +57,7 @@
     return counts.isEmpty() ? "all requests were answered whole\n" : table(rows);
   }
 
-  /** The budgets at the end of the log. */
+  /** Returns the state of the budgets at the end of the log. */
   static String budgets(List<AccountView> accounts) {
     List<List<String>> rows = new ArrayList<>();
     rows.add(List.of("budget", "granted", "charged", "written off", "leased", "remaining"));
@@ -80,7 +80,7 @@
     return List.of(
         name,
         number(some.size()),
-        number(some.stream().filter(DemoChecks::whole).count()),
+        number(some.stream().filter(DemoChecks::isComplete).count()),
         number(count(some, Outcome.REFUSED)),
         number(count(some, Outcome.FAILED) + count(some, Outcome.WRONG)),
         number(count(some, Outcome.BROKEN)),
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/Web.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/JsonClient.java
@@ -13,19 +13,19 @@
 import org.teaseldeal.net.HttpCallRequest;
 import org.teaseldeal.net.HttpClient;
 
-/** Reads JSON from the platform and from the stand-ins' admin addresses. */
-public final class Web {
+/** An HTTP client for the JSON interfaces of the platform and of the stand-ins' admin addresses. */
+public final class JsonClient {
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final Duration TIMEOUT = Duration.ofSeconds(10);
 
   private final HttpClient client;
 
-  /** Creates a reader that asks with {@code client}. */
-  public Web(HttpClient client) {
+  /** Creates a JSON client that sends its requests with {@code client}. */
+  public JsonClient(HttpClient client) {
     this.client = client;
   }
 
-  /** The JSON at {@code path}. */
+  /** Returns the JSON at {@code path}. */
   public JsonNode json(String address, String path) throws DemoException, InterruptedException {
     return parse(get(address, path).text());
   }
@@ -42,11 +42,11 @@
     try {
       return JSON.readTree(text);
     } catch (IOException e) {
-      throw new DemoException("no JSON: " + text);
+      throw new DemoException("the answer is not JSON: " + text);
     }
   }
 
-  /** Puts {@code json}; fails unless the answer's status is 200. */
+  /** Puts {@code json} to {@code path}. Throws unless the answer's status is 200. */
   void put(String address, String path, String json) throws DemoException, InterruptedException {
     byte[] body = json.getBytes(StandardCharsets.UTF_8);
     Map<String, String> headers = Map.of("Content-Type", "application/json");
@@ -62,7 +62,7 @@
     }
   }
 
-  /** The status of the answer, or 0 if there is none. */
+  /** Returns the status of the answer, or 0 if there is none. */
   public int status(String address, String path) throws InterruptedException {
     try {
       return fetch(address, path).status();
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/LedgerAudit.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/LedgerAudit.java
@@ -17,11 +17,11 @@
 import org.teaseldeal.ledger.outcome.Outcome;
 import org.teaseldeal.ledger.state.AccountView;
 
-/** What the platform's log says once it is read from its first record: budgets and charges. */
+/** The budgets and charges that result from reading the platform's log from its first record. */
 public final class LedgerAudit {
   private static final int RECORDS_AT_ONCE = 1_000;
 
-  /** The demo has one stream. */
+  /** The only ledger stream of the demo. */
   private static final StreamId STREAM = new StreamId(0);
 
   private final LedgerFold fold =
@@ -33,7 +33,7 @@
   LedgerAudit() {}
 
   /** Reads the whole log. */
-  public static LedgerAudit read(Web web, String platform)
+  public static LedgerAudit read(JsonClient web, String platform)
       throws DemoException, InterruptedException {
     LedgerAudit audit = new LedgerAudit();
     long next = 0;
@@ -52,12 +52,12 @@
     }
   }
 
-  /** The charges that counted, by request. */
+  /** Returns the charges that took effect, by request. */
   public Map<RequestId, List<Outcome.Charged>> charges() {
     return charges;
   }
 
-  /** Charges that were appended again and did not count. */
+  /** Returns the number of charges that were appended again and had no effect. */
   public long repeatedCharges() {
     return repeatedCharges;
   }
@@ -66,12 +66,12 @@
     return records;
   }
 
-  /** All budgets, in the order of their names. */
+  /** Returns all budgets, ordered by name. */
   public List<AccountView> accounts() {
     return fold.state().accounts().sorted((a, b) -> a.account().compareTo(b.account())).toList();
   }
 
-  /** What was charged to an account, added up request by request. */
+  /** Returns the sum of the charges to an account. */
   long chargedTo(AccountId account) {
     return charges.values().stream()
         .flatMap(List::stream)
@@ -80,7 +80,7 @@
         .sum();
   }
 
-  /** The first budget that does not add up from its leases, if there is one. */
+  /** Returns the first budget whose leases do not match its balance, or an empty list. */
   public List<String> imbalances() {
     List<String> problems = new ArrayList<>();
     fold.state().imbalance().ifPresent(problems::add);
@@ -92,10 +92,10 @@
         || account.equals(AccountId.of(charge.service().team()));
   }
 
-  /** Takes the next record. */
+  /** Folds the next record of the log. */
   void fold(LogRecord record) {
     records++;
-    fold.fold(record).forEach(settled -> take(settled.outcome()));
+    fold.fold(record).forEach(settled -> addOutcome(settled.outcome()));
   }
 
   private static LogRecord logRecord(JsonNode record) throws DemoException {
@@ -105,11 +105,11 @@
           Instant.parse(record.path("appended_at").asText()),
           record.path("payload").binaryValue());
     } catch (IOException e) {
-      throw new DemoException("a record of the log is not base64: " + record);
+      throw new DemoException("the payload of a log record is not base64: " + record);
     }
   }
 
-  private void take(Outcome outcome) {
+  private void addOutcome(Outcome outcome) {
     switch (outcome) {
       case Outcome.Charged charged ->
           charges.computeIfAbsent(charged.request(), id -> new ArrayList<>()).add(charged);
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/LoadFleet.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/LoadFleet.java
@@ -11,8 +11,8 @@
 import java.util.Map;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
-import org.teaseldeal.bench.demo.Children.CommandRun;
-import org.teaseldeal.bench.scenario.FaultStep;
+import org.teaseldeal.bench.demo.ChildProcesses.CommandRun;
+import org.teaseldeal.bench.scenario.FaultChange;
 import org.teaseldeal.net.HttpClient;
 import org.teaseldeal.settings.FleetSettings;
 import org.teaseldeal.settings.PoolSettings;
@@ -21,43 +21,44 @@
 import org.teaseldeal.settings.SettingsParser.Parsed;
 
 /**
- * A whole deployment on this host, for the time of a load: platform, backend servers, routers, and
- * the settings and budgets of a folder such as {@code examples/association}.
+ * A complete deployment on this host that exists for the duration of a load. It consists of a
+ * platform, backend servers and routers, with the settings and budgets of a folder such as {@code
+ * examples/association}.
  *
- * <p>Closing ends everything at once, also when the command is interrupted.
+ * <p>Closing kills all processes. A shutdown hook does the same when the command is interrupted.
  */
 public final class LoadFleet implements AutoCloseable {
-  private static final Duration READY_BOUND = Duration.ofSeconds(60);
+  private static final Duration READY_TIMEOUT = Duration.ofSeconds(60);
   private static final Duration POLL = Duration.ofMillis(100);
   private static final long TEAM_BUDGET = 100_000_000_000L;
   private static final String AUTHOR = "bench";
 
   private final FleetPlan plan;
   private final Path folder;
-  private final Children children;
-  private final DemoFiles files;
-  private final Web web;
+  private final ChildProcesses children;
+  private final SettingsFiles files;
+  private final JsonClient web;
   private final Thread hook;
   private final Map<String, String> addresses = new LinkedHashMap<>();
-  private final Map<String, String> admins = new LinkedHashMap<>();
-  private final Map<String, Child> routers = new LinkedHashMap<>();
+  private final Map<String, String> adminAddresses = new LinkedHashMap<>();
+  private final Map<String, ChildProcess> routers = new LinkedHashMap<>();
   private String platform = "";
 
   private LoadFleet(FleetPlan plan, Path folder, HttpClient client) {
     this.plan = plan;
     this.folder = folder;
-    children = new Children(plan.launchers().toAbsolutePath(), folder);
-    files = new DemoFiles(folder);
-    web = new Web(client);
+    children = new ChildProcesses(plan.launchers().toAbsolutePath(), folder);
+    files = new SettingsFiles(folder);
+    web = new JsonClient(client);
     hook = new Thread(children::close, "end-children");
   }
 
-  /** Starts everything and waits until each router takes callers. */
+  /** Starts all processes and waits until each router accepts callers. */
   public static LoadFleet start(FleetPlan plan, HttpClient client)
       throws IOException, InterruptedException {
     Path folder = Files.createTempDirectory("teaseldeal-load");
     LoadFleet fleet = new LoadFleet(plan, folder, client);
-    // Interrupted in the middle, the command ends without closing the fleet.
+    // A signal ends the process without closing the fleet, so a hook ends the child processes.
     Runtime.getRuntime().addShutdownHook(fleet.hook);
     try {
       fleet.startAll();
@@ -71,31 +72,31 @@
     }
   }
 
-  /** Where callers are taken, one address for each router. */
+  /** Returns the addresses for callers, one for each router. */
   public List<String> callerAddresses() {
     return routers.keySet().stream().map(this::address).toList();
   }
 
-  /** The address of one process, such as {@code engine-1}. */
+  /** Returns the address of a process, such as {@code engine-1}. */
   public String address(String name) {
-    return of(addresses, name);
+    return require(addresses, name);
   }
 
-  /** The id of a router's process. */
+  /** Returns the process id of a router. */
   public long routerPid(String name) {
-    return of(routers, name).pid();
+    return require(routers, name).pid();
   }
 
-  /** Carries out a scenario's change of faults. */
-  public void change(FaultStep step) throws IOException, InterruptedException {
+  /** Applies a fault change of a scenario. */
+  public void change(FaultChange step) throws IOException, InterruptedException {
     try {
-      web.put(of(admins, step.target()), "/faults", step.json());
+      web.put(require(adminAddresses, step.target()), "/faults", step.json());
     } catch (DemoException e) {
       throw new IOException(e.getMessage(), e);
     }
   }
 
-  /** Where settings and output of the processes are. */
+  /** Returns the folder with the settings and the output of the processes. */
   public Path folder() {
     return folder;
   }
@@ -106,24 +107,24 @@
     try {
       Runtime.getRuntime().removeShutdownHook(hook);
     } catch (IllegalStateException e) {
-      // The virtual machine is ending; the hook does the same.
+      // The virtual machine is shutting down and runs the hook itself.
     }
   }
 
   private void startAll() throws DemoException, IOException, InterruptedException {
     FleetSettings settings = fleetSettings();
-    Child first =
+    ChildProcess first =
         children.start(
             "platform",
             "teaseldeal-standin",
             List.of("platform", "--settings", files.platform().toString()));
     platform = listen(first);
-    List<Child> begun = new ArrayList<>();
+    List<ChildProcess> started = new ArrayList<>();
     for (PoolSettings pool : settings.pools().values()) {
-      begun.addAll(beginPool(pool));
+      started.addAll(startPool(pool));
     }
-    begun.addAll(beginRouters());
-    for (Child child : begun) {
+    started.addAll(startRouters());
+    for (ChildProcess child : started) {
       listen(child);
     }
     publish();
@@ -132,23 +133,23 @@
     }
   }
 
-  private List<Child> beginPool(PoolSettings pool)
+  private List<ChildProcess> startPool(PoolSettings pool)
       throws DemoException, IOException, InterruptedException {
     boolean model = pool.kind() == ServiceKind.MODEL;
     String role = model ? "engine" : "service";
-    List<Child> begun = new ArrayList<>();
+    List<ChildProcess> started = new ArrayList<>();
     for (String name : names(role, model ? plan.engines() : plan.services())) {
       Path file = files.backendServer(name, pool.name(), platform);
       if (model) {
         append(file, plan.batch());
       }
-      begun.add(
+      started.add(
           children.start(name, "teaseldeal-standin", List.of(role, "--settings", file.toString())));
     }
-    return begun;
+    return started;
   }
 
-  private List<Child> beginRouters() throws DemoException, IOException {
+  private List<ChildProcess> startRouters() throws DemoException, IOException {
     for (String name : names("router", plan.routers())) {
       Path file = files.router(name, platform);
       append(file, plan.decisions());
@@ -204,23 +205,27 @@
     };
   }
 
-  /** The stand-ins of a trial have small batches, and the fleet's limit has to say the same. */
+  /**
+   * Returns the fleet's settings with the concurrency limit of the model pools replaced by that of
+   * the stand-in engines, which have small batches.
+   */
   private String fleetText() throws IOException {
     String text = Files.readString(plan.settings().resolve("fleet.toml"));
     return text.replaceAll(
-        "(kind = \"model\"\\s+max_concurrent_per_server = )\\d+", "$1" + plan.places());
+        "(kind = \"model\"\\s+max_concurrent_per_server = )\\d+",
+        "$1" + plan.concurrencyPerEngine());
   }
 
-  private String listen(Child child) throws DemoException, InterruptedException {
+  private String listen(ChildProcess child) throws DemoException, InterruptedException {
     JsonNode listening = child.awaitListening();
     addresses.put(child.name(), listening.path("address").asText());
-    admins.put(child.name(), listening.path("admin_address").asText());
+    adminAddresses.put(child.name(), listening.path("admin_address").asText());
     return address(child.name());
   }
 
   private void awaitReady(String router) throws DemoException, InterruptedException {
-    long end = System.nanoTime() + READY_BOUND.toNanos();
-    while (web.status(of(admins, router), "/ready") != 200) {
+    long end = System.nanoTime() + READY_TIMEOUT.toNanos();
+    while (web.status(require(adminAddresses, router), "/ready") != 200) {
       if (System.nanoTime() > end) {
         throw new DemoException(router + " was not ready in time");
       }
@@ -232,7 +237,7 @@
     Files.writeString(file, Files.readString(file) + "\n" + text);
   }
 
-  private static <T> T of(Map<String, T> map, String name) {
+  private static <T> T require(Map<String, T> map, String name) {
     T value = map.get(name);
     if (value == null) {
       throw new IllegalArgumentException(
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/ServerAudit.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/ServerAudit.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What the engines and the plain service say that they ran. */
+/** The runs that the engines and the plain service report. */
 public final class ServerAudit {
   private static final Set<String> ENDS = Set.of("finished", "cancelled");
 
@@ -17,34 +17,37 @@
 
   ServerAudit() {}
 
-  /** Asks the engines and the plain service by their admin addresses. */
-  public static ServerAudit read(Web web, List<String> engines, String service)
+  /** Reads the reports of the engines and the plain service from their admin addresses. */
+  public static ServerAudit read(JsonClient web, List<String> engines, String service)
       throws DemoException, InterruptedException {
     ServerAudit audit = new ServerAudit();
     for (String engine : engines) {
       for (JsonNode line : web.jsonLines(engine, "/history")) {
-        audit.takeEngineLine(line);
+        audit.addEngineEvent(line);
       }
     }
     web.json(service, "/ran")
         .path("by_request")
         .properties()
-        .forEach(entry -> audit.ran(entry.getKey(), entry.getValue().asInt()));
+        .forEach(entry -> audit.addRuns(entry.getKey(), entry.getValue().asInt()));
     return audit;
   }
 
-  /** The tokens that each run of a model request used; more than one if it ran at two engines. */
+  /**
+   * Returns the tokens that each run of a model request used. There are several elements if the
+   * request ran at several engines.
+   */
   public List<Long> tokens(String request) {
     return tokens.getOrDefault(request, List.of());
   }
 
-  /** How often the plain service ran a request. */
+  /** Returns the number of times that the plain service ran a request. */
   public int runs(String request) {
     return runs.getOrDefault(request, 0);
   }
 
-  /** Plain requests that were run more than once. */
-  public Set<String> ranTwice() {
+  /** Returns the plain requests that were run more than once. */
+  public Set<String> repeatedRuns() {
     Set<String> twice = new HashSet<>();
     runs.forEach(
         (request, count) -> {
@@ -55,32 +58,32 @@
     return twice;
   }
 
-  /** Tokens used at the engines in all. */
+  /** Returns the total number of tokens used at the engines. */
   public long engineTokens() {
     return tokens.values().stream().flatMap(List::stream).mapToLong(Long::longValue).sum();
   }
 
-  /** Calls that the plain service ran in all. */
+  /** Returns the total number of calls that the plain service ran. */
   public long serviceRuns() {
     return runs.values().stream().mapToLong(Integer::longValue).sum();
   }
 
-  private void takeEngineLine(JsonNode line) {
+  private void addEngineEvent(JsonNode line) {
     if (!ENDS.contains(line.path("kind").asText())) {
       return;
     }
-    used(
+    addTokens(
         line.path("request").asText(),
         line.path("prompt_tokens").asLong() + line.path("completion_tokens").asLong());
   }
 
-  /** Notes that an engine used tokens for a request. */
-  void used(String request, long count) {
+  /** Records the tokens that an engine used for a request. */
+  void addTokens(String request, long count) {
     tokens.computeIfAbsent(request, id -> new ArrayList<>()).add(count);
   }
 
-  /** Notes how often the plain service ran a request. */
-  void ran(String request, int count) {
+  /** Records the number of times that the plain service ran a request. */
+  void addRuns(String request, int count) {
     runs.put(request, count);
   }
 }
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/DemoFiles.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/SettingsFiles.java
@@ -6,24 +6,24 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** The demo's settings files, in a folder of their own. */
-final class DemoFiles {
+/** Writes the settings files of the demo's processes to a folder. */
+final class SettingsFiles {
   private final Path folder;
 
-  DemoFiles(Path folder) {
+  SettingsFiles(Path folder) {
     this.folder = folder;
   }
 
-  /** Writes the resource {@code name} as it is. */
+  /** Writes the resource {@code name} to the folder. */
   Path resource(String name) throws DemoException {
     return write(name, text(name));
   }
 
-  /** The resource {@code name} as text. */
+  /** Returns the text of the resource {@code name}. */
   static String text(String name) throws DemoException {
-    try (InputStream in = DemoFiles.class.getResourceAsStream(name)) {
+    try (InputStream in = SettingsFiles.class.getResourceAsStream(name)) {
       if (in == null) {
-        throw new DemoException("no resource " + name);
+        throw new DemoException("missing resource " + name);
       }
       return new String(in.readAllBytes(), StandardCharsets.UTF_8);
     } catch (IOException e) {
@@ -31,7 +31,10 @@
     }
   }
 
-  /** A list that forgets a dead instance soon, so that the demo stays short. */
+  /**
+   * Writes the platform's settings. Its list removes a dead instance after a short time, so that
+   * the demo does not take long.
+   */
   Path platform() throws DemoException {
     return write(
         "platform.toml",
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/package-info.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/package-info.java
@@ -1,4 +1,4 @@
-/** The demo: the whole path as processes, a mixed load, a killed router, and whether it adds up. */
+/** The demo, which kills a router of a fleet of processes under load and audits the outcome. */
 @NullMarked
 package org.teaseldeal.bench.demo;
 
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/CallStep.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/CallStep.java
@@ -4,15 +4,23 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One request of a plan.
+ * A request that a fault plan sends.
  *
- * @param pick which instance it goes to, by remainder
- * @param key the caller's idempotency key; repeated by later steps, as a caller that retries does
- * @param hangUpAfter when the caller closes its connection, if it does
+ * @param at the time of sending, counted from the start of the run
+ * @param instanceIndex the index, modulo the number of instances, of the instance that receives the
+ *     request
+ * @param key the caller's idempotency key; later steps may carry the same key, which models a
+ *     caller that retries
+ * @param hangUpAfter the time after sending at which the caller closes its connection, or null if
+ *     it waits for the answer
  */
 record CallStep(
-    Duration at, Service service, int pick, @Nullable String key, @Nullable Duration hangUpAfter) {
-  /** The services of the fleet that is played. */
+    Duration at,
+    Service service,
+    int instanceIndex,
+    @Nullable String key,
+    @Nullable Duration hangUpAfter) {
+  /** The services that the simulated fleet offers. */
   enum Service {
     DRAFTS("drafts", true, true),
     HOLDS("holds", true, false),
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/Coverage.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/Coverage.java
@@ -3,27 +3,29 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.stream.Collectors;
-import org.teaseldeal.bench.fault.HistoryEvent.Struck;
+import org.teaseldeal.bench.fault.HistoryEvent.FaultInjected;
 
 /**
- * How often each fault struck while requests were in each stage; a pair never met proves nothing.
+ * Counts how often each kind of fault was injected while requests were in each stage.
+ *
+ * <p>A pair of fault and stage with the count zero has not been tested by the run.
  */
 final class Coverage {
   private final TreeMap<String, TreeMap<String, Integer>> counts = new TreeMap<>();
 
   void add(History history) {
     history
-        .all(Struck.class)
+        .all(FaultInjected.class)
         .forEach(
-            struck -> {
+            injected -> {
               TreeMap<String, Integer> row =
-                  counts.computeIfAbsent(struck.fault(), fault -> new TreeMap<>());
+                  counts.computeIfAbsent(injected.fault(), fault -> new TreeMap<>());
               row.merge("struck", 1, Integer::sum);
-              struck.stages().forEach((stage, requests) -> row.merge(stage, 1, Integer::sum));
+              injected.stages().forEach((stage, requests) -> row.merge(stage, 1, Integer::sum));
             });
   }
 
-  String text() {
+  String format() {
     return counts.entrySet().stream()
         .map(row -> "  %-22s %s".formatted(row.getKey(), cells(row.getValue())))
         .collect(Collectors.joining(System.lineSeparator()));
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/Deployment.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/Deployment.java
@@ -3,11 +3,17 @@
 import java.time.Duration;
 import org.teaseldeal.settings.LeasePolicySettings;
 
-/** Whose lease policy a run uses. */
+/** The deployment whose lease policy a run uses. */
 public enum Deployment {
-  /** Overspend weighs most, and what a dead instance strands is public money: small leases. */
+  /**
+   * The municipal deployment. It uses small leases, because it has to avoid overspending above all
+   * and the tokens that a dead instance strands are public money.
+   */
   AARHUS(new LeasePolicySettings(Duration.ofSeconds(10), 0.1, 300, Duration.ofSeconds(15))),
-  /** False refusals weigh most: leases that outlast a log outage. */
+  /**
+   * The association's deployment. Its leases outlast an outage of the log, because it has to avoid
+   * false refusals above all.
+   */
   ASSOCIATION(new LeasePolicySettings(Duration.ofSeconds(40), 0.25, 600, Duration.ofSeconds(60)));
 
   private final LeasePolicySettings lease;
@@ -16,7 +22,7 @@
     this.lease = lease;
   }
 
-  /** How budgets are divided among instances. */
+  /** Returns the policy by which budgets are leased to instances. */
   public LeasePolicySettings lease() {
     return lease;
   }
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/FaultKind.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/FaultKind.java
@@ -3,120 +3,124 @@
 import java.time.Duration;
 import java.util.Locale;
 
-/** The faults of the brief, each as a change of a fleet that is undone when its time is over. */
+/**
+ * The kinds of fault that can be injected into a simulated fleet. Faults that have a duration are
+ * reverted when it is over.
+ */
 public enum FaultKind {
   LOG_DOWN {
     @Override
-    void strike(FaultRun run, FaultStep step) {
-      run.during(step, () -> run.log().down = true, () -> run.log().down = false);
+    void inject(FaultRun run, FaultStep step) {
+      run.applyForDuration(step, () -> run.log().down = true, () -> run.log().down = false);
     }
   },
   LOG_SLOW {
     @Override
-    void strike(FaultRun run, FaultStep step) {
+    void inject(FaultRun run, FaultStep step) {
       Duration usual = Duration.ofMillis(2);
-      Duration slow = Duration.ofMillis(50 + step.pick() % 650);
-      run.during(step, () -> run.log().oneWay = slow, () -> run.log().oneWay = usual);
+      Duration slow = Duration.ofMillis(50 + step.targetIndex() % 650);
+      run.applyForDuration(step, () -> run.log().oneWay = slow, () -> run.log().oneWay = usual);
     }
   },
   LOST_ANSWERS {
     @Override
-    void strike(FaultRun run, FaultStep step) {
-      run.during(step, () -> run.log().losesAnswers = true, () -> run.log().losesAnswers = false);
+    void inject(FaultRun run, FaultStep step) {
+      run.applyForDuration(
+          step, () -> run.log().losesAnswers = true, () -> run.log().losesAnswers = false);
     }
   },
   FREEZE {
     @Override
-    void strike(FaultRun run, FaultStep step) {
-      var instance = run.instance(step.pick());
-      run.during(step, instance::freeze, instance::wake);
+    void inject(FaultRun run, FaultStep step) {
+      var instance = run.instance(step.targetIndex());
+      run.applyForDuration(step, instance::freeze, instance::wake);
     }
   },
   PARTITION {
     @Override
-    void strike(FaultRun run, FaultStep step) {
+    void inject(FaultRun run, FaultStep step) {
       run.partition(step);
     }
   },
   KILL {
     @Override
-    void strike(FaultRun run, FaultStep step) {
-      run.kill(step.pick());
+    void inject(FaultRun run, FaultStep step) {
+      run.kill(step.targetIndex());
     }
   },
   DRAIN {
     @Override
-    void strike(FaultRun run, FaultStep step) {
-      run.drain(step.pick());
+    void inject(FaultRun run, FaultStep step) {
+      run.drain(step.targetIndex());
     }
   },
   RETIRE_FROZEN {
     @Override
-    void strike(FaultRun run, FaultStep step) {
+    void inject(FaultRun run, FaultStep step) {
       run.retireFrozen(step);
     }
   },
   SERVER_CRASH {
     @Override
-    void strike(FaultRun run, FaultStep step) {
-      var server = run.server(step.pick());
-      run.during(step, server::crash, () -> server.gone = false);
+    void inject(FaultRun run, FaultStep step) {
+      var server = run.server(step.targetIndex());
+      run.applyForDuration(step, server::crash, () -> server.gone = false);
     }
   },
   SILENT_SERVER {
     @Override
-    void strike(FaultRun run, FaultStep step) {
-      var server = run.server(step.pick());
-      run.during(step, () -> server.silent = true, () -> server.silent = false);
+    void inject(FaultRun run, FaultStep step) {
+      var server = run.server(step.targetIndex());
+      run.applyForDuration(step, () -> server.silent = true, () -> server.silent = false);
     }
   },
   FORGOTTEN_CONNECTIONS {
     @Override
-    void strike(FaultRun run, FaultStep step) {
-      run.server(step.pick()).forgetConnections();
+    void inject(FaultRun run, FaultStep step) {
+      run.server(step.targetIndex()).forgetConnections();
     }
   },
   REFUSING_SERVER {
     @Override
-    void strike(FaultRun run, FaultStep step) {
-      var server = run.server(step.pick());
-      run.during(step, () -> server.refuses = true, () -> server.refuses = false);
+    void inject(FaultRun run, FaultStep step) {
+      var server = run.server(step.targetIndex());
+      run.applyForDuration(step, () -> server.refuses = true, () -> server.refuses = false);
     }
   },
   LEAVING_SERVER {
     @Override
-    void strike(FaultRun run, FaultStep step) {
-      run.leave(step.pick());
+    void inject(FaultRun run, FaultStep step) {
+      run.startLeaving(step.targetIndex());
     }
   },
   STALE_LIST {
     @Override
-    void strike(FaultRun run, FaultStep step) {
-      run.staleList(step);
+    void inject(FaultRun run, FaultStep step) {
+      run.freezeList(step);
     }
   },
   CRASHING_REQUEST {
     @Override
-    void strike(FaultRun run, FaultStep step) {
-      run.crashingRequest(step);
+    void inject(FaultRun run, FaultStep step) {
+      run.sendCrashingRequest(step);
     }
   },
   TOP_UP {
     @Override
-    void strike(FaultRun run, FaultStep step) {
-      run.topUp(step.pick());
+    void inject(FaultRun run, FaultStep step) {
+      run.topUp(step.targetIndex());
     }
   },
   OPERATOR_RACE {
     @Override
-    void strike(FaultRun run, FaultStep step) {
-      run.race();
+    void inject(FaultRun run, FaultStep step) {
+      run.publishConcurrently();
     }
   };
 
-  abstract void strike(FaultRun run, FaultStep step);
+  abstract void inject(FaultRun run, FaultStep step);
 
-  /** The name on the command line and in histories. */
+  /** Returns the name that is used on the command line and in histories. */
   public String label() {
     return name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/FaultPlan.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/FaultPlan.java
@@ -8,14 +8,22 @@
 import java.util.TreeSet;
 import org.jspecify.annotations.Nullable;
 
-/** All that happens in a run, fixed before it starts, so that parts can be left out of it. */
+/**
+ * The requests and faults of a run.
+ *
+ * <p>They are fixed before the run starts, so that a failing plan can be shortened by removing
+ * single steps.
+ */
 record FaultPlan(
     long seed, Deployment deployment, long budget, List<CallStep> calls, List<FaultStep> faults) {
-  /** Calls and faults fall within this time; after it everything is healed. */
-  static final Duration ACTIVE = Duration.ofSeconds(12);
+  /**
+   * The period from the start of a run in which requests are sent and faults begin. The run clears
+   * the remaining faults afterwards.
+   */
+  static final Duration ACTIVE_TIME = Duration.ofSeconds(12);
 
-  private static final int CALLS = 150;
-  private static final int LONGEST_FAULT_MILLIS = 4_000;
+  private static final int CALL_COUNT = 150;
+  private static final int MAX_FAULT_MILLIS = 4_000;
   private static final CallStep.Service[] SERVICES = CallStep.Service.values();
 
   FaultPlan {
@@ -23,10 +31,13 @@
     faults = List.copyOf(faults);
   }
 
-  /** Draws a plan; every other fault strikes while the one before it lasts. */
+  /**
+   * Draws a plan from a seed. Every second fault begins while the fault before it lasts, so that
+   * faults overlap.
+   */
   static FaultPlan draw(long seed, Deployment deployment, Set<FaultKind> kinds) {
     SplittableRandom random = new SplittableRandom(seed);
-    // Some budgets run out, some don't.
+    // The range covers budgets that run out during the run and budgets that do not.
     long budget = 900 + 900L * random.nextInt(8);
     return new FaultPlan(seed, deployment, budget, calls(random), faults(random, kinds));
   }
@@ -34,14 +45,14 @@
   private static List<CallStep> calls(SplittableRandom random) {
     List<CallStep> calls = new ArrayList<>();
     int keys = 0;
-    for (int i = 0; i < CALLS; i++) {
+    for (int i = 0; i < CALL_COUNT; i++) {
       CallStep.Service service = SERVICES[random.nextInt(SERVICES.length)];
       String key = null;
       if (!service.idempotent() || random.nextInt(4) == 0) {
         keys = random.nextInt(3) == 0 ? keys : keys + 1;
         key = service.label() + "-" + keys;
       }
-      Duration at = Duration.ofMillis(random.nextLong(ACTIVE.toMillis()));
+      Duration at = Duration.ofMillis(random.nextLong(ACTIVE_TIME.toMillis()));
       calls.add(new CallStep(at, service, random.nextInt(64), key, hangUp(random)));
     }
     return calls;
@@ -56,16 +67,16 @@
     List<FaultStep> faults = new ArrayList<>();
     int count = choice.isEmpty() ? 0 : 2 + random.nextInt(8);
     for (int i = 0; i < count; i++) {
-      long at = random.nextLong(ACTIVE.toMillis());
+      long at = random.nextLong(ACTIVE_TIME.toMillis());
       if (i % 2 == 1) {
-        FaultStep before = faults.getLast();
-        at = before.at().toMillis() + random.nextLong(before.lasting().toMillis() + 1);
+        FaultStep previous = faults.getLast();
+        at = previous.at().toMillis() + random.nextLong(previous.duration().toMillis() + 1);
       }
       faults.add(
           new FaultStep(
               Duration.ofMillis(at),
               choice.get(random.nextInt(choice.size())),
-              Duration.ofMillis(random.nextInt(LONGEST_FAULT_MILLIS)),
+              Duration.ofMillis(random.nextInt(MAX_FAULT_MILLIS)),
               random.nextInt(1 << 20)));
     }
     return faults;
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/FaultRun.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/FaultRun.java
@@ -27,30 +27,43 @@
 import org.teaseldeal.ledger.outcome.Outcome;
 import org.teaseldeal.ledger.state.AccountView;
 
-/** Plays a plan on a fleet in virtual time and records its history. */
+/** Executes a fault plan on a simulated fleet in virtual time and records its history. */
 final class FaultRun {
-  /** Longer than an engine is asked for the usage of an abandoned run. */
-  private static final Duration HEALED = Duration.ofSeconds(75);
-
-  private static final Duration WATCH = Duration.ofMillis(10);
-  private static final Duration TIMEOUT = Duration.ofSeconds(8);
-  private static final Duration LEAVING_FOR = Duration.ofSeconds(20);
-  private static final Set<ErrorKind> FOR_TOKENS =
+  /**
+   * The time that the fleet runs on after all faults are cleared. It is longer than the period in
+   * which an instance asks an engine for the token usage of an abandoned run.
+   */
+  private static final Duration RECOVERY_TIME = Duration.ofSeconds(75);
+
+  private static final Duration OBSERVATION_INTERVAL = Duration.ofMillis(10);
+  private static final Duration CALL_TIMEOUT = Duration.ofSeconds(8);
+  private static final Duration LEAVE_TIME = Duration.ofSeconds(20);
+  private static final Set<ErrorKind> TOKEN_REFUSALS =
       EnumSet.of(ErrorKind.NO_LEASE, ErrorKind.BUDGET_EXHAUSTED);
   private static final AccountId BUDGET = AccountId.parse("wool");
   private static final List<String> SERVERS = List.of("engine-a", "engine-b", "desk-a", "desk-b");
   private static final String CRASHING_PROMPT = "prompt of crash";
 
-  /** What the fleet's cost was beside its history. */
+  /**
+   * The costs of a run that its history does not contain.
+   *
+   * @param appends the number of appends to the log
+   * @param stranded the tokens that are leased or written off at the end of the run
+   */
   record Cost(long appends, long stranded) {}
 
-  private record Open(int number, FakeCall call, boolean taken) {}
+  /**
+   * A request that has not ended yet.
+   *
+   * @param accepted whether the instance was alive when the request was sent
+   */
+  private record OutstandingCall(int number, FakeCall call, boolean accepted) {}
 
   private final FaultPlan plan;
   private final FakeFleet fleet;
   private final History history = new History();
   private final List<FakeInstance> instances;
-  private final List<Open> open = new ArrayList<>();
+  private final List<OutstandingCall> outstandingCalls = new ArrayList<>();
   private final Map<String, Long> revisions = new HashMap<>();
   private final Map<String, Long> publishedAt = new HashMap<>();
   private final Instant start;
@@ -64,18 +77,22 @@
     fleet.addServer("desk-b", "desks");
     instances = new ArrayList<>(fleet.startReady("r1", "r2", "r3"));
     start = fleet.simulation().instant();
-    history.add(new HistoryEvent.Granted(0, BUDGET.toString(), plan.budget()));
-    instances.forEach(instance -> changed(instance, Change.STARTED));
+    history.add(new HistoryEvent.TokensGranted(0, BUDGET.toString(), plan.budget()));
+    instances.forEach(instance -> recordLifecycle(instance, Change.STARTED));
   }
 
-  /** The history of a plan and what it cost, with parts of the instances changed. */
+  /**
+   * Executes a plan.
+   *
+   * @param change replaces parts of the instances, for tests that expect a promise to be broken
+   */
   static Result play(FaultPlan plan, UnaryOperator<InstanceParts> change) {
     FaultRun run = new FaultRun(plan, change);
     run.play();
     return new Result(plan, run.history, run.cost());
   }
 
-  /** A played plan. */
+  /** The history and the costs of an executed plan. */
   record Result(FaultPlan plan, History history, Cost cost) {}
 
   private void play() {
@@ -83,24 +100,24 @@
       fleet.simulation().after(step.at(), () -> call(step));
     }
     for (FaultStep step : plan.faults()) {
-      fleet.simulation().after(step.at(), () -> strike(step));
+      fleet.simulation().after(step.at(), () -> injectFault(step));
     }
-    fleet.simulation().every(WATCH, this::watch);
-    fleet.simulation().run(FaultPlan.ACTIVE.plusSeconds(5));
-    heal();
-    fleet.simulation().run(HEALED);
-    conclude();
+    fleet.simulation().every(OBSERVATION_INTERVAL, this::recordObservations);
+    fleet.simulation().run(FaultPlan.ACTIVE_TIME.plusSeconds(5));
+    clearFaults();
+    fleet.simulation().run(RECOVERY_TIME);
+    recordFinalState();
   }
 
   private void call(CallStep step) {
-    FakeInstance instance = instance(step.pick());
+    FakeInstance instance = instance(step.instanceIndex());
     Optional<String> key = Optional.ofNullable(step.key());
     CallStep.Service service = step.service();
     FakeCall call =
         service.model()
-            ? instance.callModel("mill", service.label(), key, TIMEOUT)
-            : instance.callPlain("mill", service.label(), key, TIMEOUT, key.orElse("-"));
-    sent(instance, call, service.label(), step.key(), service.idempotent());
+            ? instance.callModel("mill", service.label(), key, CALL_TIMEOUT)
+            : instance.callPlain("mill", service.label(), key, CALL_TIMEOUT, key.orElse("-"));
+    recordSent(instance, call, service.label(), step.key(), service.idempotent());
     if (step.hangUpAfter() != null) {
       int number = calls;
       fleet
@@ -116,7 +133,7 @@
     }
   }
 
-  private void sent(
+  private void recordSent(
       FakeInstance instance,
       FakeCall call,
       String service,
@@ -126,22 +143,26 @@
     history.add(
         new HistoryEvent.Sent(
             now(), calls, instance.incarnation().value(), service, key, idempotent));
-    open.add(new Open(calls, call, instance.alive()));
+    outstandingCalls.add(new OutstandingCall(calls, call, instance.alive()));
   }
 
-  private void strike(FaultStep step) {
+  private void injectFault(FaultStep step) {
     Map<String, Integer> stages = new TreeMap<>();
     for (FakeInstance instance : instances) {
       instance.core().dump().requests().forEach(r -> stages.merge(r.stage(), 1, Integer::sum));
     }
     history.add(
-        new HistoryEvent.Struck(now(), step.kind().label(), step.lasting().toMillis(), stages));
-    step.kind().strike(this, step);
+        new HistoryEvent.FaultInjected(
+            now(), step.kind().label(), step.duration().toMillis(), stages));
+    step.kind().inject(this, step);
   }
 
-  /** Notes what callers and operators can see by now. */
-  private void watch() {
-    open.removeIf(
+  /**
+   * Records the requests that have ended and the settings revisions that have taken effect since
+   * the last observation.
+   */
+  private void recordObservations() {
+    outstandingCalls.removeIf(
         each -> {
           if (each.call.ended()) {
             history.add(ended(each));
@@ -156,12 +177,12 @@
       String incarnation = instance.incarnation().value();
       Long before = revisions.put(incarnation, revision);
       if (before == null || before != revision) {
-        history.add(new HistoryEvent.InForce(now(), incarnation, revision));
+        history.add(new HistoryEvent.RevisionInForce(now(), incarnation, revision));
       }
     }
   }
 
-  private HistoryEvent.Ended ended(Open each) {
+  private HistoryEvent.Ended ended(OutstandingCall each) {
     FakeCall call = each.call;
     return new HistoryEvent.Ended(
         now(),
@@ -172,10 +193,10 @@
         call.plainBody().map(List::of).orElseGet(call::frames),
         call.error().map(kind -> kind.label()).orElse(null),
         call.problem().map(problem -> problem.run().label()).orElse(null),
-        call.error().filter(FOR_TOKENS::contains).map(kind -> freeTokens()).orElse(0L));
+        call.error().filter(TOKEN_REFUSALS::contains).map(kind -> freeTokens()).orElse(0L));
   }
 
-  private static HistoryEvent.End end(Open each) {
+  private static HistoryEvent.End end(OutstandingCall each) {
     FakeCall call = each.call;
     if (call.usage().isPresent() || call.plainBody().isPresent()) {
       return HistoryEvent.End.WHOLE;
@@ -183,10 +204,13 @@
     if (call.problem().isPresent()) {
       return call.broken() ? HistoryEvent.End.BROKEN : HistoryEvent.End.REFUSED;
     }
-    return each.taken ? HistoryEvent.End.CONNECTION_LOST : HistoryEvent.End.CONNECTION_REFUSED;
+    return each.accepted ? HistoryEvent.End.CONNECTION_LOST : HistoryEvent.End.CONNECTION_REFUSED;
   }
 
-  /** What remains at the ledger, and what live instances hold without having reserved it. */
+  /**
+   * Returns the sum of the tokens that remain in the ledger and the leased tokens that live
+   * instances have not reserved.
+   */
   private long freeTokens() {
     long idle =
         instances.stream()
@@ -197,14 +221,14 @@
     return fleet.budget().remaining() + idle;
   }
 
-  private void heal() {
+  private void clearFaults() {
     fleet.log().down = false;
     fleet.log().losesAnswers = false;
     fleet.log().oneWay = Duration.ofMillis(2);
     instances.forEach(FakeInstance::wake);
   }
 
-  private void conclude() {
+  private void recordFinalState() {
     for (String name : SERVERS) {
       FakeServer server = fleet.serverOf(name);
       for (FakeServer.Start each : server.startLog()) {
@@ -212,7 +236,7 @@
         history.add(new HistoryEvent.Ran(at, name, each.request().value()));
       }
     }
-    history.add(new HistoryEvent.Used("all", fleet.tokensSpent()));
+    history.add(new HistoryEvent.TokensUsed("all", fleet.tokensSpent()));
     fleet.outcomes(
         settled -> {
           switch (settled.outcome()) {
@@ -236,9 +260,10 @@
             view.remaining()));
   }
 
-  private HistoryEvent.Published published(String operator, long revision, boolean accepted) {
+  private HistoryEvent.SettingsPublished published(
+      String operator, long revision, boolean accepted) {
     long at = publishedAt.getOrDefault(operator, 0L);
-    return new HistoryEvent.Published(at, operator, revision, accepted);
+    return new HistoryEvent.SettingsPublished(at, operator, revision, accepted);
   }
 
   private Cost cost() {
@@ -250,52 +275,56 @@
     return fleet.log();
   }
 
-  FakeInstance instance(int pick) {
-    return instances.get(Math.floorMod(pick, instances.size()));
+  FakeInstance instance(int index) {
+    return instances.get(Math.floorMod(index, instances.size()));
   }
 
-  FakeServer server(int pick) {
-    return fleet.serverOf(SERVERS.get(Math.floorMod(pick, SERVERS.size())));
+  FakeServer server(int index) {
+    return fleet.serverOf(SERVERS.get(Math.floorMod(index, SERVERS.size())));
   }
 
-  void during(FaultStep step, Runnable begin, Runnable end) {
+  void applyForDuration(FaultStep step, Runnable begin, Runnable end) {
     begin.run();
-    fleet.simulation().after(step.lasting(), end);
+    fleet.simulation().after(step.duration(), end);
   }
 
   void partition(FaultStep step) {
-    FakeInstance cut = instance(step.pick());
+    FakeInstance isolated = instance(step.targetIndex());
     for (FakeInstance other : List.copyOf(instances)) {
-      if (other != cut) {
-        during(step, () -> fleet.cut(cut, other, true), () -> fleet.cut(cut, other, false));
+      if (other != isolated) {
+        applyForDuration(
+            step, () -> fleet.cut(isolated, other, true), () -> fleet.cut(isolated, other, false));
       }
     }
   }
 
-  void kill(int pick) {
-    FakeInstance victim = instance(pick);
+  void kill(int index) {
+    FakeInstance victim = instance(index);
     victim.kill();
-    changed(victim, Change.KILLED);
+    recordLifecycle(victim, Change.KILLED);
     replace(victim);
   }
 
-  void drain(int pick) {
-    FakeInstance leaving = instance(pick);
+  void drain(int index) {
+    FakeInstance leaving = instance(index);
     leaving.deliver(new InstanceEvent.DrainRequested());
-    changed(leaving, Change.DRAINED);
+    recordLifecycle(leaving, Change.DRAINED);
     replaceOnceStopped(leaving);
   }
 
-  /** An operator takes a frozen instance for gone; it wakes up and goes on. */
+  /**
+   * Freezes an instance, lets an operator retire it as if it had ended, and wakes it after the
+   * fault's duration.
+   */
   void retireFrozen(FaultStep step) {
-    FakeInstance frozen = instance(step.pick());
-    during(step, frozen::freeze, frozen::wake);
+    FakeInstance frozen = instance(step.targetIndex());
+    applyForDuration(step, frozen::freeze, frozen::wake);
     fleet.log().write("ops", new Entry.Retire(frozen.incarnation(), "ops"));
-    changed(frozen, Change.RETIRED);
+    recordLifecycle(frozen, Change.RETIRED);
     replaceOnceStopped(frozen);
   }
 
-  private void changed(FakeInstance instance, Change change) {
+  private void recordLifecycle(FakeInstance instance, Change change) {
     history.add(new HistoryEvent.Lifecycle(now(), instance.incarnation().value(), change));
   }
 
@@ -311,54 +340,54 @@
   }
 
   private void replace(FakeInstance instance) {
-    int which = instances.indexOf(instance);
-    instances.set(which, fleet.start("r" + (which + 1), "hal-nord"));
-    changed(instances.get(which), Change.STARTED);
+    int index = instances.indexOf(instance);
+    instances.set(index, fleet.start("r" + (index + 1), "hal-nord"));
+    recordLifecycle(instances.get(index), Change.STARTED);
   }
 
-  void leave(int pick) {
-    // One of each pool stays, or there would be nothing to serve with.
-    FakeServer server = fleet.serverOf(pick % 2 == 0 ? "engine-b" : "desk-b");
+  void startLeaving(int index) {
+    // One server of each pool stays, because otherwise no server could run requests.
+    FakeServer server = fleet.serverOf(index % 2 == 0 ? "engine-b" : "desk-b");
     server.leaving = true;
-    history.add(new HistoryEvent.Leaving(now(), server.id().name()));
-    fleet.simulation().after(LEAVING_FOR, () -> server.gone = true);
+    history.add(new HistoryEvent.ServerLeaving(now(), server.id().name()));
+    fleet.simulation().after(LEAVE_TIME, () -> server.gone = true);
   }
 
-  void staleList(FaultStep step) {
-    FakeInstance instance = instance(step.pick());
-    during(step, () -> fleet.freezeListOf(instance), () -> fleet.thawListOf(instance));
+  void freezeList(FaultStep step) {
+    FakeInstance instance = instance(step.targetIndex());
+    applyForDuration(step, () -> fleet.freezeListOf(instance), () -> fleet.thawListOf(instance));
   }
 
-  void crashingRequest(FaultStep step) {
+  void sendCrashingRequest(FaultStep step) {
     fleet.serverOf("engine-a").endsOn = CRASHING_PROMPT;
     fleet.serverOf("engine-b").endsOn = CRASHING_PROMPT;
     for (int i = 0; i < 3; i++) {
-      FakeInstance instance = instance(step.pick() + i);
-      FakeCall call = instance.callModel("mill", "drafts", Optional.of("crash"), TIMEOUT);
-      sent(instance, call, "drafts", "crash", true);
+      FakeInstance instance = instance(step.targetIndex() + i);
+      FakeCall call = instance.callModel("mill", "drafts", Optional.of("crash"), CALL_TIMEOUT);
+      recordSent(instance, call, "drafts", "crash", true);
     }
     fleet
         .simulation()
         .after(
-            step.lasting(),
+            step.duration(),
             () -> {
               fleet.serverOf("engine-a").gone = false;
               fleet.serverOf("engine-b").gone = false;
             });
   }
 
-  void topUp(int pick) {
-    long tokens = 200 + pick % 800;
+  void topUp(int index) {
+    long tokens = 200 + index % 800;
     String operation = "top-up-" + ++operations;
     Entry topUp = new Entry.TopUp(BUDGET, tokens, "ops", operation);
     fleet.log().write("ops", topUp);
-    // A repeat after a lost answer counts once.
+    // Writes the top-up twice, as an operator does whose first answer was lost. It must count once.
     fleet.log().write("ops", topUp);
-    history.add(new HistoryEvent.Granted(now(), BUDGET.toString(), tokens));
+    history.add(new HistoryEvent.TokensGranted(now(), BUDGET.toString(), tokens));
   }
 
-  /** Two operators publish on the same base. */
-  void race() {
+  /** Lets two operators publish settings on the same base revision at the same time. */
+  void publishConcurrently() {
     for (String operator : List.of("ops-a-" + ++operations, "ops-b-" + operations)) {
       publishedAt.put(operator, now());
     }
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/FaultStep.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/FaultStep.java
@@ -3,8 +3,10 @@
 import java.time.Duration;
 
 /**
- * One fault of a plan.
+ * A fault that a fault plan injects.
  *
- * @param pick which instance or server it strikes, by remainder
+ * @param at the time of injection, counted from the start of the run
+ * @param targetIndex the index, modulo the number of instances or backend servers, of the one that
+ *     the fault affects
  */
-record FaultStep(Duration at, FaultKind kind, Duration lasting, int pick) {}
+record FaultStep(Duration at, FaultKind kind, Duration duration, int targetIndex) {}
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/FaultSummary.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/FaultSummary.java
@@ -5,15 +5,15 @@
 import org.teaseldeal.bench.fault.HistoryEvent.Balance;
 import org.teaseldeal.bench.fault.HistoryEvent.End;
 import org.teaseldeal.bench.fault.HistoryEvent.Ended;
-import org.teaseldeal.bench.fault.HistoryEvent.Granted;
-import org.teaseldeal.bench.fault.HistoryEvent.Used;
+import org.teaseldeal.bench.fault.HistoryEvent.TokensGranted;
+import org.teaseldeal.bench.fault.HistoryEvent.TokensUsed;
 
 /**
- * What a played plan came to.
+ * The summary of an executed plan.
  *
- * @param refused refusals by cause
- * @param falseRefusals those for want of tokens while twice the worst case lay unreserved at the
- *     ledger and with live instances
+ * @param refused the number of refusals by cause
+ * @param falseRefusals the number of requests that were refused for lack of tokens although the
+ *     ledger and the live instances together held at least twice a request's worst case unreserved
  */
 record FaultSummary(
     int requests,
@@ -23,7 +23,8 @@
     long overspend,
     long stranded,
     long appends) {
-  private static final long WORST_CASE = 100;
+  /** The worst case of a request's token use in the simulated fleet. */
+  private static final long WORST_CASE_TOKENS = 100;
 
   static FaultSummary of(FaultRun.Result result) {
     History history = result.history();
@@ -32,10 +33,10 @@
         .all(Ended.class)
         .filter(end -> end.end() == End.REFUSED)
         .forEach(end -> refused.merge(String.valueOf(end.error()), 1, Integer::sum));
-    long granted = history.all(Granted.class).mapToLong(Granted::tokens).sum();
-    long used = history.all(Used.class).mapToLong(Used::tokens).sum();
+    long granted = history.all(TokensGranted.class).mapToLong(TokensGranted::tokens).sum();
+    long used = history.all(TokensUsed.class).mapToLong(TokensUsed::tokens).sum();
     long falseRefusals =
-        history.all(Ended.class).filter(end -> end.freeTokens() >= 2 * WORST_CASE).count();
+        history.all(Ended.class).filter(end -> end.freeTokens() >= 2 * WORST_CASE_TOKENS).count();
     return new FaultSummary(
         (int) history.all(HistoryEvent.Sent.class).count(),
         (int) history.all(Ended.class).filter(end -> end.end() == End.WHOLE).count(),
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/FaultsCommand.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/FaultsCommand.java
@@ -20,23 +20,25 @@
 import org.teaseldeal.cli.CommandException;
 import org.teaseldeal.cli.ExitStatus;
 
-/** Plays seeds of faults and checks every promise of the brief on each. */
-@Parameters(commandDescription = "Play faults in virtual time from seeds and check every promise")
+/** Executes a fault plan for each seed and checks every promise against its history. */
+@Parameters(commandDescription = "Simulate faults in virtual time and check every promise")
 public final class FaultsCommand extends Command {
-  private static final int BATCH = 64;
+  private static final int BATCH_SIZE = 64;
 
   @Parameter(names = "--seed", description = "The first seed")
   private long seed = 1;
 
-  @Parameter(names = "--seeds", description = "How many seeds to play")
+  @Parameter(names = "--seeds", description = "Number of seeds to run")
   private long seeds = 1;
 
   @Parameter(
       names = "--fault",
-      description = "Faults to draw from, separated by commas; all if none")
+      description = "Faults to draw from, separated by commas; all if not given")
   private List<String> faults = new ArrayList<>();
 
-  @Parameter(names = "--deployment", description = "Whose lease policy: aarhus or association")
+  @Parameter(
+      names = "--deployment",
+      description = "Deployment whose lease policy is used: aarhus or association")
   private String deployment = "aarhus";
 
   @Parameter(names = "--history", description = "File for the history of the last seed")
@@ -58,9 +60,11 @@
   protected ExitStatus run(PrintStream out, PrintStream err) throws CommandException {
     Set<FaultKind> kinds = kinds();
     Deployment chosen = chosenDeployment();
-    for (long from = seed; from < seed + seeds; from += BATCH) {
-      long to = Math.min(from + BATCH, seed + seeds);
-      // Seeds share nothing, so several are played at once; they are reported in order.
+    for (long from = seed; from < seed + seeds; from += BATCH_SIZE) {
+      long to = Math.min(from + BATCH_SIZE, seed + seeds);
+      // Runs share no state, so a batch of seeds is executed in parallel. Results are reported in
+      // the
+      // order of the seeds.
       List<FaultRun.Result> results =
           LongStream.range(from, to)
               .parallel()
@@ -141,7 +145,7 @@
         (double) stranded / seeds,
         1e3 * appends / Math.max(1, requests));
     out.println("faults by the stage that requests were in as they struck:");
-    out.println(coverage.text());
+    out.println(coverage.format());
   }
 
   private void write(History played) throws CommandException {
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/History.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/History.java
@@ -8,33 +8,33 @@
 import java.util.stream.Stream;
 
 /**
- * Everything that was seen of a run, in the order in which it was seen; read and written as JSON
- * lines.
+ * The events observed during a run, in the order of their observation. A history is read and
+ * written as JSON lines.
  */
 public final class History {
   private static final ObjectMapper JSON = new ObjectMapper();
 
   private final List<HistoryEvent> events = new ArrayList<>();
 
-  /** Adds what was seen next. */
+  /** Appends an event. */
   public void add(HistoryEvent event) {
     events.add(event);
   }
 
-  /** All events of one kind. */
+  /** Returns all events of one kind, in their order. */
   public <T extends HistoryEvent> Stream<T> all(Class<T> kind) {
     return events.stream().filter(kind::isInstance).map(kind::cast);
   }
 
-  /** The history as JSON lines. */
+  /** Returns the history as JSON lines. */
   public String toLines() {
     return events.stream().map(History::line).collect(Collectors.joining("\n", "", "\n"));
   }
 
   /**
-   * Reads JSON lines.
+   * Reads a history from JSON lines. Blank lines are skipped.
    *
-   * @throws IllegalArgumentException with the line's number if one is no event
+   * @throws IllegalArgumentException if a line is not an event; the message names its number
    */
   public static History ofLines(String text) {
     History history = new History();
@@ -48,7 +48,7 @@
         history.add(JSON.readValue(line, HistoryEvent.class));
       } catch (JsonProcessingException e) {
         throw new IllegalArgumentException(
-            "line %d is no event of a history: %s".formatted(number, e.getOriginalMessage()), e);
+            "line %d is not a history event: %s".formatted(number, e.getOriginalMessage()), e);
       }
     }
     return history;
@@ -58,7 +58,7 @@
     try {
       return JSON.writerFor(HistoryEvent.class).writeValueAsString(event);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("An event could not be written: " + event, e);
+      throw new IllegalStateException("could not write the event " + event, e);
     }
   }
 }
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/HistoryEvent.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/HistoryEvent.java
@@ -7,9 +7,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One line of a history: what a caller, an operator, a backend server or a reader of the whole log
- * saw. No instance's own account of itself is among them, but for the revision it has in force.
- * Times are milliseconds from the start.
+ * An event of a history, as a caller, an operator, a backend server or a reader of the whole log
+ * observed it.
+ *
+ * <p>Only {@link RevisionInForce} is reported by an instance about itself. Times are in
+ * milliseconds since the start of the run.
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "event")
 @JsonSubTypes({
@@ -17,15 +19,15 @@
   @JsonSubTypes.Type(value = HistoryEvent.HungUp.class, name = "hung-up"),
   @JsonSubTypes.Type(value = HistoryEvent.Ended.class, name = "ended"),
   @JsonSubTypes.Type(value = HistoryEvent.Ran.class, name = "ran"),
-  @JsonSubTypes.Type(value = HistoryEvent.Used.class, name = "used"),
-  @JsonSubTypes.Type(value = HistoryEvent.Granted.class, name = "granted"),
+  @JsonSubTypes.Type(value = HistoryEvent.TokensUsed.class, name = "used"),
+  @JsonSubTypes.Type(value = HistoryEvent.TokensGranted.class, name = "granted"),
   @JsonSubTypes.Type(value = HistoryEvent.Charged.class, name = "charged"),
   @JsonSubTypes.Type(value = HistoryEvent.Balance.class, name = "balance"),
-  @JsonSubTypes.Type(value = HistoryEvent.Published.class, name = "published"),
-  @JsonSubTypes.Type(value = HistoryEvent.InForce.class, name = "in-force"),
-  @JsonSubTypes.Type(value = HistoryEvent.Leaving.class, name = "leaving"),
+  @JsonSubTypes.Type(value = HistoryEvent.SettingsPublished.class, name = "published"),
+  @JsonSubTypes.Type(value = HistoryEvent.RevisionInForce.class, name = "in-force"),
+  @JsonSubTypes.Type(value = HistoryEvent.ServerLeaving.class, name = "leaving"),
   @JsonSubTypes.Type(value = HistoryEvent.Lifecycle.class, name = "lifecycle"),
-  @JsonSubTypes.Type(value = HistoryEvent.Struck.class, name = "struck")
+  @JsonSubTypes.Type(value = HistoryEvent.FaultInjected.class, name = "struck")
 })
 public sealed interface HistoryEvent {
   /** A caller sent a request. */
@@ -36,23 +38,24 @@
   /** A caller closed its connection before it had its answer. */
   record HungUp(long at, int call) implements HistoryEvent {}
 
-  /** How callers see a request end. */
+  /** The ways in which a request ends for its caller. */
   enum End {
     WHOLE,
     REFUSED,
     BROKEN,
     CONNECTION_LOST,
-    /** No process took the connection, so no request was taken either. */
+    /** The instance did not accept the connection, so the request was not sent. */
     CONNECTION_REFUSED
   }
 
   /**
    * A caller's request ended.
    *
-   * @param ends final answers that it got, of which there should be one
+   * @param ends the number of final answers that the caller received; more than one is a fault
    * @param parts the frames of a stream, or the body of a plain answer
-   * @param run what an error said about whether the request was run
-   * @param freeTokens tokens that nobody had reserved when it was refused for want of tokens
+   * @param run the value of the error's {@code run} field, which says whether the request was run
+   * @param freeTokens if the request was refused for lack of tokens, the unreserved tokens at that
+   *     time, otherwise 0
    */
   record Ended(
       long at,
@@ -73,31 +76,31 @@
   /** A backend server started to run a request. */
   record Ran(long at, String server, String request) implements HistoryEvent {}
 
-  /** Tokens that all runs of a backend server have used. */
-  record Used(String server, long tokens) implements HistoryEvent {}
+  /** The tokens that all requests run by a backend server have used in total. */
+  record TokensUsed(String server, long tokens) implements HistoryEvent {}
 
   /** An operator granted tokens. */
-  record Granted(long at, String account, long tokens) implements HistoryEvent {}
+  record TokensGranted(long at, String account, long tokens) implements HistoryEvent {}
 
-  /** The log shows a charge. */
+  /** The log contains a charge. */
   record Charged(String request, long tokens) implements HistoryEvent {}
 
-  /** What the log shows of a budget at the end. */
+  /** A budget's state in the log at the end of the run. */
   record Balance(
       String account, long granted, long charged, long writtenOff, long leased, long remaining)
       implements HistoryEvent {}
 
-  /** An operator published settings, and the log shows whether they were accepted. */
-  record Published(long at, String operator, long revision, boolean accepted)
+  /** An operator published settings, and the log accepted or rejected them. */
+  record SettingsPublished(long at, String operator, long revision, boolean accepted)
       implements HistoryEvent {}
 
-  /** An instance has a revision in force. */
-  record InForce(long at, String incarnation, long revision) implements HistoryEvent {}
+  /** A settings revision took effect in an instance. */
+  record RevisionInForce(long at, String incarnation, long revision) implements HistoryEvent {}
 
-  /** The platform lists a backend server as leaving from now on. */
-  record Leaving(long at, String server) implements HistoryEvent {}
+  /** The platform began to list a backend server as leaving. */
+  record ServerLeaving(long at, String server) implements HistoryEvent {}
 
-  /** What becomes of an incarnation. */
+  /** The lifecycle changes of an incarnation. */
   enum Change {
     STARTED,
     KILLED,
@@ -105,17 +108,18 @@
     RETIRED
   }
 
-  /** An incarnation was started, killed, asked to drain, or retired. */
+  /** An incarnation was started, killed, asked to drain or retired. */
   record Lifecycle(long at, String incarnation, Change change) implements HistoryEvent {}
 
   /**
-   * A fault struck.
+   * A fault was injected.
    *
-   * @param stages how many requests were in each stage at that moment
+   * @param lasting the duration of the fault in milliseconds
+   * @param stages the number of requests in each stage at the time of injection
    */
-  record Struck(long at, String fault, long lasting, Map<String, Integer> stages)
+  record FaultInjected(long at, String fault, long lasting, Map<String, Integer> stages)
       implements HistoryEvent {
-    public Struck {
+    public FaultInjected {
       stages = Map.copyOf(stages);
     }
   }
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/Promise.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/Promise.java
@@ -14,26 +14,26 @@
 import org.teaseldeal.bench.fault.HistoryEvent.Charged;
 import org.teaseldeal.bench.fault.HistoryEvent.End;
 import org.teaseldeal.bench.fault.HistoryEvent.Ended;
-import org.teaseldeal.bench.fault.HistoryEvent.Granted;
+import org.teaseldeal.bench.fault.HistoryEvent.FaultInjected;
 import org.teaseldeal.bench.fault.HistoryEvent.HungUp;
-import org.teaseldeal.bench.fault.HistoryEvent.InForce;
-import org.teaseldeal.bench.fault.HistoryEvent.Leaving;
 import org.teaseldeal.bench.fault.HistoryEvent.Lifecycle;
-import org.teaseldeal.bench.fault.HistoryEvent.Published;
 import org.teaseldeal.bench.fault.HistoryEvent.Ran;
+import org.teaseldeal.bench.fault.HistoryEvent.RevisionInForce;
 import org.teaseldeal.bench.fault.HistoryEvent.Sent;
-import org.teaseldeal.bench.fault.HistoryEvent.Struck;
-import org.teaseldeal.bench.fault.HistoryEvent.Used;
+import org.teaseldeal.bench.fault.HistoryEvent.ServerLeaving;
+import org.teaseldeal.bench.fault.HistoryEvent.SettingsPublished;
+import org.teaseldeal.bench.fault.HistoryEvent.TokensGranted;
+import org.teaseldeal.bench.fault.HistoryEvent.TokensUsed;
 
-/** The promises of the brief, each as one check of a history; an empty list means that it held. */
+/** The guarantees of the product. Each is a check that finds the violations in a history. */
 public enum Promise {
-  /** Total spend never exceeds the prepaid budget, and what the log says adds up. */
+  /** Total spend never exceeds the prepaid budget, and the budget in the log is balanced. */
   NO_OVERSPEND {
     @Override
     public List<String> violations(History history) {
       List<String> found = new ArrayList<>();
-      long granted = history.all(Granted.class).mapToLong(Granted::tokens).sum();
-      long used = history.all(Used.class).mapToLong(Used::tokens).sum();
+      long granted = history.all(TokensGranted.class).mapToLong(TokensGranted::tokens).sum();
+      long used = history.all(TokensUsed.class).mapToLong(TokensUsed::tokens).sum();
       if (used > granted) {
         found.add("servers used %d tokens of %d granted".formatted(used, granted));
       }
@@ -68,13 +68,13 @@
               found.add("%s was charged %d times".formatted(request, count));
             }
           });
-      Map<Integer, Sent> sent = sent(history);
-      Set<String> ended = endedHard(history);
+      Map<Integer, Sent> sent = sentByCall(history);
+      Set<String> ended = killedOrRetired(history);
       history
           .all(Ended.class)
           .filter(end -> end.end() == End.WHOLE && !charges.containsKey(end.request()))
-          // A killed instance takes with it what neither the log nor a peer had yet; PROOFS.md
-          // says how often.
+          // When an instance is killed, charges that have reached neither the log nor a peer are
+          // lost. PROOFS.md states how often that happens.
           .filter(end -> ended.isEmpty() || !mayLoseCharges(sent.get(end.call()), ended))
           .forEach(
               end -> found.add("%s was answered whole and not charged".formatted(end.request())));
@@ -82,12 +82,12 @@
     }
   },
 
-  /** A caller receives the whole answer to its own request, once. */
+  /** A caller receives the complete answer to its own request exactly once. */
   WHOLE_OWN_ANSWER {
     @Override
     public List<String> violations(History history) {
       List<String> found = new ArrayList<>();
-      Map<Integer, Sent> sent = sent(history);
+      Map<Integer, Sent> sent = sentByCall(history);
       Set<Integer> open = new HashSet<>(sent.keySet());
       history.all(HungUp.class).forEach(each -> open.remove(each.call()));
       for (Ended end : history.all(Ended.class).toList()) {
@@ -95,8 +95,8 @@
         if (end.ends() > 1) {
           found.add("call %d got %d final answers".formatted(end.call(), end.ends()));
         }
-        Sent asked = sent.get(end.call());
-        if (asked != null && !ownParts(asked, end)) {
+        Sent request = sent.get(end.call());
+        if (request != null && !hasOwnParts(request, end)) {
           found.add("call %d got parts of another answer: %s".formatted(end.call(), end.parts()));
         }
       }
@@ -105,14 +105,14 @@
     }
   },
 
-  /** When a refusal says that a request was not run, it was not run. */
+  /** A request whose refusal says that it was not run has not been run. */
   TRUE_REFUSALS {
     @Override
     public List<String> violations(History history) {
       List<String> found = new ArrayList<>();
-      Map<String, Integer> runs = runs(history);
-      // Calls with one key are one request: a caller that is told "not-run" may send it again under
-      // another key, so that must hold of every try.
+      Map<String, Integer> runs = runsByRequest(history);
+      // Calls with the same key are one request. A caller that receives "not-run" may send the
+      // request again under another key, so the statement has to hold for every attempt.
       for (Ended end : history.all(Ended.class).toList()) {
         if ("not-run".equals(end.run()) && runs.containsKey(end.request())) {
           found.add("call %d was told not-run and ran: %s".formatted(end.call(), end.error()));
@@ -127,18 +127,18 @@
     @Override
     public List<String> violations(History history) {
       List<String> found = new ArrayList<>();
-      Map<String, Integer> runs = runs(history);
-      Map<Integer, Sent> sent = sent(history);
-      Set<String> once = new HashSet<>();
+      Map<String, Integer> runs = runsByRequest(history);
+      Map<Integer, Sent> sent = sentByCall(history);
+      Set<String> nonIdempotent = new HashSet<>();
       history
           .all(Ended.class)
           .filter(end -> !idempotent(sent.get(end.call())))
-          .forEach(end -> once.add(end.request()));
-      // A call that never came to an answer has no request id that its caller knows; its key's
-      // digest is the same for the calls that did.
+          .forEach(end -> nonIdempotent.add(end.request()));
+      // The caller of a call without an answer does not know its request id. The id derives from
+      // the key, so an answered call with the same key has the same id.
       runs.forEach(
           (request, count) -> {
-            if (count > 1 && once.contains(request)) {
+            if (count > 1 && nonIdempotent.contains(request)) {
               found.add("%s ran %d times".formatted(request, count));
             }
           });
@@ -146,13 +146,15 @@
     }
   },
 
-  /** A backend server that is leaving receives no new work after a few seconds. */
+  /** A backend server that is leaving receives no new requests after a few seconds. */
   LEAVING_SERVERS_REST {
     @Override
     public List<String> violations(History history) {
       List<String> found = new ArrayList<>();
       Map<String, Long> leaving = new HashMap<>();
-      history.all(Leaving.class).forEach(each -> leaving.putIfAbsent(each.server(), each.at()));
+      history
+          .all(ServerLeaving.class)
+          .forEach(each -> leaving.putIfAbsent(each.server(), each.at()));
       history
           .all(Ran.class)
           .filter(run -> leaving.containsKey(run.server()))
@@ -174,13 +176,13 @@
       List<String> found = new ArrayList<>();
       Set<String> drained = incarnations(history, Change.DRAINED);
       Set<String> killed = incarnations(history, Change.KILLED);
-      Map<Integer, Sent> sent = sent(history);
+      Map<Integer, Sent> sent = sentByCall(history);
       for (Ended end : history.all(Ended.class).toList()) {
-        Sent asked = sent.get(end.call());
-        if (asked != null
+        Sent request = sent.get(end.call());
+        if (request != null
             && end.end() == End.CONNECTION_LOST
-            && drained.contains(asked.instance())
-            && !killed.contains(asked.instance())) {
+            && drained.contains(request.instance())
+            && !killed.contains(request.instance())) {
           found.add("call %d was cut off by a drain".formatted(end.call()));
         }
       }
@@ -195,7 +197,7 @@
       List<String> found = new ArrayList<>();
       Map<String, Long> revisions = new HashMap<>();
       long last = 0;
-      for (InForce each : history.all(InForce.class).toList()) {
+      for (RevisionInForce each : history.all(RevisionInForce.class).toList()) {
         long before = revisions.getOrDefault(each.incarnation(), 0L);
         if (each.revision() < before) {
           found.add(
@@ -205,24 +207,29 @@
         revisions.put(each.incarnation(), each.revision());
         last = Math.max(last, each.at());
       }
-      Map<Long, Long> winners = new TreeMap<>();
+      Map<Long, Long> publishedAt = new TreeMap<>();
       history
-          .all(Published.class)
-          .filter(Published::accepted)
-          .forEach(each -> winners.put(each.revision(), each.at()));
-      winners.forEach((revision, at) -> checkSpread(history, revision, at, found));
+          .all(SettingsPublished.class)
+          .filter(SettingsPublished::accepted)
+          .forEach(each -> publishedAt.put(each.revision(), each.at()));
+      publishedAt.forEach((revision, at) -> checkPropagation(history, revision, at, found));
       return found;
     }
 
-    private void checkSpread(History history, long revision, long at, List<String> found) {
+    private void checkPropagation(History history, long revision, long at, List<String> found) {
       Map<String, Long> since = new HashMap<>();
       history
-          .all(InForce.class)
+          .all(RevisionInForce.class)
           .filter(each -> each.revision() >= revision)
           .forEach(each -> since.putIfAbsent(each.incarnation(), each.at()));
-      // Faults can hold back those that they strike; none lasts beyond this.
-      long excused =
-          history.all(Struck.class).mapToLong(each -> each.at() + each.lasting()).max().orElse(0);
+      // A fault can delay the instances that it affects, so the bound counts from the end of the
+      // last fault.
+      long lastFaultEnd =
+          history
+              .all(FaultInjected.class)
+              .mapToLong(each -> each.at() + each.lasting())
+              .max()
+              .orElse(0);
       Map<String, Long> started = new HashMap<>();
       history
           .all(Lifecycle.class)
@@ -231,7 +238,7 @@
       since.forEach(
           (incarnation, when) -> {
             long from = Math.max(at, started.getOrDefault(incarnation, 0L));
-            if (when > Math.max(from, excused) + IN_FORCE_BOUND_MILLIS) {
+            if (when > Math.max(from, lastFaultEnd) + IN_FORCE_BOUND_MILLIS) {
               found.add(
                   "%s had revision %d in force %d ms after it was published"
                       .formatted(incarnation, revision, when - at));
@@ -243,15 +250,15 @@
   private static final long LEAVING_BOUND_MILLIS = 5_000;
   private static final long IN_FORCE_BOUND_MILLIS = 4_000;
 
-  /** What in the history goes against the promise. */
+  /** Returns the violations of this promise in a history; an empty list means that it held. */
   public abstract List<String> violations(History history);
 
-  /** The name in reports. */
+  /** Returns the name that is used in reports. */
   public String label() {
     return name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
 
-  /** All violations of all promises, each after its promise's name. */
+  /** Returns the violations of all promises, each prefixed with the promise's name. */
   public static List<String> allViolations(History history) {
     List<String> found = new ArrayList<>();
     for (Promise promise : values()) {
@@ -260,13 +267,13 @@
     return found;
   }
 
-  private static Map<Integer, Sent> sent(History history) {
+  private static Map<Integer, Sent> sentByCall(History history) {
     Map<Integer, Sent> sent = new TreeMap<>();
     history.all(Sent.class).forEach(each -> sent.put(each.call(), each));
     return sent;
   }
 
-  private static Map<String, Integer> runs(History history) {
+  private static Map<String, Integer> runsByRequest(History history) {
     Map<String, Integer> runs = new TreeMap<>();
     history.all(Ran.class).forEach(run -> runs.merge(run.request(), 1, Integer::sum));
     return runs;
@@ -281,7 +288,7 @@
     return incarnations;
   }
 
-  private static Set<String> endedHard(History history) {
+  private static Set<String> killedOrRetired(History history) {
     Set<String> ended = incarnations(history, Change.KILLED);
     ended.addAll(incarnations(history, Change.RETIRED));
     return ended;
@@ -295,13 +302,13 @@
     return sent == null || sent.idempotent();
   }
 
-  private static boolean ownParts(Sent asked, Ended end) {
-    boolean plain = asked.service().equals("bids") || asked.service().equals("rates");
+  private static boolean hasOwnParts(Sent request, Ended end) {
+    boolean plain = request.service().equals("bids") || request.service().equals("rates");
     if (plain) {
-      String own = "done " + (asked.key() == null ? "-" : asked.key());
+      String own = "done " + (request.key() == null ? "-" : request.key());
       return end.parts().stream().allMatch(own::equals);
     }
-    if (end.end() == End.WHOLE && end.parts().size() != FRAMES) {
+    if (end.end() == End.WHOLE && end.parts().size() != FRAMES_PER_ANSWER) {
       return false;
     }
     for (int i = 0; i < end.parts().size(); i++) {
@@ -313,6 +320,6 @@
     return true;
   }
 
-  /** Frames of each model answer in the fleet that is played. */
-  private static final int FRAMES = 5;
+  /** The number of frames of each model answer in the simulated fleet. */
+  private static final int FRAMES_PER_ANSWER = 5;
 }
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/Shrinker.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/Shrinker.java
@@ -6,7 +6,7 @@
 import java.util.function.Function;
 import java.util.function.Predicate;
 
-/** Leaves out what a failing plan does not need to fail. */
+/** Shortens a failing plan by removing the steps that it does not need to fail. */
 final class Shrinker {
   private static final int MAX_TRIES = 400;
 
@@ -17,13 +17,16 @@
     this.fails = fails;
   }
 
-  /** The shortest failing plan found in a bounded number of tries. */
+  /** Returns the shortest failing plan found within {@value #MAX_TRIES} attempts. */
   FaultPlan shrink(FaultPlan failing) {
     FaultPlan fewerFaults = drop(failing, FaultPlan::faults, FaultPlan::withFaults);
     return drop(fewerFaults, FaultPlan::calls, FaultPlan::withCalls);
   }
 
-  /** Drops runs of steps, halving their length each time none can be dropped. */
+  /**
+   * Removes groups of consecutive steps as long as the plan fails without them. The group size is
+   * halved whenever no group of that size can be removed.
+   */
   private <T> FaultPlan drop(
       FaultPlan plan,
       Function<FaultPlan, List<T>> steps,
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/package-info.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Whole instances under faults in virtual time, from a seed; what callers, operators and servers
- * saw of it, and the checks that go over that history.
+ * Seeded simulations of a fleet of instances under faults, in virtual time. A run records the
+ * observations of callers, operators and backend servers as a history, which is checked against the
+ * product's guarantees.
  */
 @NullMarked
 package org.teaseldeal.bench.fault;
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/load/AnswerCheck.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/load/AnswerCheck.java
@@ -8,11 +8,12 @@
 import org.teaseldeal.api.Sha256;
 
 /**
- * Checks that an answer is the caller's own, whole and in order.
+ * Checks that an answer belongs to the caller's request and that it is complete and in order.
  *
- * <p>The stand-in engine's frame {@code n} is {@code <d><p>:<n>} and a space, with the first eight
- * hexadecimal digits of the SHA-256 of request id and prompt; the stand-in service repeats the
- * body. So a part of another answer, a gap and a repeat all show.
+ * <p>Frame {@code n} of the stand-in engine is {@code <d><p>:<n>} followed by a space, where {@code
+ * d} and {@code p} are the first eight hexadecimal digits of the SHA-256 of the request id and of
+ * the prompt. The stand-in service repeats the body. The check therefore detects parts of another
+ * answer, missing frames and repeated frames.
  */
 public final class AnswerCheck {
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -21,14 +22,14 @@
   private final String promptDigest;
   private @Nullable String requestDigest;
   private long frames;
-  private @Nullable String fault;
+  private @Nullable String problem;
 
-  /** Creates a check of the answer to {@code prompt}. */
+  /** Creates a check for the answer to {@code prompt}. */
   public AnswerCheck(String prompt) {
     promptDigest = Sha256.hex(prompt).substring(0, DIGITS);
   }
 
-  /** Takes the JSON text of one server-sent event. */
+  /** Checks the JSON text of one server-sent event. */
   public void onChunk(String json) {
     try {
       JsonNode content = JSON.readTree(json).at("/choices/0/delta/content");
@@ -36,11 +37,11 @@
         onText(content.textValue());
       }
     } catch (JsonProcessingException e) {
-      fault = "a chunk that is not JSON";
+      problem = "a chunk that is not JSON";
     }
   }
 
-  /** Takes text of one or more whole frames. */
+  /** Checks the text of one or more complete frames. */
   void onText(String text) {
     for (String frame : text.split(" ")) {
       if (!frame.isEmpty()) {
@@ -49,36 +50,40 @@
     }
   }
 
-  /** Takes a whole chat completion. */
+  /** Checks a chat completion that was not streamed. */
   void onWhole(String json) {
     try {
       onText(JSON.readTree(json).at("/choices/0/message/content").asText(""));
     } catch (JsonProcessingException e) {
-      fault = "an answer that is not JSON";
+      problem = "an answer that is not JSON";
     }
   }
 
-  /** Takes a plain service's answer, which repeats the body's digest. */
+  /** Checks a plain service's answer, which contains the digest of the request body. */
   void onPlain(String json, String body) {
     try {
       String digest = JSON.readTree(json).path("body_sha256").asText("");
       if (!digest.equals(Sha256.hex(body))) {
-        fault = "the answer to another body";
+        problem = "the answer to another body";
       }
     } catch (JsonProcessingException e) {
-      fault = "an answer that is not JSON";
+      problem = "an answer that is not JSON";
     }
   }
 
-  /** What is wrong with the answer, once {@code expected} frames should be there. */
-  public Optional<String> fault(long expected) {
-    if (fault == null && frames != expected) {
+  /**
+   * Returns what is wrong with the answer, or empty if it is correct.
+   *
+   * @param expected the number of frames that the complete answer has
+   */
+  public Optional<String> problem(long expected) {
+    if (problem == null && frames != expected) {
       return Optional.of("%d frames, expected %d".formatted(frames, expected));
     }
-    return Optional.ofNullable(fault);
+    return Optional.ofNullable(problem);
   }
 
-  /** Frames seen. */
+  /** Returns the number of frames received. */
   public long frames() {
     return frames;
   }
@@ -86,7 +91,7 @@
   private void onFrame(String frame) {
     int colon = frame.indexOf(':');
     if (colon != 2 * DIGITS) {
-      fault = "a frame of unknown form";
+      problem = "a frame of unknown form";
       return;
     }
     String request = frame.substring(0, DIGITS);
@@ -96,9 +101,9 @@
     boolean own =
         request.equals(requestDigest) && frame.substring(DIGITS, colon).equals(promptDigest);
     if (!own) {
-      fault = "a frame of another answer";
+      problem = "a frame of another answer";
     } else if (!frame.substring(colon + 1).equals(Long.toString(frames))) {
-      fault = "frame %s, expected %d".formatted(frame.substring(colon + 1), frames);
+      problem = "frame %s, expected %d".formatted(frame.substring(colon + 1), frames);
     }
     frames++;
   }
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/load/AnswerWatch.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/load/AnswerListener.java
@@ -17,10 +17,13 @@
 import org.teaseldeal.net.HttpFailure;
 import org.teaseldeal.net.HttpListener;
 
-/** Watches one caller's answer and says once how it ended. */
-final class AnswerWatch implements HttpListener {
-  /** How long after a caller's time the answer is waited for, to tell late from silent. */
-  private static final Duration MARGIN = Duration.ofSeconds(5);
+/** Receives the answer to one request and reports its outcome exactly once. */
+final class AnswerListener implements HttpListener {
+  /**
+   * The time after the caller's timeout in which an answer still counts as late. A request without
+   * an answer by then counts as silent.
+   */
+  private static final Duration LATE_ANSWER_MARGIN = Duration.ofSeconds(5);
 
   private static final String EVENT_END = "\n\n";
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -43,7 +46,7 @@
   private @Nullable String streamError;
   private boolean ended;
 
-  AnswerWatch(
+  AnswerListener(
       Arrival arrival, String prompt, long dueNanos, LongSupplier nanos, Consumer<Sample> done) {
     this.arrival = arrival;
     this.prompt = prompt;
@@ -53,8 +56,8 @@
     this.done = done;
   }
 
-  static Duration longestWait(Flow flow) {
-    return flow.timeout().plus(MARGIN);
+  static Duration maxWait(Flow flow) {
+    return flow.timeout().plus(LATE_ANSWER_MARGIN);
   }
 
   @Override
@@ -70,7 +73,7 @@
       body.writeBytes(part);
       return;
     }
-    // Frames are ASCII, so a part that ends within a character can't occur.
+    // Frames are ASCII, so no character is split between two parts.
     events.append(new String(part, StandardCharsets.UTF_8));
     for (int end = events.indexOf(EVENT_END); end >= 0; end = events.indexOf(EVENT_END)) {
       onEvent(events.substring(0, end));
@@ -81,16 +84,16 @@
   @Override
   public void onEnd() {
     if (status != 200) {
-      finishRefused();
+      finishWithError();
     } else if (streamed) {
-      finishWhole(
-          closedByDone ? check.fault(arrival.flow().outputTokens()) : Optional.of("no [DONE]"));
+      finishComplete(
+          closedByDone ? check.problem(arrival.flow().outputTokens()) : Optional.of("no [DONE]"));
     } else if (arrival.flow().kind() == Flow.Kind.MODEL) {
       check.onWhole(body.toString(StandardCharsets.UTF_8));
-      finishWhole(check.fault(arrival.flow().outputTokens()));
+      finishComplete(check.problem(arrival.flow().outputTokens()));
     } else {
       check.onPlain(body.toString(StandardCharsets.UTF_8), prompt);
-      finishWhole(check.fault(0));
+      finishComplete(check.problem(0));
     }
   }
 
@@ -132,7 +135,7 @@
     lastFrameNanos = now;
   }
 
-  private void finishRefused() {
+  private void finishWithError() {
     String text = body.toString(StandardCharsets.UTF_8);
     Optional<String> run = field(text, "run");
     Outcome outcome =
@@ -140,7 +143,7 @@
     finish(outcome, Optional.of(label(text).orElse("status-" + status)));
   }
 
-  private void finishWhole(Optional<String> fault) {
+  private void finishComplete(Optional<String> fault) {
     if (fault.isPresent()) {
       finish(Outcome.WRONG, fault);
       return;
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/load/CallerRequest.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/load/CallerRequest.java
@@ -9,10 +9,11 @@
 import org.teaseldeal.net.HttpCallRequest;
 
 /**
- * What a caller sends for one arrival.
+ * The HTTP request that a caller sends for one arrival.
  *
- * @param prompt the prompt or body, which is different for each arrival, so that an answer shows
- *     whose it is
+ * @param prompt the prompt or body. It differs for each arrival, so that an answer can be
+ *     attributed to its request
+ * @param http the request with its headers
  */
 record CallerRequest(String prompt, HttpCallRequest http) {
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -37,7 +38,7 @@
             : prompt.getBytes(StandardCharsets.UTF_8);
     return new CallerRequest(
         prompt,
-        new HttpCallRequest(address, "POST", path, headers, body, AnswerWatch.longestWait(flow)));
+        new HttpCallRequest(address, "POST", path, headers, body, AnswerListener.maxWait(flow)));
   }
 
   private static String prompt(Arrival arrival, String run) {
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/load/LoadRecorder.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/load/LoadRecorder.java
@@ -9,11 +9,11 @@
 import org.HdrHistogram.Histogram;
 import org.teaseldeal.bench.scenario.Scenario;
 
-/** Gathers samples into a result; called from several threads. */
+/** Aggregates samples into a load result. Instances are thread-safe. */
 public final class LoadRecorder {
   private static final long HIGHEST_MICROS = Duration.ofMinutes(60).toNanos() / 1000;
 
-  private static final class Gathered {
+  private static final class Aggregate {
     private final Map<Outcome, Long> outcomes = new EnumMap<>(Outcome.class);
     private final Map<String, Long> causes = new TreeMap<>();
     private final Histogram toFirst = new Histogram(3);
@@ -50,32 +50,32 @@
     }
   }
 
-  private final Gathered all = new Gathered();
-  private final Map<String, Gathered> byFlow = new TreeMap<>();
-  private final Map<String, Gathered> byCustomer = new TreeMap<>();
-  private final TreeMap<Integer, Gathered> bySecond = new TreeMap<>();
+  private final Aggregate all = new Aggregate();
+  private final Map<String, Aggregate> byFlow = new TreeMap<>();
+  private final Map<String, Aggregate> byCustomer = new TreeMap<>();
+  private final TreeMap<Integer, Aggregate> bySecond = new TreeMap<>();
   private double lagMillisMax;
 
-  /** Adds what one caller saw. */
+  /** Adds the sample of one request. */
   public synchronized void add(Sample sample) {
     int second = (int) sample.arrival().due().toSeconds();
     all.add(sample);
     of(byFlow, sample.arrival().flow().name()).add(sample);
     of(byCustomer, sample.arrival().flow().customer().toString()).add(sample);
-    bySecond.computeIfAbsent(second, key -> new Gathered()).add(sample);
+    bySecond.computeIfAbsent(second, key -> new Aggregate()).add(sample);
   }
 
-  /** Notes how late after its time a request was sent: the generator's own fault. */
+  /** Records the lag of the load generator: how long after its due time a request was sent. */
   public synchronized void onSent(Duration lag) {
     lagMillisMax = Math.max(lagMillisMax, lag.toNanos() / 1e6);
   }
 
-  /** How many samples there are so far. */
+  /** Returns the number of samples recorded so far. */
   public synchronized long count() {
     return all.sent;
   }
 
-  /** One line for people on how it goes. */
+  /** Returns a one-line summary of the progress, for display. */
   public synchronized String progress() {
     return "%d answered in time, %d late, %d refused, %d other"
         .formatted(
@@ -85,14 +85,14 @@
             others(all));
   }
 
-  /** The result so far. */
+  /** Returns the result of the samples recorded so far. */
   public synchronized LoadResult result(Scenario scenario, String label) {
     Map<String, LoadResult.Part> flows = new TreeMap<>();
-    byFlow.forEach((name, gathered) -> flows.put(name, gathered.part()));
+    byFlow.forEach((name, aggregate) -> flows.put(name, aggregate.part()));
     Map<String, LoadResult.Part> customers = new TreeMap<>();
-    byCustomer.forEach((name, gathered) -> customers.put(name, gathered.part()));
+    byCustomer.forEach((name, aggregate) -> customers.put(name, aggregate.part()));
     List<LoadResult.Second> seconds = new ArrayList<>();
-    bySecond.forEach((second, gathered) -> seconds.add(second(second, gathered)));
+    bySecond.forEach((second, aggregate) -> seconds.add(second(second, aggregate)));
     return new LoadResult(
         scenario.name(),
         scenario.title(),
@@ -106,26 +106,26 @@
         lagMillisMax);
   }
 
-  private static LoadResult.Second second(int second, Gathered gathered) {
+  private static LoadResult.Second second(int second, Aggregate aggregate) {
     return new LoadResult.Second(
         second,
-        gathered.sent,
-        gathered.count(Outcome.IN_TIME),
-        gathered.count(Outcome.LATE),
-        gathered.count(Outcome.REFUSED),
-        others(gathered),
-        gathered.toFirst.getValueAtPercentile(95) / 1000.0);
+        aggregate.sent,
+        aggregate.count(Outcome.IN_TIME),
+        aggregate.count(Outcome.LATE),
+        aggregate.count(Outcome.REFUSED),
+        others(aggregate),
+        aggregate.toFirst.getValueAtPercentile(95) / 1000.0);
   }
 
-  private static long others(Gathered gathered) {
-    return gathered.sent
-        - gathered.count(Outcome.IN_TIME)
-        - gathered.count(Outcome.LATE)
-        - gathered.count(Outcome.REFUSED);
+  private static long others(Aggregate aggregate) {
+    return aggregate.sent
+        - aggregate.count(Outcome.IN_TIME)
+        - aggregate.count(Outcome.LATE)
+        - aggregate.count(Outcome.REFUSED);
   }
 
-  private static Gathered of(Map<String, Gathered> map, String key) {
-    return map.computeIfAbsent(key, name -> new Gathered());
+  private static Aggregate of(Map<String, Aggregate> map, String key) {
+    return map.computeIfAbsent(key, name -> new Aggregate());
   }
 
   private static void record(Histogram histogram, Duration time) {
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/load/LoadResult.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/load/LoadResult.java
@@ -4,11 +4,14 @@
 import java.util.Map;
 
 /**
- * What a load's callers saw, as written to a result file.
+ * The result of a load, as written to a result file.
  *
- * @param label what was run, such as the placement policy, to tell two results apart
- * @param byFlow each flow's part
- * @param perSecond what became of the requests due in each second
+ * @param label the label that distinguishes the run from others, such as its placement policy
+ * @param seconds the duration of the scenario in seconds
+ * @param byFlow the results by flow
+ * @param byCustomer the results by customer
+ * @param perSecond the outcomes of the requests that were due in each second
+ * @param lagMillisMax the longest time by which the load generator sent a request too late
  */
 public record LoadResult(
     String scenario,
@@ -21,7 +24,7 @@
     Map<String, Part> byCustomer,
     List<Second> perSecond,
     double lagMillisMax) {
-  /** Requests, how they ended, and their times. */
+  /** The number of requests, their outcomes and their latencies. */
   public record Part(
       long sent,
       Map<Outcome, Long> outcomes,
@@ -30,13 +33,13 @@
       Percentiles toFirstMillis,
       Percentiles toEndMillis,
       Percentiles gapMillis) {
-    /** The part of the requests that were answered whole and in time. */
+    /** Returns the share of requests that were answered completely and in time. */
     public double inTimeShare() {
       return sent == 0 ? 1 : (double) outcomes.getOrDefault(Outcome.IN_TIME, 0L) / sent;
     }
   }
 
-  /** One second of a load. */
+  /** The outcomes of the requests that were due in one second of the load. */
   public record Second(
       int second, long sent, long inTime, long late, long refused, long other, double toFirstP95) {}
 }
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/load/LoadRunner.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/load/LoadRunner.java
@@ -12,10 +12,10 @@
 import org.teaseldeal.net.HttpClient;
 
 /**
- * Plays a scenario against entry instances, in turn as a balancer would.
+ * Sends the requests of a scenario to entry instances in round-robin order, like a load balancer.
  *
- * <p>Open loop: each request is sent at its time, whether earlier ones were answered or not, and
- * all times count from when it was due.
+ * <p>The load is an open loop: each request is sent when it is due, whether or not earlier requests
+ * were answered. Latencies count from the due time.
  */
 public final class LoadRunner {
   private static final long SPIN_NANOS = TimeUnit.MICROSECONDS.toNanos(100);
@@ -23,7 +23,7 @@
   private final HttpClient client;
   private final Supplier<List<String>> balancer;
   private final Consumer<Sample> observer;
-  private final AtomicInteger turn = new AtomicInteger();
+  private final AtomicInteger nextAddressIndex = new AtomicInteger();
 
   /** Creates a runner that sends to {@code addresses}, each {@code host:port}. */
   public LoadRunner(HttpClient client, List<String> addresses) {
@@ -33,8 +33,9 @@
   /**
    * Creates a runner.
    *
-   * @param balancer the addresses that are served at the time, each {@code host:port}, never none
-   * @param observer is told what each caller saw, on several threads
+   * @param balancer supplies the addresses that currently accept requests, each {@code host:port};
+   *     the list is never empty
+   * @param observer receives the sample of each request, on several threads
    */
   public LoadRunner(HttpClient client, Supplier<List<String>> balancer, Consumer<Sample> observer) {
     this.client = client;
@@ -43,10 +44,10 @@
   }
 
   /**
-   * Plays the scenario to its end and waits for the last answers, but not forever.
+   * Runs the scenario to its end and waits a limited time for the last answers.
    *
-   * @param run makes keys and prompts of this run unlike those of any other
-   * @param progress is told how it goes, once a second
+   * @param run a name that makes the keys and prompts of this run differ from those of other runs
+   * @param progress receives a summary of the progress once a second
    */
   public LoadResult run(Scenario scenario, String run, String label, Consumer<String> progress)
       throws InterruptedException {
@@ -75,16 +76,18 @@
     return recorder.result(scenario, label);
   }
 
-  /** Sends a request of a run once more, as its caller does that got no answer; same key. */
-  public void repeat(Arrival arrival, String run, Consumer<Sample> done) {
+  /** Sends a request of a run again with the same key, like a caller that got no answer. */
+  public void resend(Arrival arrival, String run, Consumer<Sample> done) {
     send(arrival, run, System.nanoTime(), done);
   }
 
   private void send(Arrival arrival, String run, long due, Consumer<Sample> done) {
     List<String> addresses = balancer.get();
-    String address = addresses.get(Math.floorMod(turn.getAndIncrement(), addresses.size()));
+    String address =
+        addresses.get(Math.floorMod(nextAddressIndex.getAndIncrement(), addresses.size()));
     CallerRequest request = CallerRequest.of(arrival, run, address);
-    AnswerWatch watch = new AnswerWatch(arrival, request.prompt(), due, System::nanoTime, done);
+    AnswerListener watch =
+        new AnswerListener(arrival, request.prompt(), due, System::nanoTime, done);
     client.send(request.http(), watch);
   }
 
@@ -98,7 +101,7 @@
       throws InterruptedException {
     Duration longest =
         scenario.flows().stream()
-            .map(AnswerWatch::longestWait)
+            .map(AnswerListener::maxWait)
             .max(Duration::compareTo)
             .orElse(Duration.ZERO);
     long until = System.nanoTime() + longest.toNanos();
@@ -108,9 +111,9 @@
   }
 
   private static void sleepUntil(long nanos) {
-    for (long left = nanos - System.nanoTime(); left > 0; left = nanos - System.nanoTime()) {
-      if (left > SPIN_NANOS) {
-        LockSupport.parkNanos(left - SPIN_NANOS / 2);
+    for (long rest = nanos - System.nanoTime(); rest > 0; rest = nanos - System.nanoTime()) {
+      if (rest > SPIN_NANOS) {
+        LockSupport.parkNanos(rest - SPIN_NANOS / 2);
       } else {
         Thread.onSpinWait();
       }
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/load/Outcome.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/load/Outcome.java
@@ -1,19 +1,19 @@
 package org.teaseldeal.bench.load;
 
-/** How a request of a load ended, as its caller saw it. */
+/** The outcome of a request of a load, as its caller observed it. */
 public enum Outcome {
-  /** The whole answer, within the caller's time. */
+  /** A complete answer arrived within the caller's timeout. */
   IN_TIME,
-  /** The whole answer, too late. */
+  /** A complete answer arrived after the caller's timeout. */
   LATE,
-  /** Refused, and said to be not run. */
+  /** The request was refused with the statement that it was not run. */
   REFUSED,
-  /** An error that says that the request ran or may have run. */
+  /** The request ended with an error after which it may have been run. */
   FAILED,
-  /** An answer that began and broke off. */
+  /** The answer began but broke off. */
   BROKEN,
-  /** An answer with a part missing, doubled, or of another request. */
+  /** A part of the answer is missing, repeated or belongs to another request. */
   WRONG,
-  /** No answer within the caller's time and a margin. */
+  /** No answer arrived within the caller's timeout and a margin. */
   SILENT
 }
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/load/Percentiles.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/load/Percentiles.java
@@ -2,11 +2,15 @@
 
 import org.HdrHistogram.Histogram;
 
-/** Percentiles of times in milliseconds, to three significant digits. */
+/**
+ * The percentiles of a set of times, in milliseconds with three significant digits.
+ *
+ * @param count the number of times
+ */
 public record Percentiles(double p50, double p95, double p99, double max, long count) {
   private static final double MICROS = 1000.0;
 
-  /** Reads them from a histogram of microseconds. */
+  /** Computes the percentiles of a histogram of microseconds. */
   public static Percentiles of(Histogram micros) {
     return new Percentiles(
         micros.getValueAtPercentile(50) / MICROS,
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/load/Sample.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/load/Sample.java
@@ -5,12 +5,15 @@
 import java.util.Optional;
 
 /**
- * What one caller saw, all times counted from when the request was due.
+ * The observation of one request by its caller. The times to the first frame and to the end count
+ * from the time at which the request was due.
  *
- * @param requestId as the answer's head names it
- * @param cause the label of the error, if there was one
- * @param toFirst time to the first frame or, for whole answers, to the answer
- * @param gaps times between frames
+ * @param requestId the request id from the answer's headers
+ * @param cause the label of the error, or empty if there was none
+ * @param toFirst the time to the first frame, or to the answer if it was not streamed
+ * @param toEnd the time to the end of the answer
+ * @param gaps the times between consecutive frames
+ * @param frames the number of frames received
  */
 public record Sample(
     Arrival arrival,
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/load/package-info.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/load/package-info.java
@@ -1,4 +1,6 @@
-/** Sends a scenario's requests at their times, whatever the answers do, and records what comes. */
+/**
+ * Sends a scenario's requests when they are due, regardless of answers, and records the outcomes.
+ */
 @NullMarked
 package org.teaseldeal.bench.load;
 
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/package-info.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/package-info.java
@@ -1,4 +1,6 @@
-/** The program {@code teaseldeal-bench}: load, replay, faults and reports. */
+/**
+ * The program {@code teaseldeal-bench}, which runs loads and fault simulations and writes reports.
+ */
 @NullMarked
 package org.teaseldeal.bench;
 
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/report/Charts.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/report/Charts.java
@@ -18,14 +18,14 @@
 import org.knowm.xchart.style.markers.SeriesMarkers;
 import org.teaseldeal.bench.load.LoadResult;
 
-/** The plots of a report, as PNG pictures in data URLs. */
+/** Draws the plots of a report as PNG images in data URLs. */
 final class Charts {
   private static final int WIDTH = 760;
   private static final int HEIGHT = 300;
 
   private Charts() {}
 
-  /** What became of the requests due in each second. */
+  /** Plots the outcomes of the requests that were due in each second. */
   static String outcomesOverTime(LoadResult result) {
     XYChart chart = timeChart("requests a second: " + result.label(), "requests");
     addLine(chart, "due", result, LoadResult.Second::sent);
@@ -36,7 +36,7 @@
     return dataUrl(chart);
   }
 
-  /** The 95th percentile of the time to the first frame, of each result. */
+  /** Plots the 95th percentile of the time to the first frame of each result. */
   static String firstFrameOverTime(List<LoadResult> results) {
     XYChart chart = timeChart("time to first frame, p95", "ms");
     results.forEach(
@@ -44,7 +44,7 @@
     return dataUrl(chart);
   }
 
-  /** The share of each customer's requests that were answered in time, of each result. */
+  /** Plots the share of each customer's requests that were answered in time, for each result. */
   static String inTimeByCustomer(List<LoadResult> results) {
     CategoryChart chart =
         new CategoryChartBuilder()
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/report/HtmlReport.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/report/HtmlReport.java
@@ -8,7 +8,7 @@
 import org.teaseldeal.bench.load.Outcome;
 import org.teaseldeal.bench.load.Percentiles;
 
-/** One page on a run, or on several of the same scenario side by side. */
+/** Renders an HTML page about one run, or about several runs of the same scenario side by side. */
 public final class HtmlReport {
   private static final String STYLE =
       """
@@ -21,7 +21,7 @@
 
   private HtmlReport() {}
 
-  /** The page's text. */
+  /** Returns the HTML of the page. */
   public static String of(List<LoadResult> results) {
     Preconditions.require(!results.isEmpty(), "results were none, expected at least one");
     LoadResult first = results.getFirst();
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/report/package-info.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/report/package-info.java
@@ -1,4 +1,4 @@
-/** Draws results as one page for people. */
+/** Renders load results as an HTML page. */
 @NullMarked
 package org.teaseldeal.bench.report;
 
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/scenario/Flow.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/scenario/Flow.java
@@ -8,12 +8,15 @@
 /**
  * One customer's stream of requests to one service.
  *
- * @param perSecond the mean rate of arrivals, which come at random
- * @param prefixWords words that all prompts of the flow start with
- * @param promptWords words of its own that each prompt has
- * @param outputTokens tokens that each answer has; for plain services without meaning
- * @param timeout how long the caller waits; the request says so
+ * @param token the customer's bearer token
+ * @param perSecond the mean rate of the random arrivals
+ * @param prefixWords the number of words at the start of each prompt that all prompts of the flow
+ *     share
+ * @param promptWords the number of words that differ between prompts
+ * @param outputTokens the number of tokens of each answer; not used for plain services
+ * @param timeout the time that the caller waits, which it also sends with the request
  * @param keyed whether each request carries an idempotency key
+ * @param stream whether the answer is requested as a stream
  */
 public record Flow(
     String name,
@@ -28,7 +31,7 @@
     Duration timeout,
     boolean keyed,
     boolean stream) {
-  /** What a flow's service is. */
+  /** The kinds of service that a flow can call. */
   public enum Kind {
     MODEL,
     PLAIN
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/scenario/Phase.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/scenario/Phase.java
@@ -7,7 +7,7 @@
 /**
  * A span of a scenario in which flows send {@code factor} times their rate.
  *
- * @param flows the names of the flows it is for; empty for all
+ * @param flows the names of the flows that the phase applies to; empty for all flows
  */
 public record Phase(Duration from, Duration to, double factor, Set<String> flows) {
   public Phase {
@@ -17,10 +17,10 @@
     flows = Set.copyOf(flows);
   }
 
-  /** The factor for a flow at a time; 1 outside the phase. */
+  /** Returns the factor for a flow at a time, which is 1 outside the phase. */
   public double factorAt(Duration at, String flow) {
     boolean inside = at.compareTo(from) >= 0 && at.compareTo(to) < 0;
-    boolean meant = flows.isEmpty() || flows.contains(flow);
-    return inside && meant ? factor : 1;
+    boolean applies = flows.isEmpty() || flows.contains(flow);
+    return inside && applies ? factor : 1;
   }
 }
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/scenario/Scenario.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/scenario/Scenario.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import org.teaseldeal.api.Preconditions;
 
-/** A load: its flows, the phases that raise or lower them, and the faults set while it runs. */
+/**
+ * A load, described by its flows of requests, the phases in which their rates change, and the
+ * faults that are set while it runs.
+ */
 public record Scenario(
     String name,
     String title,
@@ -12,25 +15,25 @@
     Duration duration,
     List<Flow> flows,
     List<Phase> phases,
-    List<FaultStep> faults) {
-  /** A bound, so that a load always stops by itself. */
-  public static final Duration LONGEST = Duration.ofMinutes(30);
+    List<FaultChange> faults) {
+  /** The longest duration of a scenario, which ensures that a load always ends. */
+  public static final Duration MAX_DURATION = Duration.ofMinutes(30);
 
   public Scenario {
     Preconditions.require(
-        duration.compareTo(LONGEST) <= 0,
-        "duration was %s, expected at most %s".formatted(duration, LONGEST));
+        duration.compareTo(MAX_DURATION) <= 0,
+        "duration was %s, expected at most %s".formatted(duration, MAX_DURATION));
     flows = List.copyOf(flows);
     phases = List.copyOf(phases);
     faults = List.copyOf(faults);
   }
 
-  /** The same with other arrivals. */
-  public Scenario withSeed(long other) {
-    return new Scenario(name, title, other, duration, flows, phases, faults);
+  /** Returns this scenario with another seed, and therefore with other arrival times. */
+  public Scenario withSeed(long newSeed) {
+    return new Scenario(name, title, newSeed, duration, flows, phases, faults);
   }
 
-  /** A flow's rate at a time. */
+  /** Returns a flow's rate at a time. */
   public double rateAt(Flow flow, Duration at) {
     double rate = flow.perSecond();
     for (Phase phase : phases) {
@@ -39,7 +42,7 @@
     return rate;
   }
 
-  /** The highest rate that a flow reaches. */
+  /** Returns an upper bound of the rate that a flow reaches. */
   public double peakRate(Flow flow) {
     double peak = flow.perSecond();
     for (Phase phase : phases) {
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/scenario/ScenarioParser.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/scenario/ScenarioParser.java
@@ -11,7 +11,7 @@
 import org.teaseldeal.settings.toml.TomlDocument;
 import org.teaseldeal.settings.toml.TomlReader;
 
-/** Reads a scenario from TOML; all problems of a text are reported at once. */
+/** Parses scenarios from TOML. All problems of a text are reported at once. */
 public final class ScenarioParser {
   private static final Duration MILLISECOND = Duration.ofMillis(1);
   private static final Duration MINUTE = Duration.ofMinutes(1);
@@ -31,13 +31,14 @@
     flows.forEach(flow -> names.add(flow.name()));
     List<Phase> phases = new ArrayList<>();
     root.tables("phases").values().forEach(phase -> phases.add(readPhase(phase, names)));
-    List<FaultStep> faults = new ArrayList<>();
+    List<FaultChange> faults = new ArrayList<>();
     root.tables("faults").values().forEach(fault -> faults.add(readFault(fault)));
     return new Scenario(
         root.name("name"),
         root.text("title"),
         root.integer("seed", 1, 0, Long.MAX_VALUE),
-        root.duration("duration", Duration.ofSeconds(30), Duration.ofSeconds(1), Scenario.LONGEST),
+        root.duration(
+            "duration", Duration.ofSeconds(30), Duration.ofSeconds(1), Scenario.MAX_DURATION),
         flows,
         phases,
         faults);
@@ -63,8 +64,8 @@
   }
 
   private static Phase readPhase(TomlReader phase, Set<String> flows) {
-    Duration from = phase.duration("from", Duration.ZERO, Duration.ZERO, Scenario.LONGEST);
-    Duration to = phase.duration("to", Scenario.LONGEST, Duration.ZERO, Scenario.LONGEST);
+    Duration from = phase.duration("from", Duration.ZERO, Duration.ZERO, Scenario.MAX_DURATION);
+    Duration to = phase.duration("to", Scenario.MAX_DURATION, Duration.ZERO, Scenario.MAX_DURATION);
     if (to.compareTo(from) <= 0) {
       phase.addProblem("to", "was not after from, expected a later time");
       to = from.plusSeconds(1);
@@ -78,9 +79,9 @@
     return new Phase(from, to, phase.fraction("factor", 1, 0, 1_000), Set.copyOf(named));
   }
 
-  private static FaultStep readFault(TomlReader fault) {
-    return new FaultStep(
-        fault.duration("at", Duration.ZERO, Duration.ZERO, Scenario.LONGEST),
+  private static FaultChange readFault(TomlReader fault) {
+    return new FaultChange(
+        fault.duration("at", Duration.ZERO, Duration.ZERO, Scenario.MAX_DURATION),
         fault.name("target"),
         fault.text("set"));
   }
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/scenario/package-info.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/scenario/package-info.java
@@ -1,4 +1,4 @@
-/** Loads written down in TOML: who sends what, how often, in which phases, under which faults. */
+/** Load scenarios in TOML: flows of requests, phases in which their rates change, and faults. */
 @NullMarked
 package org.teaseldeal.bench.scenario;
 
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/slope/EntryKind.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/slope/EntryKind.java
@@ -13,7 +13,7 @@
 import org.teaseldeal.ledger.entry.Entry;
 import org.teaseldeal.ledger.snapshot.SnapshotChunks;
 
-/** The kinds of entry that load puts on the log, as an instance writes them. */
+/** The kinds of ledger entry that instances append to the log under load. */
 enum EntryKind {
   CHARGE {
     @Override
@@ -48,22 +48,22 @@
   PUBLISH_SETTINGS {
     @Override
     Entry entry(int number) {
-      return Samples.subtree(number, 0);
+      return SampleEntries.subtree(number, 0);
     }
   };
 
   static final TeamId TEAM = new TeamId("team-00042");
   private static final ServiceId SERVICE = ServiceId.of("team-00042", "service-1");
   private static final CustomerId CUSTOMER = new CustomerId(TEAM, "customer-00042");
-  private static final long PLENTY = Long.MAX_VALUE / 8;
+  private static final long AMPLE_TOKENS = Long.MAX_VALUE / 8;
 
   abstract Entry entry(int number);
 
-  /** What must stand on the log before. */
-  static List<Entry> before() {
+  /** Returns the entries that the log must contain before entries of these kinds are accepted. */
+  static List<Entry> prerequisites() {
     return List.of(
-        new Entry.CreateBudget(AccountId.of(TEAM), PLENTY, "ops", "create-" + TEAM),
-        new Entry.RequestLease(SERVICE, PLENTY / 2, 1));
+        new Entry.CreateBudget(AccountId.of(TEAM), AMPLE_TOKENS, "ops", "create-" + TEAM),
+        new Entry.RequestLease(SERVICE, AMPLE_TOKENS / 2, 1));
   }
 
   private static Entry charge(int number, String request, boolean keyed) {
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/slope/FoldedLog.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/slope/FoldedLog.java
@@ -17,7 +17,7 @@
 import org.teaseldeal.ledger.fold.Settled;
 import org.teaseldeal.ledger.outcome.Outcome;
 
-/** A log in memory with one writer, and the fold over it. */
+/** An in-memory log with one writer, and the ledger state folded from it. */
 final class FoldedLog {
   static final IncarnationId WRITER = new IncarnationId("router-007.0123456789ab");
   private static final Instant START = Instant.parse("2026-12-02T09:00:00Z");
@@ -34,7 +34,7 @@
     return fold;
   }
 
-  /** The entries as records that come next on the log. */
+  /** Encodes entries as the next records of the log. */
   List<LogRecord> records(List<? extends Entry> entries, int perRecord) {
     List<LogRecord> records = new ArrayList<>();
     for (int from = 0; from < entries.size(); from += perRecord) {
@@ -47,18 +47,18 @@
     return records;
   }
 
-  /** Folds records; an entry that is refused would make every figure wrong. */
+  /** Folds records. Throws if an entry is rejected, because all figures would then be wrong. */
   void fold(List<LogRecord> records) {
     for (LogRecord record : records) {
       for (Settled settled : fold.fold(record)) {
         if (settled.outcome() instanceof Outcome.Rejected rejected) {
-          throw new IllegalStateException("Entry was refused: " + rejected);
+          throw new IllegalStateException("the ledger rejected an entry: " + rejected);
         }
       }
     }
   }
 
-  /** Writes and folds entries. */
+  /** Encodes entries as records and folds them. */
   void write(List<? extends Entry> entries) {
     for (int from = 0; from < entries.size(); from += ENTRIES_PER_RECORD) {
       int to = Math.min(from + ENTRIES_PER_RECORD, entries.size());
@@ -70,7 +70,7 @@
     write(List.of(entries));
   }
 
-  /** Entries numbered from zero. */
+  /** Creates {@code count} entries, numbered from zero. */
   static List<Entry> entries(int count, IntFunction<Entry> entry) {
     return IntStream.range(0, count).mapToObj(entry).toList();
   }
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/slope/InstanceSlopes.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/slope/InstanceSlopes.java
@@ -8,7 +8,7 @@
 import java.util.function.ToDoubleFunction;
 import org.teaseldeal.bench.slope.Slope.Point;
 
-/** What one instance costs by its peers, its backend servers, its streams and its requests. */
+/** Measures an instance's cost by the number of peers, backend servers, streams and requests. */
 final class InstanceSlopes {
   private static final int REPETITIONS = 20;
   private static final int TICKS = 200;
@@ -34,42 +34,43 @@
     warmUp();
     List<Slope> slopes = new ArrayList<>();
     slopes.add(heartbeats());
-    slopes.addAll(idle("peer", PEERS, peers -> new SoloInstance(peers, FEW_SERVERS)));
-    slopes.addAll(idle("backend server", SERVERS, count -> new SoloInstance(FEW_PEERS, count)));
+    slopes.addAll(idle("peer", PEERS, peers -> new SimulatedInstance(peers, FEW_SERVERS)));
+    slopes.addAll(
+        idle("backend server", SERVERS, count -> new SimulatedInstance(FEW_PEERS, count)));
     slopes.addAll(streams());
     slopes.add(streamHeap());
-    slopes.add(shares());
+    slopes.add(peerTrafficByServersInUse());
     slopes.addAll(requests());
     slopes.add(placements());
     return slopes;
   }
 
-  /** Code that has not been compiled yet would make the first sizes the dearest. */
+  /** Runs the measured code before the measurement, because uncompiled code would distort it. */
   private static void warmUp() {
-    SoloInstance instance = settled(new SoloInstance(WARM_UP_SIZE, WARM_UP_SIZE));
+    SimulatedInstance instance = settled(new SimulatedInstance(WARM_UP_SIZE, WARM_UP_SIZE));
     serve(instance, WARM_UP_SIZE, WARM_UP);
     instance.tick(WARM_UP_TICKS);
   }
 
   private static Slope heartbeats() {
-    List<Point> octets = new ArrayList<>();
+    List<Point> bytes = new ArrayList<>();
     for (int streams : LEDGER_STREAMS) {
-      octets.add(point(streams, SoloInstance.heartbeat(1, streams).length));
+      bytes.add(point(streams, SimulatedInstance.heartbeat(1, streams).length));
     }
-    return Slope.fit("heartbeat, octets", "ledger stream", octets);
+    return Slope.fit("heartbeat, octets", "ledger stream", bytes);
   }
 
-  private static List<Slope> idle(String per, int[] sizes, IntFunction<SoloInstance> create) {
+  private static List<Slope> idle(String per, int[] sizes, IntFunction<SimulatedInstance> create) {
     List<Point> micros = new ArrayList<>();
     List<Point> tick = new ArrayList<>();
     List<Point> sent = new ArrayList<>();
     List<Point> appends = new ArrayList<>();
     for (int size : sizes) {
-      SoloInstance instance = settled(create.apply(size));
-      micros.add(point(size, Gauge.fastestMicros(REPETITIONS, () -> instance.run(SECOND))));
+      SimulatedInstance instance = settled(create.apply(size));
+      micros.add(point(size, ResourceMeter.minCpuMicros(REPETITIONS, () -> instance.run(SECOND))));
       tick.add(point(size, tickMicros(instance)));
-      sent.add(point(size, perSecond(instance, SoloInstance::peerBytes)));
-      appends.add(point(size, perSecond(instance, SoloInstance::appends)));
+      sent.add(point(size, perSecond(instance, SimulatedInstance::peerBytes)));
+      appends.add(point(size, perSecond(instance, SimulatedInstance::appends)));
     }
     return List.of(
         Slope.fit("idle processor time, us/s", per, micros),
@@ -78,10 +79,10 @@
         Slope.fit("idle log records /s", per, appends));
   }
 
-  private static SoloInstance settled(SoloInstance instance) {
+  private static SimulatedInstance settled(SimulatedInstance instance) {
     instance.run(Duration.ofSeconds(SETTLE_SECONDS));
     if (!instance.ready()) {
-      throw new IllegalStateException("The instance did not get ready");
+      throw new IllegalStateException("the instance did not become ready");
     }
     return instance;
   }
@@ -91,10 +92,10 @@
     List<Point> second = new ArrayList<>();
     List<Point> frames = new ArrayList<>();
     for (int size : STREAMS) {
-      SoloInstance instance = withStreams(FEW_SERVERS, size);
+      SimulatedInstance instance = withStreams(FEW_SERVERS, size);
       tick.add(point(size, tickMicros(instance)));
-      second.add(point(size, Gauge.fastestMicros(REPETITIONS, () -> instance.run(SECOND))));
-      frames.add(point(size, Gauge.fastestMicros(TICKS, () -> framesStep(instance))));
+      second.add(point(size, ResourceMeter.minCpuMicros(REPETITIONS, () -> instance.run(SECOND))));
+      frames.add(point(size, ResourceMeter.minCpuMicros(TICKS, () -> stepWithFrames(instance))));
     }
     return List.of(
         Slope.fit("tick, us", "open stream", tick),
@@ -102,45 +103,51 @@
         Slope.fit("a tick with a frame for each, us", "open stream", frames));
   }
 
-  private static SoloInstance withStreams(int servers, int count) {
-    SoloInstance instance = settled(new SoloInstance(FEW_PEERS, servers));
+  private static SimulatedInstance withStreams(int servers, int count) {
+    SimulatedInstance instance = settled(new SimulatedInstance(FEW_PEERS, servers));
     for (int i = 0; i < count; i++) {
-      instance.call();
+      instance.sendCall();
     }
     for (int i = 0; i < OPEN_SECONDS && instance.openStreams() < count; i++) {
       instance.run(SECOND);
     }
     if (instance.openStreams() != count) {
       throw new IllegalStateException(
-          "Streams were %d, expected %d".formatted(instance.openStreams(), count));
+          "open streams were %d, expected %d".formatted(instance.openStreams(), count));
     }
     return instance;
   }
 
-  /** Without the bodies of the requests, which all calls here share. */
+  /**
+   * Measures the heap per open stream. Request bodies are not included, because all calls share one
+   * body.
+   */
   private static Slope streamHeap() {
     List<Point> heap = new ArrayList<>();
     for (int size : STREAMS) {
-      long before = Gauge.retainedBytes();
-      SoloInstance instance = withStreams(FEW_SERVERS, size);
-      heap.add(point(size, Gauge.retainedBytes() - before));
+      long before = ResourceMeter.retainedBytes();
+      SimulatedInstance instance = withStreams(FEW_SERVERS, size);
+      heap.add(point(size, ResourceMeter.retainedBytes() - before));
       Reference.reachabilityFence(instance);
     }
     return Slope.fit("retained heap, octets", "open stream", heap);
   }
 
-  /** A heartbeat tells of every server that has work of this instance. */
-  private static Slope shares() {
+  /**
+   * Measures the traffic to one peer by the number of backend servers in use, since a heartbeat
+   * lists every server that runs requests of this instance.
+   */
+  private static Slope peerTrafficByServersInUse() {
     List<Point> sent = new ArrayList<>();
     for (int servers : SERVERS_IN_USE) {
-      SoloInstance instance = withStreams(servers, STREAMS_PER_SERVER * servers);
-      sent.add(point(servers, perSecond(instance, SoloInstance::peerBytes) / FEW_PEERS));
+      SimulatedInstance instance = withStreams(servers, STREAMS_PER_SERVER * servers);
+      sent.add(point(servers, perSecond(instance, SimulatedInstance::peerBytes) / FEW_PEERS));
     }
     return Slope.fit("octets sent to one peer /s", "server in use", sent);
   }
 
-  private static void framesStep(SoloInstance instance) {
-    instance.frames();
+  private static void stepWithFrames(SimulatedInstance instance) {
+    instance.sendFrames();
     instance.step();
   }
 
@@ -150,7 +157,7 @@
     List<Point> appended = new ArrayList<>();
     List<Point> backups = new ArrayList<>();
     for (int rate : REQUESTS_PER_SECOND) {
-      SoloInstance instance = settled(new SoloInstance(FEW_PEERS, FEW_SERVERS));
+      SimulatedInstance instance = settled(new SimulatedInstance(FEW_PEERS, FEW_SERVERS));
       serve(instance, rate, SECOND);
       double seconds = LONG_RUN.toSeconds();
       long appendsBefore = instance.appends();
@@ -161,7 +168,8 @@
       appended.add(point(rate, (instance.appendedBytes() - appendedBefore) / seconds));
       backups.add(point(rate, (instance.backupBytes() - backupsBefore) / seconds));
       micros.add(
-          point(rate, Gauge.fastestMicros(REPETITIONS, () -> serve(instance, rate, SECOND))));
+          point(
+              rate, ResourceMeter.minCpuMicros(REPETITIONS, () -> serve(instance, rate, SECOND))));
     }
     String per = "request a second";
     return List.of(
@@ -174,34 +182,38 @@
   private static Slope placements() {
     List<Point> micros = new ArrayList<>();
     for (int size : SERVERS) {
-      SoloInstance instance = settled(new SoloInstance(FEW_PEERS, size));
+      SimulatedInstance instance = settled(new SimulatedInstance(FEW_PEERS, size));
       serve(instance, USUAL_RATE, SECOND);
-      double fastest = Gauge.fastestMicros(REPETITIONS, () -> serve(instance, USUAL_RATE, SECOND));
+      double fastest =
+          ResourceMeter.minCpuMicros(REPETITIONS, () -> serve(instance, USUAL_RATE, SECOND));
       micros.add(point(size, fastest));
     }
     return Slope.fit("processor time at 20 requests/s, us/s", "backend server", micros);
   }
 
-  /** Calls come evenly; an answer of one frame takes a few ticks. */
-  private static void serve(SoloInstance instance, int rate, Duration duration) {
-    long rounds = duration.dividedBy(SoloInstance.TICK.multipliedBy(2));
+  /**
+   * Sends calls at an even rate for a duration. Each answer has one frame and takes a few ticks.
+   */
+  private static void serve(SimulatedInstance instance, int rate, Duration duration) {
+    long rounds = duration.dividedBy(SimulatedInstance.TICK.multipliedBy(2));
     double due = 0;
     for (long round = 0; round < rounds; round++) {
-      instance.finish();
+      instance.finishStreams();
       for (due += rate * duration.toSeconds() / (double) rounds; due >= 1; due--) {
-        instance.call();
+        instance.sendCall();
       }
       instance.step();
-      instance.frames();
+      instance.sendFrames();
       instance.step();
     }
   }
 
-  private static double tickMicros(SoloInstance instance) {
-    return Gauge.fastestMicros(REPETITIONS, () -> instance.tick(TICKS)) / TICKS;
+  private static double tickMicros(SimulatedInstance instance) {
+    return ResourceMeter.minCpuMicros(REPETITIONS, () -> instance.tick(TICKS)) / TICKS;
   }
 
-  private static double perSecond(SoloInstance instance, ToDoubleFunction<SoloInstance> count) {
+  private static double perSecond(
+      SimulatedInstance instance, ToDoubleFunction<SimulatedInstance> count) {
     double before = count.applyAsDouble(instance);
     instance.run(LONG_RUN);
     return (count.applyAsDouble(instance) - before) / LONG_RUN.toSeconds();
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/slope/LedgerSlopes.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/slope/LedgerSlopes.java
@@ -11,7 +11,7 @@
 import org.teaseldeal.ledger.entry.Entry;
 import org.teaseldeal.ledger.snapshot.SnapshotChunks;
 
-/** What the ledger costs by the size of its state and by what is folded into it. */
+/** Measures the ledger's cost by the size of its state and by the entries folded into it. */
 final class LedgerSlopes {
   private static final int REPETITIONS = 5;
   private static final int MAX_RECORDS = 2_000;
@@ -26,8 +26,9 @@
 
   List<Slope> measure() {
     List<Slope> slopes = new ArrayList<>();
-    slopes.addAll(state("budget", budgets, Samples::budget));
-    slopes.addAll(state("settings subtree", budgets / 37, number -> Samples.subtree(number, 0)));
+    slopes.addAll(state("budget", budgets, SampleEntries::budget));
+    slopes.addAll(
+        state("settings subtree", budgets / 37, number -> SampleEntries.subtree(number, 0)));
     slopes.addAll(state("lease", budgets / 10, LedgerSlopes::lease));
     slopes.addAll(state("claim in its window", budgets / 10, EntryKind.CLAIM::entry));
     slopes.addAll(state("remembered keyed charge", budgets / 5, EntryKind.KEYED_CHARGE::entry));
@@ -37,14 +38,17 @@
     return slopes;
   }
 
-  /** One lease of one service's budget: a lease is kept per service and holder. */
+  /**
+   * Creates an entry for a lease of its own service, as the ledger keeps one lease per service and
+   * holder.
+   */
   private static Entry lease(int number) {
     return new Entry.RequestLease(new ServiceId(EntryKind.TEAM, "service-" + number), 1_000, 1_000);
   }
 
   private static List<Slope> state(String per, int most, IntFunction<Entry> entry) {
     List<StateCost> costs = new ArrayList<>();
-    // The first use of a kind fills caches that no later state pays for.
+    // The first use of an entry kind also fills caches, which later measurements do not repeat.
     stateCost(most / 8, entry);
     for (int eighths : new int[] {1, 2, 4, 6, 8}) {
       costs.add(stateCost(most * eighths / 8, entry));
@@ -57,24 +61,27 @@
         fit("restore, us", per, costs, StateCost::restoreMicros));
   }
 
-  /** A method of its own, as a log that a frame still refers to would count as heap in use. */
+  /**
+   * Measures the cost of a state of one size. This is a separate method, because a log that the
+   * stack frame of a caller still refers to would count as retained heap.
+   */
   private static StateCost stateCost(int size, IntFunction<Entry> entry) {
-    long before = Gauge.retainedBytes();
+    long before = ResourceMeter.retainedBytes();
     FoldedLog log = new FoldedLog();
-    log.write(EntryKind.before());
+    log.write(EntryKind.prerequisites());
     for (int from = 0; from < size; from += MAX_ENTRIES) {
       int first = from;
       log.write(FoldedLog.entries(Math.min(MAX_ENTRIES, size - from), n -> entry.apply(first + n)));
     }
-    long heap = Gauge.retainedBytes() - before;
+    long heap = ResourceMeter.retainedBytes() - before;
     byte[] state = log.fold().export();
     return new StateCost(
         size,
         heap,
         state.length,
-        Gauge.fastestMicros(REPETITIONS, () -> log.fold().export()),
-        Gauge.fastestMicros(REPETITIONS, () -> SnapshotChunks.digest(state)),
-        Gauge.fastestMicros(REPETITIONS, () -> FoldedLog.newFold().restore(state)));
+        ResourceMeter.minCpuMicros(REPETITIONS, () -> log.fold().export()),
+        ResourceMeter.minCpuMicros(REPETITIONS, () -> SnapshotChunks.digest(state)),
+        ResourceMeter.minCpuMicros(REPETITIONS, () -> FoldedLog.newFold().restore(state)));
   }
 
   private static Slope fit(
@@ -86,7 +93,7 @@
   }
 
   private static List<Slope> entries(EntryKind kind) {
-    List<Point> octets = new ArrayList<>();
+    List<Point> bytesPerRecord = new ArrayList<>();
     List<Point> times = new ArrayList<>();
     for (int size : BATCH_SIZES) {
       int records = Math.min(MAX_RECORDS, MAX_ENTRIES / size);
@@ -94,22 +101,22 @@
       long bytes = 0;
       for (int i = 0; i < REPETITIONS; i++) {
         FoldedLog log = new FoldedLog();
-        log.write(EntryKind.before());
+        log.write(EntryKind.prerequisites());
         List<LogRecord> written = log.records(FoldedLog.entries(records * size, kind::entry), size);
         bytes = written.stream().mapToLong(record -> record.payload().length).sum();
-        fastest = Math.min(fastest, Gauge.micros(() -> log.fold(written)));
+        fastest = Math.min(fastest, ResourceMeter.cpuMicros(() -> log.fold(written)));
       }
-      octets.add(new Point(size, (double) bytes / records));
+      bytesPerRecord.add(new Point(size, (double) bytes / records));
       times.add(new Point(size, fastest / records));
     }
     String name = kind.name().toLowerCase(Locale.ROOT).replace('_', ' ');
     String per = name + " entry in a record";
     return List.of(
-        Slope.fit("octets of a log record", per, octets),
+        Slope.fit("octets of a log record", per, bytesPerRecord),
         Slope.fit("fold of a log record, us", per, times));
   }
 
-  /** What a state of one size costs. */
+  /** The cost of a ledger state of one size. */
   private record StateCost(
       int size,
       double heapBytes,
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/slope/ProcessSlopes.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/slope/ProcessSlopes.java
@@ -9,7 +9,7 @@
 import org.teaseldeal.bench.demo.IdleFleet.Cost;
 import org.teaseldeal.bench.slope.Slope.Point;
 
-/** What an idle router process costs by the number of routers. */
+/** Measures the cost of an idle router process by the number of routers. */
 final class ProcessSlopes {
   private static final int[] ROUTERS = {1, 3, 9};
 
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/slope/Gauge.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/slope/ResourceMeter.java
@@ -3,32 +3,35 @@
 import java.lang.management.ManagementFactory;
 import java.lang.management.ThreadMXBean;
 
-/** Reads processor time of this thread and the heap that is in use. */
-final class Gauge {
-  /** The serial collector leaves some garbage in place in three of four collections. */
+/** Measures the processor time of the current thread and the retained heap. */
+final class ResourceMeter {
+  /**
+   * The number of collections before the heap is read: the serial collector leaves some garbage in
+   * place in three of four collections.
+   */
   private static final int COLLECTIONS = 4;
 
   private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
-  private Gauge() {}
+  private ResourceMeter() {}
 
-  /** The least processor time, in microseconds, that {@code action} took in some repetitions. */
-  static double fastestMicros(int repetitions, Runnable action) {
+  /** Returns the lowest processor time of an action among several repetitions, in microseconds. */
+  static double minCpuMicros(int repetitions, Runnable action) {
     double fastest = Double.POSITIVE_INFINITY;
     for (int i = 0; i < repetitions; i++) {
-      fastest = Math.min(fastest, micros(action));
+      fastest = Math.min(fastest, cpuMicros(action));
     }
     return fastest;
   }
 
-  /** The processor time, in microseconds, that {@code action} takes on this thread. */
-  static double micros(Runnable action) {
+  /** Returns the processor time that an action takes on this thread, in microseconds. */
+  static double cpuMicros(Runnable action) {
     long before = THREADS.getCurrentThreadCpuTime();
     action.run();
     return (THREADS.getCurrentThreadCpuTime() - before) / 1e3;
   }
 
-  /** The octets of the heap that a full collection leaves. */
+  /** Returns the heap in use after full collections, in bytes. */
   static long retainedBytes() {
     Runtime runtime = Runtime.getRuntime();
     for (int i = 0; i < COLLECTIONS; i++) {
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/slope/Samples.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/slope/SampleEntries.java
@@ -7,11 +7,14 @@
 import org.teaseldeal.ledger.entry.Entry;
 import org.teaseldeal.settings.SubtreeId;
 
-/** Teams, budgets and settings of a large fleet: ten budgets a team, its own and nine services'. */
-final class Samples {
+/**
+ * Creates the budget and settings entries of a large fleet. Each team has ten budgets: its own and
+ * those of nine services.
+ */
+final class SampleEntries {
   static final int BUDGETS_PER_TEAM = 10;
 
-  /** A subtree of the length that a team with two services and two customers has. */
+  /** The settings subtree of a team with two services and two customers. */
   static final String TEAM_TOML =
       """
       [services.appraisal]
@@ -55,7 +58,7 @@
       default_timeout = "1h"
       """;
 
-  private Samples() {}
+  private SampleEntries() {}
 
   static TeamId team(int number) {
     return new TeamId(String.format(Locale.ROOT, "team-%05d", number));
@@ -63,9 +66,9 @@
 
   static Entry budget(int number) {
     TeamId team = team(number / BUDGETS_PER_TEAM);
-    int place = number % BUDGETS_PER_TEAM;
+    int index = number % BUDGETS_PER_TEAM;
     AccountId account =
-        place == 0 ? AccountId.of(team) : AccountId.of(new ServiceId(team, "service-" + place));
+        index == 0 ? AccountId.of(team) : AccountId.of(new ServiceId(team, "service-" + index));
     return new Entry.CreateBudget(account, 1_000_000, "operator", "create-" + number);
   }
 
