--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/slope/SoloInstance.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/slope/SimulatedInstance.java
@@ -48,13 +48,13 @@
 import org.teaseldeal.wire.gen.peer.StreamPosition;
 
 /**
- * An instance without a network, in virtual time, that hears from peers, servers and a log as a
- * router's would.
+ * A single instance in virtual time and without a network. It receives the messages that peers,
+ * backend servers and the log send to the instance of a router.
  *
- * <p>Messages are written and read as octets, as on a connection; sockets, HTTP and JSON are left
- * out.
+ * <p>Messages are serialized and deserialized as on a connection. Sockets, HTTP and JSON are not
+ * part of the simulation.
  */
-final class SoloInstance implements InstantSource {
+final class SimulatedInstance implements InstantSource {
   static final Duration TICK = Duration.ofMillis(5);
   private static final Duration LIST_INTERVAL = Duration.ofMillis(500);
   private static final Duration LOAD_INTERVAL = Duration.ofMillis(200);
@@ -83,16 +83,16 @@
   private long appends;
   private long appendedBytes;
 
-  /** Creates an instance among {@code peerCount} peers before {@code serverCount} servers. */
-  SoloInstance(int peerCount, int serverCount) {
+  /** Creates an instance with {@code peerCount} peers and {@code serverCount} backend servers. */
+  SimulatedInstance(int peerCount, int serverCount) {
     log =
         new ArrayList<>(
             new FoldedLog()
                 .records(
                     List.of(
                         new Entry.PublishSettings(
-                            SubtreeId.FLEET, 0, "operator", Samples.FLEET_TOML),
-                        Samples.subtree(42, 0),
+                            SubtreeId.FLEET, 0, "operator", SampleEntries.FLEET_TOML),
+                        SampleEntries.subtree(42, 0),
                         new Entry.CreateBudget(
                             AccountId.of(EntryKind.TEAM), TOKENS, "operator", "create")),
                     1));
@@ -135,7 +135,7 @@
     return peerBytes;
   }
 
-  /** Of {@link #peerBytes()}, those of charges given to peers to keep. */
+  /** Returns the part of {@link #peerBytes()} that carries charge backups. */
   long backupBytes() {
     return backupBytes;
   }
@@ -148,12 +148,12 @@
     return appendedBytes;
   }
 
-  /** Attempts that servers have been given and not ended. */
+  /** Returns the number of attempts that are in flight at backend servers. */
   int openStreams() {
     return attempts.size();
   }
 
-  /** Lets {@code duration} pass. */
+  /** Advances the virtual time by {@code duration}, in steps of one tick. */
   void run(Duration duration) {
     Instant end = now.plus(duration);
     while (now.isBefore(end)) {
@@ -161,7 +161,7 @@
     }
   }
 
-  /** Runs the systems without time passing. */
+  /** Runs ticks of the instance without advancing the time. */
   void tick(int count) {
     for (int i = 0; i < count; i++) {
       core.tick();
@@ -169,8 +169,8 @@
     }
   }
 
-  /** A caller asks for a streamed answer. */
-  void call() {
+  /** Sends a request for a streamed answer. */
+  void sendCall() {
     inbox.add(
         new InstanceEvent.CallerRequest(
             new CallId(++lastCall),
@@ -181,16 +181,16 @@
             new Payload.ModelCall(BODY, BODY.length, OptionalLong.empty(), true)));
   }
 
-  /** Each open stream gets one more frame. */
-  void frames() {
+  /** Delivers the next frame to each open stream. */
+  void sendFrames() {
     for (AttemptId attempt : attempts) {
       inbox.add(new InstanceEvent.FrameReceived(attempt, framesPerAttempt, FRAME));
     }
     framesPerAttempt++;
   }
 
-  /** Each open stream ends. */
-  void finish() {
+  /** Ends each open stream. */
+  void finishStreams() {
     for (AttemptId attempt : attempts) {
       inbox.add(new InstanceEvent.StreamFinished(attempt, framesPerAttempt, new Usage(133, 200)));
     }
@@ -201,16 +201,16 @@
   void step() {
     now = now.plus(TICK);
     steps++;
-    hear();
+    receiveMessages();
     while (!inbox.isEmpty()) {
       core.handle(inbox.remove());
     }
     core.tick();
-    core.drainCommands().forEach(this::carryOut);
+    core.drainCommands().forEach(this::execute);
   }
 
-  private void hear() {
-    if (every(LIST_INTERVAL)) {
+  private void receiveMessages() {
+    if (isDue(LIST_INTERVAL)) {
       inbox.add(new InstanceEvent.ListRead(peers, servers));
       for (byte[] heartbeat : heartbeats) {
         Envelope envelope = read(heartbeat);
@@ -219,7 +219,7 @@
                 new IncarnationId(envelope.getSender()), envelope.getMessage()));
       }
     }
-    if (every(LOAD_INTERVAL)) {
+    if (isDue(LOAD_INTERVAL)) {
       servers.forEach(
           server ->
               inbox.add(
@@ -228,7 +228,7 @@
     answerRead();
   }
 
-  private boolean every(Duration interval) {
+  private boolean isDue(Duration interval) {
     return (steps - 1) % (interval.toMillis() / TICK.toMillis()) == 0;
   }
 
@@ -245,22 +245,22 @@
             new LogEvent.RecordsRead(StreamId.FLEET, read.fromOffset(), records, 0, log.size())));
   }
 
-  private void carryOut(InstanceCommand command) {
+  private void execute(InstanceCommand command) {
     switch (command) {
       case InstanceCommand.StartAttempt start -> attempts.add(start.attempt());
-      case InstanceCommand.AtLog at -> atLog(at.command());
+      case InstanceCommand.AtLog at -> executeAtLog(at.command());
       case InstanceCommand.SendPeer send -> send(send);
       case InstanceCommand.Refuse refuse ->
-          throw new IllegalStateException("Call was refused: " + refuse.problem());
+          throw new IllegalStateException("the instance refused a call: " + refuse.problem());
       case InstanceCommand.BreakStream broken ->
-          throw new IllegalStateException("Stream broke: " + broken.problem());
+          throw new IllegalStateException("the instance broke off a stream: " + broken.problem());
       default -> {
-        // An answer to a caller, which nobody waits for here.
+        // The remaining commands are answers to callers, which this simulation does not use.
       }
     }
   }
 
-  private void atLog(LogCommand command) {
+  private void executeAtLog(LogCommand command) {
     switch (command) {
       case LogCommand.Append append -> {
         appends++;
@@ -303,7 +303,9 @@
     }
   }
 
-  /** The octets of a heartbeat that tells of {@code streams} streams of the ledger. */
+  /**
+   * Returns a serialized heartbeat that contains the positions of {@code streams} ledger streams.
+   */
   static byte[] heartbeat(int number, int streams) {
     List<StreamPosition> positions =
         IntStream.range(0, streams).mapToObj(i -> new StreamPosition(i, 1_000_000)).toList();
@@ -327,7 +329,7 @@
       return new TSerializer(new TCompactProtocol.Factory())
           .serialize(new Envelope(1, sender.value(), message));
     } catch (TException e) {
-      throw new IllegalStateException("The message can't be written", e);
+      throw new IllegalStateException("could not serialize the message", e);
     }
   }
 
@@ -337,7 +339,7 @@
       new TDeserializer(new TCompactProtocol.Factory()).deserialize(envelope, bytes);
       return envelope;
     } catch (TException e) {
-      throw new IllegalStateException("The message can't be read", e);
+      throw new IllegalStateException("could not deserialize the message", e);
     }
   }
 
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/slope/Slope.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/slope/Slope.java
@@ -4,11 +4,11 @@
 import org.teaseldeal.api.Preconditions;
 
 /**
- * How a figure grows with a size, from measurements at several sizes.
+ * The growth of a measured figure with a size, fitted to measurements at several sizes.
  *
- * @param figure what was measured, with its unit
- * @param per what the size counts
- * @param slope growth of the figure per one of {@code per}, by least squares
+ * @param figure the name and the unit of the measured figure
+ * @param per the name of the things that the size counts
+ * @param slope the growth of the figure per unit of size, by least squares
  * @param intercept the figure at size zero, by least squares
  * @param least the smallest growth between two neighbouring sizes
  * @param most the largest growth between two neighbouring sizes
@@ -25,10 +25,10 @@
     points = List.copyOf(points);
   }
 
-  /** One measurement. */
+  /** A measurement at one size. */
   public record Point(double size, double value) {}
 
-  /** Fits a line through two points or more, ordered by size. */
+  /** Fits a line to at least two points, which are ordered by size. */
   static Slope fit(String figure, String per, List<Point> points) {
     Preconditions.require(
         points.size() > 1, "points were %d, expected 2 or more".formatted(points.size()));
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/slope/SlopesCommand.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/slope/SlopesCommand.java
@@ -16,15 +16,15 @@
 import org.teaseldeal.cli.ExitStatus;
 
 /**
- * Measures slopes in this process, in virtual time and without a network; with launchers also those
- * of idle routers as processes.
+ * Measures how the costs of the ledger and of an instance grow, in this process, in virtual time
+ * and without a network. With launchers, the command also measures idle router processes.
  *
- * <p>Times are processor times of one thread, the fastest of several repetitions, as other work on
- * the host only ever makes them longer.
+ * <p>Times are the processor times of one thread. The lowest of several repetitions counts, because
+ * other work on the host can only increase a measurement.
  */
-@Parameters(commandDescription = "Measure how an instance's cost grows with what it holds and does")
+@Parameters(commandDescription = "Measure how an instance's cost grows with state and load")
 public final class SlopesCommand extends Command {
-  /** Smaller states than these drown in the noise of the heap. */
+  /** The heap differences of smaller states are lost in measurement noise. */
   private static final int LEAST_BUDGETS = 1_000;
 
   private static final int MOST_BUDGETS = 1_000_000;
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/slope/package-info.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/slope/package-info.java
@@ -1,4 +1,4 @@
-/** Measures how an instance's cost grows with what it has to hold and do. */
+/** Measures how an instance's cost grows with the size of its state and with its load. */
 @NullMarked
 package org.teaseldeal.bench.slope;
 
--- a/teaseldeal-bench/src/test/java/org/teaseldeal/bench/CommandLineTests.java
+++ b/teaseldeal-bench/src/test/java/org/teaseldeal/bench/CommandLineTests.java
@@ -13,6 +13,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.teaseldeal.cli.ExitStatus;
 
+/** Compares the help text and the error messages of the command line with the approved texts. */
 class CommandLineTests {
   @TempDir private Path folder = Path.of("");
 
--- a/teaseldeal-bench/src/test/java/org/teaseldeal/bench/LoadCommandTests.java
+++ b/teaseldeal-bench/src/test/java/org/teaseldeal/bench/LoadCommandTests.java
@@ -11,7 +11,7 @@
 
 class LoadCommandTests {
   private static final Path SCENARIOS = Path.of("..", "scenarios", "association");
-  private static final String NOBODY = "127.0.0.1:1";
+  private static final String UNUSED_ADDRESS = "127.0.0.1:1";
 
   private final ByteArrayOutputStream err = new ByteArrayOutputStream();
 
@@ -27,19 +27,20 @@
   }
 
   @Test
-  void needsEitherATargetOrAFleet() {
+  void requiresEitherATargetOrAFleet() {
     assertEquals(ExitStatus.WRONG_COMMAND_LINE, load("burst.toml"));
     assertEquals(
         ExitStatus.WRONG_COMMAND_LINE,
-        load("burst.toml", "--target", NOBODY, "--fleet", "examples/association"));
+        load("burst.toml", "--target", UNUSED_ADDRESS, "--fleet", "examples/association"));
     assertEquals(
         "teaseldeal-bench: expected either --target or --fleet\n".repeat(2),
         err.toString(StandardCharsets.UTF_8));
   }
 
   @Test
-  void refusesToDropAScenariosFaults() {
-    assertEquals(ExitStatus.WRONG_COMMAND_LINE, load("slow-engine.toml", "--target", NOBODY));
+  void refusesAScenarioWithFaultsWithoutAFleet() {
+    assertEquals(
+        ExitStatus.WRONG_COMMAND_LINE, load("slow-engine.toml", "--target", UNUSED_ADDRESS));
     assertEquals(
         "teaseldeal-bench: the scenario sets faults, expected --fleet\n",
         err.toString(StandardCharsets.UTF_8));
--- a/teaseldeal-bench/src/test/java/org/teaseldeal/bench/demo/DemoChecksTests.java
+++ b/teaseldeal-bench/src/test/java/org/teaseldeal/bench/demo/DemoChecksTests.java
@@ -30,7 +30,10 @@
 import org.teaseldeal.ledger.codec.BatchCodec;
 import org.teaseldeal.ledger.entry.Entry;
 
-/** A run in which all checks hold, and for each check a run in which it alone finds something. */
+/**
+ * Runs the checks on a consistent run and, for each check, on a run that only this check must
+ * reject. A check that overlooks inconsistencies would make every demo pass.
+ */
 class DemoChecksTests {
   private static final ServiceId DRAFTS = ServiceId.of("wool", "drafts");
   private static final ServiceId BIDS = ServiceId.of("wool", "bids");
@@ -53,19 +56,19 @@
         new Entry.RequestLease(DRAFTS, 500, 500),
         new Entry.RequestLease(BIDS, 100, 100));
     append(charge(1, "r1", DRAFTS, 40), charge(2, "r2", BIDS, 1));
-    servers.used("r1", 40);
-    servers.ran("r2", 1);
+    servers.addTokens("r1", 40);
+    servers.addRuns("r2", 1);
     samples.add(sample(Flow.Kind.MODEL, DRAFTS, "r1", Outcome.IN_TIME));
     samples.add(sample(Flow.Kind.PLAIN, BIDS, "r2", Outcome.IN_TIME));
   }
 
   @Test
-  void allHoldForATrueRun() {
+  void allChecksHoldForAConsistentRun() {
     assertBroken();
   }
 
   @Test
-  void requestWithoutEndIsFound() {
+  void unfinishedRequestIsFound() {
     sent = 3;
     assertBroken("every caller's request came to an end");
   }
@@ -77,7 +80,7 @@
     assertBroken("no caller got a part of another's answer");
   }
 
-  // Two routers settle the same request, each under a charge id of its own.
+  // Two routers charge the same request, each with its own charge id.
   @Test
   void secondChargeOfARequestIsFound() {
     append(charge(3, "r1", DRAFTS, 40));
@@ -87,14 +90,14 @@
   @Test
   void chargeOfMoreThanWasUsedIsFound() {
     append(charge(3, "r3", DRAFTS, 50));
-    servers.used("r3", 49);
+    servers.addTokens("r3", 49);
     assertBroken("every charge is what was used");
   }
 
   @Test
   void plainCallChargedForMoreThanItsPriceIsFound() {
     append(charge(3, "r3", BIDS, 2));
-    servers.ran("r3", 1);
+    servers.addRuns("r3", 1);
     assertBroken("every charge is what was used");
   }
 
@@ -107,7 +110,7 @@
 
   @Test
   void bidThatRanTwiceIsFound() {
-    servers.ran("r2", 2);
+    servers.addRuns("r2", 2);
     assertBroken("no call that may not be repeated ran twice");
   }
 
@@ -115,19 +118,19 @@
   void refusalOfARequestThatRanIsFound() {
     samples.add(sample(Flow.Kind.MODEL, DRAFTS, "r3", Outcome.REFUSED));
     sent = 3;
-    servers.used("r3", 12);
+    servers.addTokens("r3", 12);
     assertBroken("every refusal that says not-run was not run");
   }
 
   @Test
-  void budgetThatIsNotWhatTheOperatorPutInIsFound() {
+  void budgetThatDiffersFromTheGrantIsFound() {
     granted = GRANTED - 1;
     assertBroken("granted = charged + written off + leased + remaining");
   }
 
   @Test
-  void moreUsedThanCountedIsFound() {
-    servers.used("r4", 600);
+  void unaccountedTokenUseIsFound() {
+    servers.addTokens("r4", 600);
     assertBroken("what was used is covered by charged + written off + leased");
   }
 
--- a/teaseldeal-bench/src/test/java/org/teaseldeal/bench/fault/FaultRunTests.java
+++ b/teaseldeal-bench/src/test/java/org/teaseldeal/bench/fault/FaultRunTests.java
@@ -43,14 +43,15 @@
   }
 
   @Test
-  void playsASeedTheSameToTheByte() {
+  void repeatsTheSameHistoryForTheSameSeed() {
     String once = play(5, Deployment.ASSOCIATION).toLines();
     assertEquals(once, play(5, Deployment.ASSOCIATION).toLines());
   }
 
   /**
-   * Instances are killed, frozen, cut off and retired while the log is down, slow or loses answers
-   * and servers fail, two at once. Callers, operators and servers see every promise kept.
+   * Guards all promises, as callers, operators and servers observe them, under overlapping faults:
+   * instances are killed, frozen, partitioned and retired while the log is down, slow or loses
+   * answers and while backend servers fail.
    */
   @Test
   void keepsEveryPromiseUnderFaultsInBothDeployments() {
@@ -66,7 +67,10 @@
     }
   }
 
-  /** Claims taken as won without the log: two instances that race both send the bid. */
+  /**
+   * Checks that the simulation detects a missing read-back of claims: two instances that race for
+   * the same bid then both consider their claim won and both send the bid.
+   */
   @Test
   void reportsASecondRunIfClaimsAreNotReadBack() {
     assertReports(
@@ -80,7 +84,10 @@
         Promise.AT_MOST_ONCE);
   }
 
-  /** One token set aside for each request: callers at once use more than was granted. */
+  /**
+   * Checks that the simulation detects reservations that are too small: with one token reserved for
+   * each request, concurrent requests use more tokens than were granted.
+   */
   @Test
   void reportsOverspendIfLessThanTheWorstCaseIsReserved() {
     assertReports(
@@ -88,9 +95,12 @@
         Promise.NO_OVERSPEND);
   }
 
-  /** Servers crash with requests in flight, and a non-idempotent one is tried again elsewhere. */
+  /**
+   * Checks that the simulation detects retries of non-idempotent requests: a server crashes with
+   * the request in flight, and the instance retries it at another server.
+   */
   @Test
-  void reportsASecondRunIfAnythingMayBeRunAgain() {
+  void reportsASecondRunIfNonIdempotentRequestsAreRetried() {
     assertReports(
         violations(CRASHES, 4 * SEEDS, parts -> parts.withReruns(service -> true)),
         Promise.AT_MOST_ONCE);
--- a/teaseldeal-bench/src/test/java/org/teaseldeal/bench/fault/PromiseTests.java
+++ b/teaseldeal-bench/src/test/java/org/teaseldeal/bench/fault/PromiseTests.java
@@ -9,33 +9,36 @@
 import org.teaseldeal.bench.fault.HistoryEvent.Change;
 import org.teaseldeal.bench.fault.HistoryEvent.End;
 
-/** Shows each check a history that keeps its promise but for one thing, and sees it reported. */
+/**
+ * Adds one violation to a history that keeps all promises, and expects the check of that promise to
+ * report it. A check that overlooks violations would make every fault simulation pass.
+ */
 class PromiseTests {
   private static final String REQUEST = "k-1";
   private final History history = new History();
 
   @BeforeEach
-  void startWithAHistoryThatKeepsAllPromises() {
+  void recordAHistoryThatKeepsAllPromises() {
     history.add(new HistoryEvent.Lifecycle(0, "r1-run1", Change.STARTED));
-    history.add(new HistoryEvent.InForce(0, "r1-run1", 2));
-    history.add(new HistoryEvent.Granted(0, "wool", 1_000));
-    sent(1, "bids", "lot-4", false);
+    history.add(new HistoryEvent.RevisionInForce(0, "r1-run1", 2));
+    history.add(new HistoryEvent.TokensGranted(0, "wool", 1_000));
+    send(1, "bids", "lot-4", false);
     history.add(new HistoryEvent.Ran(5, "desk-a", REQUEST));
-    whole(1, REQUEST, "done lot-4");
+    endWithCompleteAnswer(1, REQUEST, "done lot-4");
     history.add(new HistoryEvent.Charged(REQUEST, 7));
-    history.add(new HistoryEvent.Used("all", 7));
+    history.add(new HistoryEvent.TokensUsed("all", 7));
     history.add(new HistoryEvent.Balance("wool", 1_000, 7, 0, 100, 893));
   }
 
-  private void sent(int call, String service, String key, boolean idempotent) {
+  private void send(int call, String service, String key, boolean idempotent) {
     history.add(new HistoryEvent.Sent(call, call, "r1-run1", service, key, idempotent));
   }
 
-  private void whole(int call, String request, String... parts) {
-    ended(call, request, End.WHOLE, 1, null, parts);
+  private void endWithCompleteAnswer(int call, String request, String... parts) {
+    end(call, request, End.WHOLE, 1, null, parts);
   }
 
-  private void ended(
+  private void end(
       int call,
       String request,
       End end,
@@ -52,20 +55,20 @@
   }
 
   @Test
-  void reportsNothingOfAHistoryThatKeepsAllPromises() {
+  void reportsNothingForAHistoryThatKeepsAllPromises() {
     assertEquals(List.of(), Promise.allViolations(history));
   }
 
   @Test
-  void readsWhatItWrote() {
+  void readsAHistoryThatItWrote() {
     assertEquals(history.toLines(), History.ofLines(history.toLines()).toLines());
   }
 
   @Nested
   class NoOverspend {
     @Test
-    void reportsUseBeyondWhatWasGranted() {
-      history.add(new HistoryEvent.Granted(9, "wool", -994));
+    void reportsUseBeyondTheGrantedTokens() {
+      history.add(new HistoryEvent.TokensGranted(9, "wool", -994));
       assertEquals(
           List.of(
               "no-overspend: servers used 7 tokens of 6 granted",
@@ -75,7 +78,7 @@
 
     @Test
     void reportsUseThatTheLogDoesNotAccountFor() {
-      history.add(new HistoryEvent.Used("lost", 200));
+      history.add(new HistoryEvent.TokensUsed("lost", 200));
       assertReported("no-overspend: servers used 207 tokens, the log accounts for 107");
     }
   }
@@ -90,8 +93,8 @@
 
     @Test
     void reportsAnAnswerThatWasNotCharged() {
-      sent(2, "bids", "lot-5", false);
-      whole(2, "k-2", "done lot-5");
+      send(2, "bids", "lot-5", false);
+      endWithCompleteAnswer(2, "k-2", "done lot-5");
       assertReported("billed-once: k-2 was answered whole and not charged");
     }
   }
@@ -100,15 +103,16 @@
   class WholeOwnAnswer {
     @Test
     void reportsAnAnswerToAnotherCaller() {
-      sent(2, "bids", "lot-5", false);
-      whole(2, REQUEST, "done lot-4");
+      send(2, "bids", "lot-5", false);
+      endWithCompleteAnswer(2, REQUEST, "done lot-4");
       assertReported("whole-own-answer: call 2 got parts of another answer: [done lot-4]");
     }
 
     @Test
     void reportsAStreamWithAFrameMissing() {
-      sent(2, "drafts", "d", true);
-      whole(2, REQUEST, "{\"frame\":0,\"of\":\"k-1\"}", "{\"frame\":2,\"of\":\"k-1\"}");
+      send(2, "drafts", "d", true);
+      endWithCompleteAnswer(
+          2, REQUEST, "{\"frame\":0,\"of\":\"k-1\"}", "{\"frame\":2,\"of\":\"k-1\"}");
       assertReported(
           "whole-own-answer: call 2 got parts of another answer:"
               + " [{\"frame\":0,\"of\":\"k-1\"}, {\"frame\":2,\"of\":\"k-1\"}]");
@@ -116,22 +120,22 @@
 
     @Test
     void reportsTwoAnswersToOneCall() {
-      sent(2, "bids", "lot-4", false);
-      ended(2, REQUEST, End.WHOLE, 2, null, "done lot-4");
+      send(2, "bids", "lot-4", false);
+      end(2, REQUEST, End.WHOLE, 2, null, "done lot-4");
       assertReported("whole-own-answer: call 2 got 2 final answers");
     }
 
     @Test
     void reportsACallThatNeverEnds() {
-      sent(2, "bids", "lot-5", false);
+      send(2, "bids", "lot-5", false);
       assertReported("whole-own-answer: call 2 never ended");
     }
   }
 
   @Test
-  void reportsARefusalThatSaysNotRunOfWhatRan() {
-    sent(2, "bids", "lot-5", false);
-    ended(2, "k-2", End.REFUSED, 1, "not-run");
+  void reportsANotRunRefusalOfARequestThatRan() {
+    send(2, "bids", "lot-5", false);
+    end(2, "k-2", End.REFUSED, 1, "not-run");
     history.add(new HistoryEvent.Ran(6, "desk-a", "k-2"));
     assertReported("true-refusals: call 2 was told not-run and ran: some-error");
   }
@@ -143,19 +147,19 @@
   }
 
   @Test
-  void reportsNewWorkForAServerThatLeaves() {
-    history.add(new HistoryEvent.Leaving(100, "desk-a"));
-    sent(2, "rates", "r", true);
+  void reportsNewWorkForALeavingServer() {
+    history.add(new HistoryEvent.ServerLeaving(100, "desk-a"));
+    send(2, "rates", "r", true);
     history.add(new HistoryEvent.Ran(5_101, "desk-a", "k-2"));
-    ended(2, "k-2", End.REFUSED, 1, "unknown");
+    end(2, "k-2", End.REFUSED, 1, "unknown");
     assertReported("leaving-servers-rest: desk-a got work 5001 ms after it began to leave");
   }
 
   @Test
   void reportsACallThatADrainCutOff() {
-    sent(2, "bids", "lot-5", false);
+    send(2, "bids", "lot-5", false);
     history.add(new HistoryEvent.Lifecycle(5, "r1-run1", Change.DRAINED));
-    ended(2, "", End.CONNECTION_LOST, 0, null);
+    end(2, "", End.CONNECTION_LOST, 0, null);
     assertReported("drains-cut-nothing: call 2 was cut off by a drain");
   }
 
@@ -163,14 +167,14 @@
   class SettingsInForce {
     @Test
     void reportsARevisionThatWentBack() {
-      history.add(new HistoryEvent.InForce(500, "r1-run1", 1));
+      history.add(new HistoryEvent.RevisionInForce(500, "r1-run1", 1));
       assertReported("settings-in-force: r1-run1 went back from revision 2 to 1");
     }
 
     @Test
     void reportsARevisionThatCameLate() {
-      history.add(new HistoryEvent.Published(1_000, "ops", 7, true));
-      history.add(new HistoryEvent.InForce(5_001, "r1-run1", 7));
+      history.add(new HistoryEvent.SettingsPublished(1_000, "ops", 7, true));
+      history.add(new HistoryEvent.RevisionInForce(5_001, "r1-run1", 7));
       assertReported(
           "settings-in-force: r1-run1 had revision 7 in force 4001 ms after it was published");
     }
--- a/teaseldeal-bench/src/test/java/org/teaseldeal/bench/fault/package-info.java
+++ b/teaseldeal-bench/src/test/java/org/teaseldeal/bench/fault/package-info.java
@@ -1,4 +1,4 @@
-/** Tests of the checks of promises and of played faults. */
+/** Tests of the promise checks and of simulated faults. */
 @NullMarked
 package org.teaseldeal.bench.fault;
 
--- a/teaseldeal-bench/src/test/java/org/teaseldeal/bench/scenario/ScenarioFilesTests.java
+++ b/teaseldeal-bench/src/test/java/org/teaseldeal/bench/scenario/ScenarioFilesTests.java
@@ -18,6 +18,10 @@
 import org.teaseldeal.settings.SubtreeId;
 import org.teaseldeal.settings.TeamSettings;
 
+/**
+ * Checks the scenario files against the example settings. A scenario that names a missing service
+ * or customer would only measure refusals.
+ */
 class ScenarioFilesTests {
   private static final Path ROOT = Path.of("..");
 
@@ -29,7 +33,7 @@
 
   @ParameterizedTest
   @MethodSource("files")
-  void namesWhatTheExamplesHave(Path file) throws IOException {
+  void refersToServicesAndCustomersOfTheExamples(Path file) throws IOException {
     Scenario scenario = parse(file);
     assertEquals(file.getFileName().toString(), scenario.name() + ".toml");
     String deployment = file.getName(file.getNameCount() - 2).toString();
--- a/teaseldeal-bench/src/test/java/org/teaseldeal/bench/scenario/package-info.java
+++ b/teaseldeal-bench/src/test/java/org/teaseldeal/bench/scenario/package-info.java
@@ -1,4 +1,4 @@
-/** Tests of scenarios and of the scenario files. */
+/** Tests of the scenario files. */
 @NullMarked
 package org.teaseldeal.bench.scenario;
 
--- a/teaseldeal-bench/src/test/java/org/teaseldeal/bench/slope/SlopeTests.java
+++ b/teaseldeal-bench/src/test/java/org/teaseldeal/bench/slope/SlopeTests.java
@@ -34,24 +34,24 @@
   }
 
   @Test
-  void onePointGivesNoSlope() {
+  void refusesASinglePoint() {
     List<Point> one = List.of(new Point(1, 1));
 
     assertThrows(IllegalArgumentException.class, () -> Slope.fit("octets", "budget", one));
   }
 
   @Test
-  void soloInstanceServesItsCallsAndChargesThem() {
-    SoloInstance instance = new SoloInstance(3, 2);
+  void simulatedInstanceServesItsCallsAndChargesThem() {
+    SimulatedInstance instance = new SimulatedInstance(3, 2);
     instance.run(Duration.ofSeconds(5));
     assertTrue(instance.ready());
 
-    instance.call();
+    instance.sendCall();
     instance.run(Duration.ofSeconds(1));
     assertEquals(1, instance.openStreams());
-    instance.frames();
+    instance.sendFrames();
     instance.step();
-    instance.finish();
+    instance.finishStreams();
     instance.run(Duration.ofSeconds(1));
 
     assertEquals(0, instance.openStreams());
--- a/teaseldeal-dist/src/test/java/org/teaseldeal/dist/Answer.java
+++ b/teaseldeal-dist/src/test/java/org/teaseldeal/dist/Answer.java
@@ -3,22 +3,23 @@
 import java.util.Optional;
 
 /**
- * How a request ended for its caller.
+ * The outcome of a request as its caller observed it.
  *
- * @param requestId by the answer's head, empty if there was none
- * @param detail the answer to a plain call, the problem of a refusal, or what was wrong
+ * @param requestId the request id from the answer's headers, or empty if there was none
+ * @param detail the answer to a plain call, the problem document of a refusal, or a description of
+ *     what was wrong with the answer
  */
 record Answer(End end, int status, String requestId, String detail) {
   enum End {
-    /** The answer came, whole and the caller's own. */
+    /** The complete answer to this request arrived. */
     WHOLE,
-    /** A problem came instead of an answer. */
+    /** A problem document arrived instead of an answer. */
     PROBLEM,
-    /** The connection broke, or the stream said that it did. */
+    /** The connection broke, or the stream ended with an error event. */
     BROKEN,
     /** No connection could be made, so nothing was sent. */
     NOT_SENT,
-    /** A part is missing or another's. */
+    /** A part of the answer is missing or belongs to another request. */
     WRONG
   }
 
@@ -26,21 +27,27 @@
     return end == End.WHOLE;
   }
 
-  boolean notRun() {
+  boolean reportsNotRun() {
     return end == End.NOT_SENT || (end == End.PROBLEM && detail.contains("\"run\":\"not-run\""));
   }
 
-  /** Whether the caller was told when to come back, or could send nothing at all. */
-  boolean mayComeBack() {
+  /**
+   * Returns whether the caller may retry: the problem has a retry delay, or the request was not
+   * sent.
+   */
+  boolean isRetryable() {
     return end == End.NOT_SENT || (end == End.PROBLEM && detail.contains("\"retry_after_ms\":"));
   }
 
-  /** Whether an error speaks of this try alone, as one that refuses a request with a key does. */
-  boolean speaksOfThisTry() {
+  /**
+   * Returns whether the problem makes no statement about earlier attempts with the same key,
+   * because it reports the run as unknown.
+   */
+  boolean concernsThisAttemptOnly() {
     return end == End.PROBLEM && detail.contains("\"run\":\"unknown\"");
   }
 
-  /** The error kind of a problem. */
+  /** Returns the error kind of a problem document. */
   Optional<String> kind() {
     int start = detail.indexOf("urn:teaseldeal:error:");
     if (start < 0) {
--- a/teaseldeal-dist/src/test/java/org/teaseldeal/dist/Caller.java
+++ b/teaseldeal-dist/src/test/java/org/teaseldeal/dist/Caller.java
@@ -18,14 +18,16 @@
 import org.teaseldeal.bench.load.AnswerCheck;
 import org.teaseldeal.dist.Answer.End;
 
-/** A caller of the fleet's two services that checks every part of its answers. */
+/** A caller of the fleet's two services that checks its answers part by part. */
 final class Caller implements AutoCloseable {
   private static final Duration BOUND = Duration.ofSeconds(60);
   private static final String DATA = "data: ";
 
   private final HttpClient client = HttpClient.newHttpClient();
 
-  /** Asks for a draft of {@code tokens} tokens as a stream; {@code onFrame} runs after each. */
+  /**
+   * Requests a streamed draft of {@code tokens} tokens and runs {@code onFrame} after each frame.
+   */
   Answer draft(String router, Optional<String> key, String prompt, int tokens, Runnable onFrame)
       throws InterruptedException {
     String body =
@@ -43,7 +45,7 @@
     return draft(router, key, prompt, tokens, () -> {});
   }
 
-  /** Places a bid, which must not run twice. */
+  /** Places a bid, which must run at most once. */
   Answer bid(String router, String key, String body) throws InterruptedException {
     return send(
         request(router, "/services/%s/bids".formatted(Fleet.BIDS), Optional.of(key), body),
@@ -107,7 +109,7 @@
         onFrame.run();
       }
     }
-    return streamAnswer(answer, done, error, check.fault(tokens), check);
+    return streamAnswer(answer, done, error, check.problem(tokens), check);
   }
 
   private static Answer streamAnswer(
@@ -118,8 +120,8 @@
       AnswerCheck check) {
     String id = answer.headers().firstValue("Request-Id").orElse("");
     if (!done) {
-      // What came before it broke must still be the caller's own, in order.
-      Optional<String> wrong = check.fault(check.frames());
+      // The frames before the break must still belong to this request and be in order.
+      Optional<String> wrong = check.problem(check.frames());
       return new Answer(wrong.isPresent() ? End.WRONG : End.BROKEN, 200, id, wrong.orElse(error));
     }
     return new Answer(fault.isPresent() ? End.WRONG : End.WHOLE, 200, id, fault.orElse(""));
--- a/teaseldeal-dist/src/test/java/org/teaseldeal/dist/DemoTests.java
+++ b/teaseldeal-dist/src/test/java/org/teaseldeal/dist/DemoTests.java
@@ -10,27 +10,28 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The demo as {@code bin/demo} starts it once everything is built. */
+/** Runs the demo in the way that {@code bin/demo} starts it after the build. */
 class DemoTests {
-  // A router is killed in the middle of a mixed load; the demo audits the log and the servers.
+  // The demo kills a router under a mixed load and audits the log and the servers. The test guards
+  // against a demo that no longer starts or whose audit fails.
   @Test
-  void everythingAddsUp(@TempDir Path folder) throws Exception {
+  void auditFindsNoProblem(@TempDir Path folder) throws Exception {
     Path output = folder.resolve("demo.out");
     Process demo =
         new ProcessBuilder(
-                Launched.command(
+                LaunchedProcess.command(
                     "teaseldeal-bench",
-                    List.of("demo", "--launchers", Launched.launchers().toString())))
+                    List.of("demo", "--launchers", LaunchedProcess.launchers().toString())))
             .redirectErrorStream(true)
             .redirectOutput(output.toFile())
             .start();
     try {
-      assertTrue(demo.waitFor(2, TimeUnit.MINUTES), "the demo didn't end");
+      assertTrue(demo.waitFor(2, TimeUnit.MINUTES), "the demo did not end");
       String text = Files.readString(output);
       assertEquals(0, demo.exitValue(), text);
       assertTrue(text.endsWith("\nEverything adds up.\n"), text);
     } finally {
-      // On SIGTERM the demo ends its own children.
+      // On SIGTERM the demo kills its child processes.
       demo.destroy();
     }
   }
--- a/teaseldeal-dist/src/test/java/org/teaseldeal/dist/Fleet.java
+++ b/teaseldeal-dist/src/test/java/org/teaseldeal/dist/Fleet.java
@@ -22,15 +22,15 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import org.teaseldeal.api.Sha256;
+import org.teaseldeal.bench.demo.JsonClient;
 import org.teaseldeal.bench.demo.LedgerAudit;
 import org.teaseldeal.bench.demo.ServerAudit;
-import org.teaseldeal.bench.demo.Web;
 import org.teaseldeal.net.HttpClient;
 import org.teaseldeal.net.HttpClientConfig;
 
 /**
  * A platform, an engine, a plain service and three routers as processes, with one team's settings
- * and budget; closing ends whatever is still there.
+ * and budget. Closing kills the processes that are still running.
  */
 final class Fleet implements AutoCloseable {
   static final String DRAFTS = "wool/drafts";
@@ -42,12 +42,13 @@
   private static final long COMMAND_SECONDS = 60;
 
   private final Path folder;
-  private final Map<String, Launched> daemons = Collections.synchronizedMap(new LinkedHashMap<>());
+  private final Map<String, LaunchedProcess> daemons =
+      Collections.synchronizedMap(new LinkedHashMap<>());
   private final java.net.http.HttpClient faults = java.net.http.HttpClient.newHttpClient();
   private final HttpClient client = new HttpClient(HttpClientConfig.defaults());
-  private final Web web = new Web(client);
+  private final JsonClient web = new JsonClient(client);
 
-  /** Starts a platform whose list forgets an instance after {@code expiry}. */
+  /** Starts a platform whose list removes a silent instance after {@code expiry}. */
   Fleet(Path folder, String expiry) throws IOException {
     this.folder = folder;
     start(
@@ -62,8 +63,8 @@
             .formatted(expiry));
   }
 
-  /** Starts a whole fleet whose team has {@code budget} tokens. */
-  static Fleet whole(Path folder, String lease, long budget) throws Exception {
+  /** Starts a complete fleet whose team has {@code budget} tokens. */
+  static Fleet startComplete(Path folder, String lease, long budget) throws Exception {
     Fleet fleet = new Fleet(folder, "3s");
     try {
       inParallel(
@@ -79,7 +80,7 @@
     }
   }
 
-  Launched startServer(String name, String kind, String pool) throws IOException {
+  LaunchedProcess startServer(String name, String kind, String pool) throws IOException {
     return start(
         name,
         STANDIN,
@@ -95,12 +96,12 @@
             .formatted(platform(), name, pool));
   }
 
-  /** Starts an engine that does not register itself. */
-  Launched startHiddenEngine() throws IOException {
+  /** Starts an engine that does not register itself with the platform. */
+  LaunchedProcess startHiddenEngine() throws IOException {
     return start("engine", STANDIN, List.of("engine"), "");
   }
 
-  /** Publishes settings with {@code lease} and creates the team's budget. */
+  /** Publishes settings with the lease policy {@code lease} and creates the team's budget. */
   Fleet prepareLedger(String lease, long budget) throws Exception {
     inParallel(
         List.of(
@@ -164,7 +165,7 @@
     }
   }
 
-  private Launched startRouter(String name) throws IOException {
+  private LaunchedProcess startRouter(String name) throws IOException {
     String settings =
         """
         instance = "%s"
@@ -191,7 +192,7 @@
     return web.status(daemon(router).adminAddress(), "/ready") == 200;
   }
 
-  Launched daemon(String name) {
+  LaunchedProcess daemon(String name) {
     return Objects.requireNonNull(daemons.get(name), name);
   }
 
@@ -203,17 +204,17 @@
     return daemon("platform").address();
   }
 
-  /** The incarnation that the platform's list has for an instance. */
+  /** Returns the incarnation of an instance from the platform's list. */
   String incarnation(String id) throws Exception {
     for (JsonNode instance : web.json(platform(), "/instances").path("instances")) {
       if (instance.path("id").asText().equals(id)) {
         return instance.path("incarnation").asText();
       }
     }
-    throw new AssertionError("the platform doesn't list " + id);
+    throw new AssertionError("the platform's list does not contain " + id);
   }
 
-  /** Changes faults of a stand-in. */
+  /** Changes the faults of a stand-in. */
   void fault(String name, String json) throws Exception {
     put(daemon(name).adminAddress(), "/faults", json);
   }
@@ -227,7 +228,7 @@
     assertEquals(200, answer.statusCode(), answer.body());
   }
 
-  /** Runs the operator's command line; fails unless it ends with status 0. */
+  /** Runs the operator's command line. Fails unless it ends with status 0. */
   int operate(String... arguments) throws Exception {
     int status = tryOperate(arguments);
     assertEquals(0, status, () -> String.join(" ", arguments));
@@ -239,13 +240,13 @@
     List<String> all = new ArrayList<>(List.of(arguments));
     all.addAll(List.of("--platform", platform()));
     Process process =
-        new ProcessBuilder(Launched.command("teaseldeal-operator", all))
+        new ProcessBuilder(LaunchedProcess.command("teaseldeal-operator", all))
             .redirectErrorStream(true)
             .redirectOutput(ProcessBuilder.Redirect.appendTo(errors("operator").toFile()))
             .start();
     try {
       if (!process.waitFor(COMMAND_SECONDS, TimeUnit.SECONDS)) {
-        throw new AssertionError("the command didn't end: " + all);
+        throw new AssertionError("the command did not end: " + all);
       }
       return process.exitValue();
     } finally {
@@ -253,11 +254,11 @@
     }
   }
 
-  /** Asks routers to end and wants status 0 of each. */
-  void endRouters(List<String> names) throws InterruptedException {
-    names.forEach(name -> daemon(name).askToEnd());
+  /** Stops routers with SIGTERM and asserts that each exits with status 0. */
+  void stopRouters(List<String> names) throws InterruptedException {
+    names.forEach(name -> daemon(name).sendSigterm());
     for (String name : names) {
-      assertEquals(0, daemon(name).awaitEnd(), name);
+      assertEquals(0, daemon(name).awaitExit(), name);
     }
   }
 
@@ -276,18 +277,18 @@
 
   @Override
   public void close() {
-    daemons.values().forEach(Launched::close);
+    daemons.values().forEach(LaunchedProcess::close);
     client.close();
     faults.shutdownNow();
     faults.close();
   }
 
-  private Launched start(String name, String launcher, List<String> command, String settings)
+  private LaunchedProcess start(String name, String launcher, List<String> command, String settings)
       throws IOException {
     Path file = Files.writeString(folder.resolve(name + ".toml"), settings);
     List<String> arguments = new ArrayList<>(command);
     arguments.addAll(List.of("--settings", file.toString()));
-    Launched daemon = Launched.daemon(errors(name), launcher, arguments);
+    LaunchedProcess daemon = LaunchedProcess.daemon(errors(name), launcher, arguments);
     daemons.put(name, daemon);
     return daemon;
   }
--- a/teaseldeal-dist/src/test/java/org/teaseldeal/dist/Books.java
+++ b/teaseldeal-dist/src/test/java/org/teaseldeal/dist/FleetAudit.java
@@ -11,42 +11,45 @@
 import org.teaseldeal.bench.demo.ServerAudit;
 import org.teaseldeal.ledger.state.AccountView;
 
-/** What log, engine and plain service say of a run, held against what callers saw. */
-final class Books {
+/** Compares the log and the reports of the engine and the plain service with callers' answers. */
+final class FleetAudit {
   private final LedgerAudit ledger;
   private final ServerAudit servers;
 
-  private Books(LedgerAudit ledger, ServerAudit servers) {
+  private FleetAudit(LedgerAudit ledger, ServerAudit servers) {
     this.ledger = ledger;
     this.servers = servers;
   }
 
-  static Books of(Fleet fleet) throws Exception {
-    return new Books(fleet.ledger(), fleet.servers());
+  static FleetAudit of(Fleet fleet) throws Exception {
+    return new FleetAudit(fleet.ledger(), fleet.servers());
   }
 
-  /** Waits until the charges of all whole answers can be read from the log. */
-  static Books settled(Fleet fleet, Collection<Answer> answers) throws Exception {
+  /** Waits until the log contains the charges of all complete answers, and returns the audit. */
+  static FleetAudit settled(Fleet fleet, Collection<Answer> answers) throws Exception {
     Wait.until("all whole answers are charged", () -> of(fleet).uncharged(answers).isEmpty());
     return of(fleet);
   }
 
-  /** Asserts that nothing was lost, doubled or overspent. */
-  void assertTrueTo(Collection<Answer> answers, long budget) {
+  /**
+   * Asserts that no answer is lost or wrong, no request is charged or run twice and no budget
+   * overspent.
+   */
+  void assertConsistentWith(Collection<Answer> answers, long budget) {
     assertEquals(List.of(), uncharged(answers), "whole answers without a charge");
     assertEquals(
         List.of(),
         ledger.charges().values().stream().filter(charges -> charges.size() > 1).toList(),
         "requests charged more than once");
-    assertEquals(Set.of(), servers.ranTwice(), "bids that ran twice");
+    assertEquals(Set.of(), servers.repeatedRuns(), "bids that ran twice");
     assertEquals(
         List.of(),
         answers.stream().filter(answer -> answer.end() == Answer.End.WRONG).toList(),
-        "parts that are missing or another's");
+        "answers with missing parts or parts of another answer");
     assertEquals(
         List.of(),
-        answers.stream().filter(answer -> answer.notRun() && ran(answer)).toList(),
-        "refusals as not run of what ran");
+        answers.stream().filter(answer -> answer.reportsNotRun() && ran(answer)).toList(),
+        "not-run refusals of requests that ran");
     assertEquals(List.of(), ledger.imbalances(), "granted = charged + leased + remaining");
     assertNothingOverspent(budget);
   }
@@ -68,7 +71,7 @@
     long used = servers.engineTokens() + servers.serviceRuns();
     long counted = team.charged() + team.writtenOff() + team.leased();
     assertTrue(used <= counted, () -> "%d used, %d counted".formatted(used, counted));
-    assertTrue(counted <= budget, () -> "%d counted of %d".formatted(counted, budget));
+    assertTrue(counted <= budget, () -> "%d counted of a budget of %d".formatted(counted, budget));
   }
 
   private List<String> uncharged(Collection<Answer> answers) {
--- a/teaseldeal-dist/src/test/java/org/teaseldeal/dist/FleetFaultTests.java
+++ b/teaseldeal-dist/src/test/java/org/teaseldeal/dist/FleetFaultTests.java
@@ -22,7 +22,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What callers get from a fleet of processes while routers, log and connections fail. */
+/**
+ * Checks callers' answers and the charges of a fleet of processes while routers, the log or
+ * connections fail.
+ */
 class FleetFaultTests {
   private static final String LEASE =
       """
@@ -40,59 +43,63 @@
 
   private final Caller caller = new Caller();
   private final ExecutorService threads = Executors.newVirtualThreadPerTaskExecutor();
-  private final AtomicInteger turn = new AtomicInteger();
+  private final AtomicInteger nextRouterIndex = new AtomicInteger();
 
   @AfterEach
-  void endCallers() {
+  void stopCallers() {
     threads.shutdownNow();
     caller.close();
   }
 
-  // Routers are restarted one by one while callers go on: each router refuses new requests with a
-  // time to come back, finishes its streams, gives its leases back and ends. Whoever is refused
-  // asks the next
-  // one, so that every caller gets its answer, and each answer is charged by one router alone.
+  // Routers are restarted one by one while callers send requests. A stopping router refuses new
+  // requests with a retry delay, finishes its streams, returns its leases and exits. A refused
+  // caller
+  // sends its request to the next router, so every caller gets its answer, and each answer must be
+  // charged by exactly one router.
   @Test
   void rollingRestartLosesNoAnswer() throws Exception {
-    try (Fleet fleet = Fleet.whole(folder, LEASE, BUDGET)) {
+    try (Fleet fleet = Fleet.startComplete(folder, LEASE, BUDGET)) {
       AtomicBoolean restarting = new AtomicBoolean(true);
       List<Future<List<Answer>>> callers = new ArrayList<>();
       for (int i = 0; i < 8; i++) {
         String name = "caller-" + i;
-        callers.add(threads.submit(() -> askWhile(fleet, restarting, name)));
+        callers.add(threads.submit(() -> sendWhile(fleet, restarting, name)));
       }
       for (String router : Fleet.ROUTERS) {
-        fleet.endRouters(List.of(router));
+        fleet.stopRouters(List.of(router));
         fleet.startRouters(List.of(router));
       }
       restarting.set(false);
       List<Answer> answers = all(callers);
-      fleet.endRouters(Fleet.ROUTERS);
+      fleet.stopRouters(Fleet.ROUTERS);
 
       assertEquals(List.of(), answers.stream().filter(answer -> !answer.whole()).toList());
-      Books books = Books.settled(fleet, answers);
-      books.assertTrueTo(answers, BUDGET);
-      assertEquals(0, books.team().leased(), "leases that did not go back");
+      FleetAudit audit = FleetAudit.settled(fleet, answers);
+      audit.assertConsistentWith(answers, BUDGET);
+      assertEquals(0, audit.team().leased(), "leases that were not returned");
     }
   }
 
-  // A router dies with streams and bids under way: its callers' connections break. They ask again
-  // with their keys, and the others take the drafts up where the engine still has them, and run no
-  // bid a second time: who can't get its answer is told that the outcome isn't known.
+  // A router is killed with streams and bids in flight, so the connections of its callers break.
+  // The
+  // callers retry with their keys at the other routers. Those routers continue the drafts that the
+  // engine still has and run no bid a second time. A caller whose bid has no recoverable answer
+  // must
+  // receive the error that the outcome is unknown.
   @Test
   void killedRoutersCallersGetWholeAnswersElsewhere() throws Exception {
-    try (Fleet fleet = Fleet.whole(folder, LEASE, BUDGET)) {
+    try (Fleet fleet = Fleet.startComplete(folder, LEASE, BUDGET)) {
       fleet.fault("service", "{\"latency_ms\":2000}");
-      CountDownLatch underWay = new CountDownLatch(6);
+      CountDownLatch inFlight = new CountDownLatch(6);
       List<Future<Answer>> drafts = new ArrayList<>();
       List<Future<Answer>> bids = new ArrayList<>();
       for (int i = 0; i < 6; i++) {
         String draft = "draft-" + i;
         String bid = "bid-" + i;
-        drafts.add(threads.submit(() -> draftFromVictim(fleet, draft, underWay)));
+        drafts.add(threads.submit(() -> draftFromVictim(fleet, draft, inFlight)));
         bids.add(threads.submit(() -> bidFromVictim(fleet, bid)));
       }
-      assertTrue(underWay.await(30, TimeUnit.SECONDS));
+      assertTrue(inFlight.await(30, TimeUnit.SECONDS));
       Wait.until("bids are at the service", () -> fleet.servers().serviceRuns() >= 1);
       String dead = fleet.incarnation("router-1");
       fleet.daemon("router-1").kill();
@@ -105,20 +112,24 @@
       Wait.until("the dead router's leases are released", () -> release(fleet, dead));
       for (int i = 0; i < bids.size(); i++) {
         String bid = "bid-" + i;
-        Wait.until("the outcome is told of " + bid, () -> isToldOutcome(fleet, bid));
+        Wait.until("the outcome is reported for " + bid, () -> outcomeIsReported(fleet, bid));
       }
-      fleet.endRouters(List.of("router-2", "router-3"));
+      fleet.stopRouters(List.of("router-2", "router-3"));
 
-      Books books = Books.settled(fleet, answers);
-      books.assertTrueTo(answers, BUDGET);
-      assertEquals(0, books.team().leased(), "leases that were not released or given back");
+      FleetAudit audit = FleetAudit.settled(fleet, answers);
+      audit.assertConsistentWith(answers, BUDGET);
+      assertEquals(0, audit.team().leased(), "leases that were not released or returned");
     }
   }
 
-  // A router is frozen with streams under way until its peers take it for gone and its leases would
-  // long have been given back, while callers spend the rest of a small budget at the others. Then
-  // it wakes, with a clock that jumped, and its callers go on. What it still holds was never given
-  // to another, so the engine was not asked for more than the budget, and nothing counts twice.
+  // A router is frozen with streams in flight until its peers consider it gone and past the time at
+  // which its leases would have been returned. Meanwhile callers spend the rest of a small budget
+  // at
+  // the other routers. The router then wakes with a clock that jumped, and its streams continue.
+  // Its
+  // leases must not have been granted to another router, so that the engine's token use stays
+  // within
+  // the budget and nothing is charged twice.
   @Test
   void routerFrozenAcrossItsLeasesOverspendsNothing() throws Exception {
     long budget = 5_000;
@@ -128,8 +139,8 @@
         minimum_tokens = 500
         idle_return = "1s"
         """;
-    try (Fleet fleet = Fleet.whole(folder, lease, budget)) {
-      CountDownLatch underWay = new CountDownLatch(2);
+    try (Fleet fleet = Fleet.startComplete(folder, lease, budget)) {
+      CountDownLatch inFlight = new CountDownLatch(2);
       List<Future<Answer>> frozen = new ArrayList<>();
       for (int i = 0; i < 2; i++) {
         String name = "frozen-" + i;
@@ -141,13 +152,13 @@
                         Optional.of(name),
                         name,
                         LONG_STREAM,
-                        onFirst(underWay))));
+                        onFirst(inFlight))));
       }
-      assertTrue(underWay.await(30, TimeUnit.SECONDS));
+      assertTrue(inFlight.await(30, TimeUnit.SECONDS));
       fleet.daemon("router-1").freeze();
       Collection<Answer> answers = new ConcurrentLinkedQueue<>();
       try {
-        // The platform's list forgets a silent instance after 3 s, which is also when peers do.
+        // The platform's list removes a silent instance after 3 s, and peers use the same time.
         Wait.until("router-1 is off the list", () -> !listed(fleet, "router-1"));
         spend(fleet, List.of("router-2", "router-3"), "meanwhile", answers);
       } finally {
@@ -156,19 +167,20 @@
       answers.addAll(all(frozen, answer -> List.of(answer)));
       Wait.until("router-1 is ready", () -> fleet.ready("router-1"));
       spend(fleet, Fleet.ROUTERS, "afterwards", answers);
-      fleet.endRouters(Fleet.ROUTERS);
+      fleet.stopRouters(Fleet.ROUTERS);
 
       assertTrue(answers.stream().anyMatch(answer -> !answer.whole()), "the budget never ran out");
       assertEquals(
           List.of(),
-          answers.stream().filter(answer -> !answer.whole() && !answer.notRun()).toList());
-      Books.settled(fleet, answers).assertTrueTo(answers, budget);
+          answers.stream().filter(answer -> !answer.whole() && !answer.reportsNotRun()).toList());
+      FleetAudit.settled(fleet, answers).assertConsistentWith(answers, budget);
     }
   }
 
-  // The platform's log is out for longer than a lease is meant to last. Drafts are served from what
-  // the routers hold; a bid can't be claimed, so it is refused at once and never reaches the
-  // service. Once the log is back, every draft of the outage is charged, once.
+  // The platform's log is unavailable for longer than the horizon of a lease. The routers must
+  // serve
+  // drafts from their leases. A bid needs a claim on the log, so it must be refused immediately and
+  // must not reach the service. After the outage, each draft must be charged exactly once.
   @Test
   void draftsAreServedThroughAnOutageOfTheLog() throws Exception {
     String lease =
@@ -176,7 +188,7 @@
         horizon = "1s"
         minimum_tokens = 20_000
         """;
-    try (Fleet fleet = Fleet.whole(folder, lease, BUDGET)) {
+    try (Fleet fleet = Fleet.startComplete(folder, lease, BUDGET)) {
       List<Answer> answers = new ArrayList<>();
       for (String router : Fleet.ROUTERS) {
         answers.add(caller.draft(fleet.address(router), Optional.empty(), "before", STREAM));
@@ -200,20 +212,21 @@
           bids.stream()
               .filter(
                   bid ->
-                      !bid.speaksOfThisTry() || !bid.kind().equals(Optional.of("log-unavailable")))
+                      !bid.concernsThisAttemptOnly()
+                          || !bid.kind().equals(Optional.of("log-unavailable")))
               .toList());
       answers.addAll(bids);
-      Books books = Books.settled(fleet, answers);
-      books.assertTrueTo(answers, BUDGET);
+      FleetAudit audit = FleetAudit.settled(fleet, answers);
+      audit.assertConsistentWith(answers, BUDGET);
       assertEquals(Fleet.ROUTERS.size(), fleet.servers().serviceRuns(), "bids that ran");
-      fleet.endRouters(Fleet.ROUTERS);
-      Books.of(fleet).assertTrueTo(answers, BUDGET);
+      fleet.stopRouters(Fleet.ROUTERS);
+      FleetAudit.of(fleet).assertConsistentWith(answers, BUDGET);
     }
   }
 
-  // Between router and engine a connection stays open and carries nothing any more. The router sees
-  // no frame for its progress timeout and continues from the next position on a new connection: the
-  // caller sees a pause, then the rest, and no frame twice.
+  // A connection between router and engine stays open but carries no more data. After the progress
+  // timeout the router must continue the stream from the next position on a new connection, so that
+  // the caller receives the remaining frames after a pause and no frame twice.
   @Test
   void streamGoesOnAfterItsConnectionWentSilent() throws Exception {
     try (Fleet fleet = new Fleet(folder, "60s")) {
@@ -239,63 +252,67 @@
                         LONG_STREAM,
                         frames::countDown));
         assertTrue(frames.await(30, TimeUnit.SECONDS));
-        relay.swallow();
+        relay.discardTraffic();
         Answer answer = draft.get(60, TimeUnit.SECONDS);
-        fleet.endRouters(List.of("router-1"));
+        fleet.stopRouters(List.of("router-1"));
 
         assertTrue(answer.whole(), answer::toString);
-        Books.settled(fleet, List.of(answer)).assertTrueTo(List.of(answer), BUDGET);
+        FleetAudit.settled(fleet, List.of(answer)).assertConsistentWith(List.of(answer), BUDGET);
         assertEquals(1, fleet.servers().tokens(answer.requestId()).size(), "runs at the engine");
       }
     }
   }
 
-  private List<Answer> askWhile(Fleet fleet, AtomicBoolean going, String name) throws Exception {
+  private List<Answer> sendWhile(Fleet fleet, AtomicBoolean going, String name) throws Exception {
     List<Answer> answers = new ArrayList<>();
     for (int i = 0; going.get(); i++) {
       String request = name + "-" + i;
       answers.add(
           i % 3 == 2
-              ? untilRun(router -> caller.bid(router, request, request), fleet)
-              : untilRun(router -> caller.draft(router, Optional.empty(), request, STREAM), fleet));
+              ? retryWhileRefused(router -> caller.bid(router, request, request), fleet)
+              : retryWhileRefused(
+                  router -> caller.draft(router, Optional.empty(), request, STREAM), fleet));
     }
     return answers;
   }
 
-  // What was refused as not run is asked of the next router, as any caller may.
-  private Answer untilRun(Ask ask, Fleet fleet) throws Exception {
-    Answer answer = ask.of(next(fleet));
-    for (int i = 0; i < MAX_TRIES && answer.mayComeBack(); i++) {
+  // Sends a refused request to the next router until it is accepted, as a caller may do.
+  private Answer retryWhileRefused(Request request, Fleet fleet) throws Exception {
+    Answer answer = request.sendTo(next(fleet));
+    for (int i = 0; i < MAX_TRIES && answer.isRetryable(); i++) {
       Thread.sleep(RETRY_MILLIS);
-      answer = ask.of(next(fleet));
+      answer = request.sendTo(next(fleet));
     }
     return answer;
   }
 
   private String next(Fleet fleet) {
-    return fleet.address(Fleet.ROUTERS.get(turn.getAndIncrement() % Fleet.ROUTERS.size()));
+    return fleet.address(
+        Fleet.ROUTERS.get(nextRouterIndex.getAndIncrement() % Fleet.ROUTERS.size()));
   }
 
-  private Answer draftFromVictim(Fleet fleet, String name, CountDownLatch underWay)
+  private Answer draftFromVictim(Fleet fleet, String name, CountDownLatch inFlight)
       throws Exception {
     Optional<String> key = Optional.of(name);
     Answer answer =
-        caller.draft(fleet.address("router-1"), key, name, LONG_STREAM, onFirst(underWay));
+        caller.draft(fleet.address("router-1"), key, name, LONG_STREAM, onFirst(inFlight));
     assertEquals(Answer.End.BROKEN, answer.end(), answer::toString);
-    return elsewhere(router -> caller.draft(router, key, name, LONG_STREAM), fleet);
+    return retryAtOtherRouters(router -> caller.draft(router, key, name, LONG_STREAM), fleet);
   }
 
   private Answer bidFromVictim(Fleet fleet, String name) throws Exception {
     Answer answer = caller.bid(fleet.address("router-1"), name, name);
-    return answer.whole() ? answer : elsewhere(router -> caller.bid(router, name, name), fleet);
+    return answer.whole()
+        ? answer
+        : retryAtOtherRouters(router -> caller.bid(router, name, name), fleet);
   }
 
-  // A caller with a key asks the others in turn until it gets an answer that is final.
-  private Answer elsewhere(Ask ask, Fleet fleet) throws Exception {
-    Answer answer = ask.of(fleet.address("router-2"));
+  // Retries a request with a key at the other routers in turn until the answer is final.
+  private Answer retryAtOtherRouters(Request request, Fleet fleet) throws Exception {
+    Answer answer = request.sendTo(fleet.address("router-2"));
     for (int i = 1; i < MAX_TRIES && !isFinal(answer); i++) {
       Thread.sleep(RETRY_MILLIS);
-      answer = ask.of(fleet.address(i % 2 == 0 ? "router-2" : "router-3"));
+      answer = request.sendTo(fleet.address(i % 2 == 0 ? "router-2" : "router-3"));
     }
     return answer;
   }
@@ -304,7 +321,7 @@
     return answer.whole() || answer.kind().filter(FINAL_KINDS::contains).isPresent();
   }
 
-  private boolean isToldOutcome(Fleet fleet, String bid) throws Exception {
+  private boolean outcomeIsReported(Fleet fleet, String bid) throws Exception {
     Answer answer = caller.bid(fleet.address("router-2"), bid, bid);
     return answer.whole() || answer.kind().equals(Optional.of("outcome-unknown"));
   }
@@ -352,7 +369,7 @@
     return all;
   }
 
-  private interface Ask {
-    Answer of(String router) throws Exception;
+  private interface Request {
+    Answer sendTo(String router) throws Exception;
   }
 }
--- a/teaseldeal-dist/src/test/java/org/teaseldeal/dist/Launched.java
+++ b/teaseldeal-dist/src/test/java/org/teaseldeal/dist/LaunchedProcess.java
@@ -9,25 +9,26 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** A process started by one of the launchers; closing it ends it. */
-final class Launched implements AutoCloseable {
+/** A process started by one of the launchers. Closing kills it. */
+final class LaunchedProcess implements AutoCloseable {
   private static final long END_SECONDS = 30;
 
   private final Process process;
   private final JsonNode listening;
 
-  private Launched(Process process, JsonNode listening) {
+  private LaunchedProcess(Process process, JsonNode listening) {
     this.process = process;
     this.listening = listening;
   }
 
-  /** Starts a daemon and waits for the line that tells its addresses. */
-  static Launched daemon(String launcher, String... args) throws IOException {
+  /** Starts a daemon and waits for the output line that contains its addresses. */
+  static LaunchedProcess daemon(String launcher, String... args) throws IOException {
     return awaitListening(launcher, start(launcher, args));
   }
 
-  /** Starts a daemon whose errors and log lines go to {@code errors}. */
-  static Launched daemon(Path errors, String launcher, List<String> args) throws IOException {
+  /** Starts a daemon and appends its standard error, including log lines, to {@code errors}. */
+  static LaunchedProcess daemon(Path errors, String launcher, List<String> args)
+      throws IOException {
     return awaitListening(
         launcher,
         new ProcessBuilder(command(launcher, args))
@@ -35,15 +36,16 @@
             .start());
   }
 
-  private static Launched awaitListening(String launcher, Process process) throws IOException {
+  private static LaunchedProcess awaitListening(String launcher, Process process)
+      throws IOException {
     BufferedReader out = process.inputReader();
     for (String line = out.readLine(); line != null; line = out.readLine()) {
       if (line.startsWith("{\"event\":\"listening\"")) {
-        return new Launched(process, new ObjectMapper().readTree(line));
+        return new LaunchedProcess(process, new ObjectMapper().readTree(line));
       }
     }
     process.destroyForcibly();
-    throw new IOException(launcher + " ended without listening");
+    throw new IOException(launcher + " ended before it printed its addresses");
   }
 
   static Process start(String launcher, String... args) throws IOException {
@@ -63,7 +65,7 @@
     return root().resolve("bin");
   }
 
-  /** The line that told the addresses. */
+  /** Returns the output line that contains the addresses. */
   JsonNode listening() {
     return listening;
   }
@@ -78,19 +80,19 @@
 
   /** Sends SIGTERM and returns the exit status. */
   int terminate() throws InterruptedException {
-    askToEnd();
-    return awaitEnd();
+    sendSigterm();
+    return awaitExit();
   }
 
   /** Sends SIGTERM. */
-  void askToEnd() {
+  void sendSigterm() {
     process.destroy();
   }
 
-  /** Waits for the process to end by itself and returns the exit status. */
-  int awaitEnd() throws InterruptedException {
+  /** Waits for the process to exit and returns its exit status. */
+  int awaitExit() throws InterruptedException {
     if (!process.waitFor(END_SECONDS, TimeUnit.SECONDS)) {
-      throw new AssertionError("the process didn't end within %d s".formatted(END_SECONDS));
+      throw new AssertionError("the process did not end within %d s".formatted(END_SECONDS));
     }
     return process.exitValue();
   }
@@ -124,7 +126,7 @@
     process.destroyForcibly();
   }
 
-  // Surefire runs tests in their module's folder.
+  // Surefire runs tests in the folder of their module.
   private static Path root() {
     return Path.of("..").toAbsolutePath().normalize();
   }
--- a/teaseldeal-dist/src/test/java/org/teaseldeal/dist/ModuleOrderTests.java
+++ b/teaseldeal-dist/src/test/java/org/teaseldeal/dist/ModuleOrderTests.java
@@ -8,6 +8,11 @@
 import com.tngtech.archunit.junit.ArchTest;
 import com.tngtech.archunit.lang.ArchRule;
 
+/**
+ * Checks that each module depends on earlier modules only, that the decision logic uses no network
+ * and that only the bench starts processes. Later modules would otherwise leak into the logic that
+ * is simulated in virtual time.
+ */
 @AnalyzeClasses(packages = "org.teaseldeal", importOptions = DoNotIncludeTests.class)
 class ModuleOrderTests {
   @ArchTest
--- a/teaseldeal-dist/src/test/java/org/teaseldeal/dist/PlatformWordsTests.java
+++ b/teaseldeal-dist/src/test/java/org/teaseldeal/dist/PlatformWordsTests.java
@@ -11,7 +11,10 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The platform's names stay in its folder: everything else speaks the product's own words. */
+/**
+ * Checks that the names of the platform's protocol occur in the platform module only. All other
+ * modules use the product's own terms, so that they do not depend on the platform.
+ */
 class PlatformWordsTests {
   private static final Pattern WORDS =
       Pattern.compile(
@@ -20,7 +23,7 @@
               + "|teaseldeal_settings|\"not-run\"\\s*,\\s*\"1\"");
 
   @Test
-  void standInThePlatformFolderOnly() throws IOException {
+  void occurInThePlatformModuleOnly() throws IOException {
     Path root = Path.of("..").toRealPath();
     try (Stream<Path> files = Files.walk(root)) {
       List<String> found =
@@ -29,14 +32,14 @@
               .filter(file -> !file.startsWith(root.resolve("platform")))
               .filter(file -> !file.endsWith("PlatformWordsTests.java"))
               .filter(file -> !file.toString().contains("/target/"))
-              .filter(PlatformWordsTests::hasWord)
+              .filter(PlatformWordsTests::containsPlatformWord)
               .map(file -> root.relativize(file).toString())
               .toList();
       assertEquals(List.of(), found);
     }
   }
 
-  private static boolean hasWord(Path file) {
+  private static boolean containsPlatformWord(Path file) {
     try {
       return WORDS.matcher(Files.readString(file)).find();
     } catch (IOException e) {
--- a/teaseldeal-dist/src/test/java/org/teaseldeal/dist/Relay.java
+++ b/teaseldeal-dist/src/test/java/org/teaseldeal/dist/Relay.java
@@ -10,14 +10,15 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * Forwards connections to another address until it is told to swallow: from then on whatever comes
- * on the connections it has goes nowhere, and none is closed. New ones are forwarded.
+ * A TCP relay that forwards connections to another address. After {@link #discardTraffic} it keeps
+ * the existing connections open and discards all data on them, while it still forwards new
+ * connections.
  */
 final class Relay implements AutoCloseable {
   private final ServerSocket server;
   private final String target;
   private final List<Socket> sockets = new CopyOnWriteArrayList<>();
-  private volatile List<Socket> swallowed = List.of();
+  private volatile List<Socket> discarding = List.of();
 
   Relay(String target) throws IOException {
     this.target = target;
@@ -29,9 +30,9 @@
     return "127.0.0.1:" + server.getLocalPort();
   }
 
-  /** Swallows from now on what comes on the connections that are there. */
-  void swallow() {
-    swallowed = List.copyOf(sockets);
+  /** Discards all further data on the connections that exist now, without closing them. */
+  void discardTraffic() {
+    discarding = List.copyOf(sockets);
   }
 
   @Override
@@ -54,7 +55,7 @@
         Thread.ofVirtual().start(() -> forward(engine, caller));
       }
     } catch (IOException e) {
-      // Closed: the test is over.
+      // The server socket was closed because the test has ended.
     }
   }
 
@@ -64,11 +65,11 @@
       InputStream in = from.getInputStream();
       OutputStream out = to.getOutputStream();
       for (int n = in.read(buffer); n >= 0; n = in.read(buffer)) {
-        if (!swallowed.contains(from)) {
+        if (!discarding.contains(from)) {
           out.write(buffer, 0, n);
         }
       }
-      if (!swallowed.contains(from)) {
+      if (!discarding.contains(from)) {
         to.close();
       }
     } catch (IOException e) {
@@ -77,14 +78,14 @@
   }
 
   private void closeBoth(Socket from, Socket to) {
-    if (swallowed.contains(from)) {
+    if (discarding.contains(from)) {
       return;
     }
     try {
       from.close();
       to.close();
     } catch (IOException e) {
-      // Both are of no further use.
+      // Both sockets are unusable, so a failure to close them has no effect.
     }
   }
 }
--- a/teaseldeal-dist/src/test/java/org/teaseldeal/dist/RouterProcessTests.java
+++ b/teaseldeal-dist/src/test/java/org/teaseldeal/dist/RouterProcessTests.java
@@ -14,12 +14,18 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The router as a process, started by its launcher. */
+/**
+ * Starts the router by its launcher and checks what an operator relies on: the printed addresses
+ * and the exit statuses.
+ */
 @Timeout(60)
 class RouterProcessTests {
   private static final String LAUNCHER = "teaseldeal-router";
 
-  /** No platform is there: the router starts all the same, and soon gives up waiting at its end. */
+  /**
+   * Settings with the address of a platform that does not exist. The router starts nevertheless,
+   * and its short limits let it stop soon.
+   */
   private static final String SETTINGS =
       """
       instance = "r1"
@@ -42,10 +48,10 @@
   @TempDir Path folder = Path.of("");
 
   @Test
-  void tellsItsAddressesAndEndsWithZeroOnSigterm() throws Exception {
+  void printsItsAddressesAndExitsWithZeroOnSigterm() throws Exception {
     Path log = folder.resolve("log");
-    try (Launched router =
-        Launched.daemon(log, LAUNCHER, List.of("--settings", write(SETTINGS).toString()))) {
+    try (LaunchedProcess router =
+        LaunchedProcess.daemon(log, LAUNCHER, List.of("--settings", write(SETTINGS).toString()))) {
       JsonNode listening = router.listening();
       assertEquals("router", listening.path("role").asText());
       assertEquals("r1", listening.path("instance").asText());
@@ -64,8 +70,9 @@
   }
 
   @Test
-  void endsWithThreeOnAWrongFile() throws Exception {
-    Process router = Launched.start(LAUNCHER, "--settings", write("instance = 1").toString());
+  void exitsWithThreeOnAnInvalidFile() throws Exception {
+    Process router =
+        LaunchedProcess.start(LAUNCHER, "--settings", write("instance = 1").toString());
     assertTrue(router.waitFor(40, TimeUnit.SECONDS));
     assertEquals(3, router.exitValue());
   }
--- a/teaseldeal-dist/src/test/java/org/teaseldeal/dist/StandinProcessTests.java
+++ b/teaseldeal-dist/src/test/java/org/teaseldeal/dist/StandinProcessTests.java
@@ -20,16 +20,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The stand-ins as processes, started by their launcher. */
+/** Starts the stand-ins by their launcher and checks their interfaces and exit statuses. */
 class StandinProcessTests {
   private static final Duration BOUND = Duration.ofSeconds(20);
 
   private final HttpClient client = HttpClient.newHttpClient();
-  private Launched platform;
+  private LaunchedProcess platform;
 
   @BeforeEach
   void startPlatform() throws IOException {
-    platform = Launched.daemon("teaseldeal-standin", "platform");
+    platform = LaunchedProcess.daemon("teaseldeal-standin", "platform");
   }
 
   @AfterEach
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void logKeepsWhatIsAppended() throws Exception {
+  void logKeepsAppendedRecords() throws Exception {
     assertEquals("{\"offset\":0}", post(platform.address(), "/log/0/records", "a").body());
     assertEquals("{\"offset\":1}", post(platform.address(), "/log/0/records", "b").body());
     String records = get(platform.address(), "/log/0/records?from=1").body();
@@ -47,7 +47,9 @@
         records.startsWith("{\"earliest\":0,\"next\":2,\"records\":[{\"offset\":1,"), records);
   }
 
-  // The writer's connection closes without an answer, yet the record is stored.
+  // With the fault of lost answers, the connection of the writer closes without an answer although
+  // the
+  // record is stored.
   @Test
   void lostAnswerClosesTheConnectionAfterTheWrite() throws Exception {
     HttpRequest faults =
@@ -59,12 +61,14 @@
     assertTrue(get(platform.address(), "/log/0/records").body().contains("\"next\":1"));
   }
 
-  // An engine is told to end while a request streams: it is listed as leaving, the answer comes
-  // whole, and only then does the process end, with status 0.
+  // An engine receives SIGTERM while it streams an answer. It must be listed as leaving, complete
+  // the
+  // answer, and exit with status 0 only afterwards.
   @Test
-  void leavingEngineIsListedAsLeavingAndFinishesWhatItHas(@TempDir Path folder) throws Exception {
-    try (Launched engine =
-        Launched.daemon(
+  void leavingEngineIsListedAsLeavingAndCompletesItsRequests(@TempDir Path folder)
+      throws Exception {
+    try (LaunchedProcess engine =
+        LaunchedProcess.daemon(
             "teaseldeal-standin", "engine", "--settings", engineSettings(folder).toString())) {
       awaitList("\"state\":\"live\"");
       var answer =
@@ -88,10 +92,12 @@
     }
   }
 
-  // The engine dies of a request: its caller's connection breaks, and the process ends with 70.
+  // A request crashes the engine. The caller's connection must break, and the process must exit
+  // with
+  // status 70.
   @Test
-  void requestThatCrashesTheEngineEndsItsProcess() throws Exception {
-    try (Launched engine = Launched.daemon("teaseldeal-standin", "engine")) {
+  void crashingRequestEndsTheEngineProcess() throws Exception {
+    try (LaunchedProcess engine = LaunchedProcess.daemon("teaseldeal-standin", "engine")) {
       HttpRequest faults =
           request(engine.adminAddress(), "/faults")
               .PUT(BodyPublishers.ofString("{\"crash_mode\":\"exit\"}"))
@@ -104,13 +110,13 @@
               .POST(BodyPublishers.ofString("{\"messages\":[{\"content\":\"crash-the-engine\"}]}"))
               .build();
       assertThrows(IOException.class, () -> client.send(crashing, BodyHandlers.ofString()));
-      assertEquals(70, engine.awaitEnd());
+      assertEquals(70, engine.awaitExit());
     }
   }
 
   @Test
-  void plainServiceTellsHowOftenItRanACall() throws Exception {
-    try (Launched service = Launched.daemon("teaseldeal-standin", "service")) {
+  void plainServiceReportsTheNumberOfRunsOfACall() throws Exception {
+    try (LaunchedProcess service = LaunchedProcess.daemon("teaseldeal-standin", "service")) {
       HttpRequest call =
           request(service.address(), "/bids")
               .header("Request-Id", "r1")
@@ -123,14 +129,14 @@
   }
 
   @Test
-  void platformEndsWithStatusZeroOnSigterm() throws Exception {
+  void platformExitsWithStatusZeroOnSigterm() throws Exception {
     assertEquals(0, platform.terminate());
   }
 
   @Test
   void addressInUseIsAnError() throws Exception {
     String port = platform.address().substring(platform.address().indexOf(':') + 1);
-    Process second = Launched.start("teaseldeal-standin", "platform", "--port", port);
+    Process second = LaunchedProcess.start("teaseldeal-standin", "platform", "--port", port);
     assertEquals(4, second.waitFor());
   }
 
@@ -146,7 +152,7 @@
             .formatted(platform.address()));
   }
 
-  private static int terminate(Launched process) {
+  private static int terminate(LaunchedProcess process) {
     try {
       return process.terminate();
     } catch (InterruptedException e) {
@@ -158,7 +164,7 @@
     await(platform.address(), "/instances", part);
   }
 
-  private void awaitStarted(Launched engine) throws Exception {
+  private void awaitStarted(LaunchedProcess engine) throws Exception {
     await(engine.adminAddress(), "/stats", "\"started\":1");
   }
 
--- a/teaseldeal-dist/src/test/java/org/teaseldeal/dist/Wait.java
+++ b/teaseldeal-dist/src/test/java/org/teaseldeal/dist/Wait.java
@@ -3,14 +3,14 @@
 import java.time.Duration;
 import java.util.concurrent.Callable;
 
-/** Waits for what other processes bring about. */
+/** Waits for conditions that other processes bring about. */
 final class Wait {
   private static final Duration BOUND = Duration.ofSeconds(30);
   private static final Duration POLL = Duration.ofMillis(20);
 
   private Wait() {}
 
-  /** Waits until {@code condition} holds; fails if it doesn't within a generous bound. */
+  /** Waits until {@code condition} holds. Fails if it does not hold within {@link #BOUND}. */
   static void until(String what, Callable<Boolean> condition) throws Exception {
     long end = System.nanoTime() + BOUND.toNanos();
     while (!condition.call()) {
--- a/teaseldeal-dist/src/test/java/org/teaseldeal/dist/package-info.java
+++ b/teaseldeal-dist/src/test/java/org/teaseldeal/dist/package-info.java
@@ -1,4 +1,4 @@
-/** Tests of the whole: module order and real processes. */
+/** Tests of the complete product: module dependencies and programs run as processes. */
 @NullMarked
 package org.teaseldeal.dist;
 
