--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/CostCommand.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/CostCommand.java
@@ -35,9 +35,9 @@
       CostRun run =
           new CostRun(
               client, own.address("engine-1"), own.address("router-1"), own.routerPid("router-1"));
-      printAdded(run.added(calls), console);
-      printRate("short answers", run.rate(300, 4), console);
-      printRate("long streams", run.rate(40, 200), console);
+      printAddedLatency(run.measureAddedLatency(calls), console);
+      printThroughput("short answers", run.measureThroughput(300, 4), console);
+      printThroughput("long streams", run.measureThroughput(40, 200), console);
       console.printf(
           Locale.ROOT,
           "load average of the machine at the end: %.1f of %d processors%n",
@@ -52,13 +52,13 @@
     }
   }
 
-  private static void printAdded(CostRun.AddedLatency added, PrintStream console) {
-    printWays("first token", added.direct().toFirst(), added.routed().toFirst(), console);
-    printWays("whole answer", added.direct().toEnd(), added.routed().toEnd(), console);
+  private static void printAddedLatency(CostRun.AddedLatency added, PrintStream console) {
+    printPaths("first token", added.direct().toFirst(), added.routed().toFirst(), console);
+    printPaths("whole answer", added.direct().toEnd(), added.routed().toEnd(), console);
     console.printf("calls without a whole answer: %d%n", added.failed());
   }
 
-  private static void printWays(
+  private static void printPaths(
       String what, Percentiles direct, Percentiles routed, PrintStream console) {
     console.printf(
         Locale.ROOT,
@@ -75,7 +75,7 @@
         routed.p99() / direct.p99());
   }
 
-  private static void printRate(String name, CostRun.Throughput rate, PrintStream console) {
+  private static void printThroughput(String name, CostRun.Throughput rate, PrintStream console) {
     console.printf(
         Locale.ROOT,
         "%-14s %d answers (%d not in time), %d tokens in %.1f s; the router used %.2f s of a core:"
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/cost/CostRun.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/cost/CostRun.java
@@ -76,7 +76,7 @@
   /**
    * Alternates direct and routed calls, one at a time, so that both run under the same conditions.
    */
-  public AddedLatency added(int each) throws InterruptedException {
+  public AddedLatency measureAddedLatency(int each) throws InterruptedException {
     alternate(WARM_UP_CALLS, new Aggregate(), new Aggregate());
     Aggregate direct = new Aggregate();
     Aggregate routed = new Aggregate();
@@ -85,7 +85,8 @@
   }
 
   /** Sends requests through the router at a moderate rate, first to warm up and then measured. */
-  public Throughput rate(double perSecond, int tokens) throws IOException, InterruptedException {
+  public Throughput measureThroughput(double perSecond, int tokens)
+      throws IOException, InterruptedException {
     Scenario scenario = scenario(perSecond, tokens);
     LoadRunner runner = new LoadRunner(client, List.of(router));
     runner.run(scenario, run + "w" + tokens, "warm-up", line -> {});
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/ChildProcess.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/ChildProcess.java
@@ -13,7 +13,7 @@
 final class ChildProcess {
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final String LISTENING = "{\"event\":\"listening\"";
-  private static final Duration START_BOUND = Duration.ofSeconds(20);
+  private static final Duration START_TIMEOUT = Duration.ofSeconds(20);
   private static final Duration POLL = Duration.ofMillis(20);
 
   private final String name;
@@ -36,7 +36,7 @@
 
   /** Waits for the output line that contains the daemon's addresses. */
   JsonNode awaitListening() throws DemoException, InterruptedException {
-    long end = System.nanoTime() + START_BOUND.toNanos();
+    long end = System.nanoTime() + START_TIMEOUT.toNanos();
     while (System.nanoTime() < end && process.isAlive()) {
       Optional<String> line = listeningLine();
       if (line.isPresent()) {
@@ -58,7 +58,7 @@
   }
 
   /** Returns the exit status if the process ends within {@code bound}, otherwise empty. */
-  Optional<Integer> awaitEnd(Duration bound) throws InterruptedException {
+  Optional<Integer> awaitExit(Duration bound) throws InterruptedException {
     return process.waitFor(bound.toMillis(), TimeUnit.MILLISECONDS)
         ? Optional.of(process.exitValue())
         : Optional.empty();
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/ChildProcesses.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/ChildProcesses.java
@@ -11,7 +11,7 @@
 
 /** The processes that the demo started. Closing kills those that are still running. */
 final class ChildProcesses implements AutoCloseable {
-  private static final Duration COMMAND_BOUND = Duration.ofSeconds(60);
+  private static final Duration COMMAND_TIMEOUT = Duration.ofSeconds(60);
 
   private final Path launchers;
   private final Path folder;
@@ -33,8 +33,8 @@
   CommandRun run(String name, String launcher, List<String> arguments)
       throws DemoException, InterruptedException {
     Process process = launch(name, launcher, arguments);
-    if (!process.waitFor(COMMAND_BOUND.toMillis(), TimeUnit.MILLISECONDS)) {
-      throw new DemoException("%s did not end within %s".formatted(name, COMMAND_BOUND));
+    if (!process.waitFor(COMMAND_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS)) {
+      throw new DemoException("%s did not end within %s".formatted(name, COMMAND_TIMEOUT));
     }
     try {
       return new CommandRun(
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/Demo.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/Demo.java
@@ -35,7 +35,7 @@
   private static final Set<String> NON_IDEMPOTENT =
       Set.of("licensing/licence-tag", "auction/bid-confirmation");
   private static final String RUN = "demo";
-  private static final Duration RELEASE_BOUND = Duration.ofSeconds(20);
+  private static final Duration RELEASE_TIMEOUT = Duration.ofSeconds(20);
   private static final Duration POLL = Duration.ofMillis(500);
 
   private final PrintStream out;
@@ -67,7 +67,7 @@
         scenario.duration().toSeconds());
     DemoCallers callers = new DemoCallers(client, fleet::serving, RUN);
     CompletableFuture<String> killed = killInTheMiddle(scenario);
-    callers.play(scenario);
+    callers.send(scenario);
     String incarnation = await(killed);
     out.println("Releasing what the killed router held, and ending the others ...");
     release(incarnation);
@@ -81,7 +81,7 @@
       publish("team/" + team, team + ".toml");
     }
     for (Map.Entry<String, Long> budget : BUDGETS.entrySet()) {
-      fleet.operate(
+      fleet.runOperator(
           "budget-" + budget.getKey().replace('/', '-'),
           "budget",
           "create",
@@ -94,7 +94,7 @@
 
   private void publish(String subtree, String resource) throws DemoException, InterruptedException {
     String file = files.resource(resource).toString();
-    fleet.operate(
+    fleet.runOperator(
         "publish-" + subtree.replace('/', '-'),
         "settings",
         "publish",
@@ -130,10 +130,10 @@
   // The operator's command is refused as long as the platform's list, which lags behind, still
   // contains the killed incarnation.
   private void release(String incarnation) throws DemoException, InterruptedException {
-    long end = System.nanoTime() + RELEASE_BOUND.toNanos();
+    long end = System.nanoTime() + RELEASE_TIMEOUT.toNanos();
     while (true) {
       CommandRun run =
-          fleet.tryOperate(
+          fleet.tryRunOperator(
               "release", "lease", "release", incarnation, "--confirm-gone", "--author", "demo");
       if (run.status() == 0) {
         return;
@@ -163,8 +163,8 @@
     out.printf(
         "  %s was killed; callers sent %d requests again; %d repeated charges did not count;"
             + " %d records on the log%n%n",
-        incarnation, callers.repeats(), ledger.repeatedCharges(), ledger.records());
-    checks.forEach(check -> out.println(check.text()));
+        incarnation, callers.resends(), ledger.repeatedCharges(), ledger.records());
+    checks.forEach(check -> out.println(check.format()));
     boolean allHold = checks.stream().allMatch(Check::holds);
     out.println(allHold ? "\nEverything adds up." : "\nNOT everything adds up.");
     return allHold;
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/DemoCallers.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/DemoCallers.java
@@ -24,16 +24,16 @@
  * been run.
  */
 final class DemoCallers {
-  private static final int MAX_REPEATS = 5;
-  private static final long REPEAT_AFTER_MILLIS = 500;
-  private static final Duration REPEATS_BOUND = Duration.ofSeconds(45);
+  private static final int MAX_RESENDS = 5;
+  private static final long RESEND_DELAY_MILLIS = 500;
+  private static final Duration RESEND_TIMEOUT = Duration.ofSeconds(45);
   private static final Duration POLL = Duration.ofMillis(50);
 
   private final LoadRunner runner;
   private final String run;
   private final Map<Arrival, Sample> lastSamples = new HashMap<>();
-  private final Map<Arrival, Integer> repeats = new HashMap<>();
-  private int waiting;
+  private final Map<Arrival, Integer> resends = new HashMap<>();
+  private int pendingResends;
 
   DemoCallers(HttpClient client, Supplier<List<String>> balancer, String run) {
     this.runner = new LoadRunner(client, balancer, this::onSample);
@@ -41,17 +41,17 @@
   }
 
   /** Sends the scenario's requests and waits a limited time until no request is to be resent. */
-  void play(Scenario scenario) throws InterruptedException {
+  void send(Scenario scenario) throws InterruptedException {
     runner.run(scenario, run, "demo", progress -> {});
-    long end = System.nanoTime() + REPEATS_BOUND.toNanos();
-    while (waiting() > 0 && System.nanoTime() < end) {
+    long end = System.nanoTime() + RESEND_TIMEOUT.toNanos();
+    while (pendingResends() > 0 && System.nanoTime() < end) {
       Thread.sleep(POLL);
     }
   }
 
   /** Returns the number of resent requests that have not ended yet. */
-  synchronized int waiting() {
-    return waiting;
+  synchronized int pendingResends() {
+    return pendingResends;
   }
 
   /** Returns the last sample of each request. */
@@ -59,29 +59,29 @@
     return new ArrayList<>(lastSamples.values());
   }
 
-  synchronized int repeats() {
-    return repeats.values().stream().mapToInt(Integer::intValue).sum();
+  synchronized int resends() {
+    return resends.values().stream().mapToInt(Integer::intValue).sum();
   }
 
   private synchronized void onSample(Sample sample) {
     lastSamples.put(sample.arrival(), sample);
-    int before = repeats.getOrDefault(sample.arrival(), 0);
-    if (!mayRepeat(sample) || before >= MAX_REPEATS) {
+    int before = resends.getOrDefault(sample.arrival(), 0);
+    if (!mayResend(sample) || before >= MAX_RESENDS) {
       return;
     }
-    repeats.put(sample.arrival(), before + 1);
-    waiting++;
-    CompletableFuture.delayedExecutor(REPEAT_AFTER_MILLIS, TimeUnit.MILLISECONDS)
-        .execute(() -> runner.resend(sample.arrival(), run, this::onRepeated));
+    resends.put(sample.arrival(), before + 1);
+    pendingResends++;
+    CompletableFuture.delayedExecutor(RESEND_DELAY_MILLIS, TimeUnit.MILLISECONDS)
+        .execute(() -> runner.resend(sample.arrival(), run, this::onResentSample));
   }
 
-  private synchronized void onRepeated(Sample sample) {
-    waiting--;
+  private synchronized void onResentSample(Sample sample) {
+    pendingResends--;
     onSample(sample);
   }
 
   // A refusal is a final answer, so a refused request is not resent.
-  private static boolean mayRepeat(Sample sample) {
+  private static boolean mayResend(Sample sample) {
     boolean neverSent = sample.cause().filter("connection-not_sent"::equals).isPresent();
     boolean interrupted =
         sample.outcome() == Outcome.SILENT
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/DemoChecks.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/DemoChecks.java
@@ -176,7 +176,7 @@
   }
 
   /** A statement about the run. It holds if no problem was found. */
-  record Check(String promise, List<String> problems) {
+  record Check(String statement, List<String> problems) {
     Check {
       problems = List.copyOf(problems);
     }
@@ -185,9 +185,9 @@
       return problems.isEmpty();
     }
 
-    String text() {
+    String format() {
       StringBuilder text = new StringBuilder();
-      text.append(holds() ? "  holds  " : "  BROKEN ").append(promise);
+      text.append(holds() ? "  holds  " : "  BROKEN ").append(statement);
       if (!holds()) {
         text.append(": ").append(problems.size());
         problems.stream()
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/DemoFleet.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/DemoFleet.java
@@ -80,8 +80,8 @@
   }
 
   /** Runs the operator's command line. Throws unless it ends with status 0. */
-  String operate(String name, String... arguments) throws DemoException, InterruptedException {
-    CommandRun run = tryOperate(name, arguments);
+  String runOperator(String name, String... arguments) throws DemoException, InterruptedException {
+    CommandRun run = tryRunOperator(name, arguments);
     if (run.status() != 0) {
       throw new DemoException(
           "teaseldeal-operator %s ended with %d: %s%s"
@@ -91,7 +91,7 @@
   }
 
   /** Runs the operator's command line. */
-  CommandRun tryOperate(String name, String... arguments)
+  CommandRun tryRunOperator(String name, String... arguments)
       throws DemoException, InterruptedException {
     List<String> command = new ArrayList<>(List.of(arguments));
     command.addAll(List.of("--platform", platform));
@@ -127,7 +127,7 @@
     names.forEach(name -> process(name).child().terminate());
     List<String> problems = new ArrayList<>();
     for (String name : names) {
-      var status = process(name).child().awaitEnd(STOP_TIMEOUT);
+      var status = process(name).child().awaitExit(STOP_TIMEOUT);
       if (status.isEmpty()) {
         problems.add("%s did not end within %s of SIGTERM".formatted(name, STOP_TIMEOUT));
       } else if (status.get() != 0) {
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/DemoTables.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/DemoTables.java
@@ -28,7 +28,7 @@
                     sample -> sample.arrival().flow().service().toString(),
                     TreeMap::new,
                     Collectors.toList()));
-    byService.forEach((service, some) -> rows.add(requestRow(service, some, ledger)));
+    byService.forEach((service, ofService) -> rows.add(requestRow(service, ofService, ledger)));
     rows.add(requestRow("all", samples, ledger));
     return table(rows);
   }
@@ -76,15 +76,15 @@
     return table(rows);
   }
 
-  private static List<String> requestRow(String name, List<Sample> some, LedgerAudit ledger) {
+  private static List<String> requestRow(String name, List<Sample> samples, LedgerAudit ledger) {
     return List.of(
         name,
-        number(some.size()),
-        number(some.stream().filter(DemoChecks::isComplete).count()),
-        number(count(some, Outcome.REFUSED)),
-        number(count(some, Outcome.FAILED) + count(some, Outcome.WRONG)),
-        number(count(some, Outcome.BROKEN)),
-        number(count(some, Outcome.SILENT)),
+        number(samples.size()),
+        number(samples.stream().filter(DemoChecks::isComplete).count()),
+        number(count(samples, Outcome.REFUSED)),
+        number(count(samples, Outcome.FAILED) + count(samples, Outcome.WRONG)),
+        number(count(samples, Outcome.BROKEN)),
+        number(count(samples, Outcome.SILENT)),
         number(name.equals("all") ? charges(ledger, "") : charges(ledger, name)));
   }
 
@@ -96,8 +96,8 @@
         .count();
   }
 
-  private static long count(List<Sample> some, Outcome outcome) {
-    return some.stream().filter(sample -> sample.outcome() == outcome).count();
+  private static long count(List<Sample> samples, Outcome outcome) {
+    return samples.stream().filter(sample -> sample.outcome() == outcome).count();
   }
 
   private static String number(long value) {
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/LoadFleet.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/LoadFleet.java
@@ -165,15 +165,15 @@
 
   private void publish() throws DemoException, IOException, InterruptedException {
     Path fleet = Files.writeString(folder.resolve("fleet-settings.toml"), fleetText());
-    operate("publish-fleet", "settings", "publish", "fleet", fleet.toString());
+    runOperator("publish-fleet", "settings", "publish", "fleet", fleet.toString());
     for (Path file : teamFiles()) {
       String team = teamName(file);
-      operate("publish-" + team, "settings", "publish", "team/" + team, file.toString());
-      operate("budget-" + team, "budget", "create", team, Long.toString(TEAM_BUDGET));
+      runOperator("publish-" + team, "settings", "publish", "team/" + team, file.toString());
+      runOperator("budget-" + team, "budget", "create", team, Long.toString(TEAM_BUDGET));
     }
   }
 
-  private void operate(String name, String... arguments)
+  private void runOperator(String name, String... arguments)
       throws DemoException, InterruptedException {
     List<String> command = new ArrayList<>(List.of(arguments));
     command.addAll(List.of("--author", AUTHOR, "--platform", platform));
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/FaultRun.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/FaultRun.java
@@ -86,16 +86,16 @@
    *
    * @param change replaces parts of the instances, for tests that expect a promise to be broken
    */
-  static Result play(FaultPlan plan, UnaryOperator<InstanceParts> change) {
+  static Result execute(FaultPlan plan, UnaryOperator<InstanceParts> change) {
     FaultRun run = new FaultRun(plan, change);
-    run.play();
+    run.execute();
     return new Result(plan, run.history, run.cost());
   }
 
   /** The history and the costs of an executed plan. */
   record Result(FaultPlan plan, History history, Cost cost) {}
 
-  private void play() {
+  private void execute() {
     for (CallStep step : plan.calls()) {
       fleet.simulation().after(step.at(), () -> call(step));
     }
@@ -165,7 +165,7 @@
     outstandingCalls.removeIf(
         each -> {
           if (each.call.ended()) {
-            history.add(ended(each));
+            history.add(endedEvent(each));
           }
           return each.call.ended();
         });
@@ -182,13 +182,13 @@
     }
   }
 
-  private HistoryEvent.Ended ended(OutstandingCall each) {
+  private HistoryEvent.Ended endedEvent(OutstandingCall each) {
     FakeCall call = each.call;
     return new HistoryEvent.Ended(
         now(),
         each.number,
         call.request().map(Object::toString).orElse(""),
-        end(each),
+        endOf(each),
         call.ends(),
         call.plainBody().map(List::of).orElseGet(call::frames),
         call.error().map(kind -> kind.label()).orElse(null),
@@ -196,7 +196,7 @@
         call.error().filter(TOKEN_REFUSALS::contains).map(kind -> freeTokens()).orElse(0L));
   }
 
-  private static HistoryEvent.End end(OutstandingCall each) {
+  private static HistoryEvent.End endOf(OutstandingCall each) {
     FakeCall call = each.call;
     if (call.usage().isPresent() || call.plainBody().isPresent()) {
       return HistoryEvent.End.WHOLE;
@@ -233,7 +233,7 @@
       FakeServer server = fleet.serverOf(name);
       for (FakeServer.Start each : server.startLog()) {
         long at = Duration.between(start, each.at()).toMillis();
-        history.add(new HistoryEvent.Ran(at, name, each.request().value()));
+        history.add(new HistoryEvent.RunStarted(at, name, each.request().value()));
       }
     }
     history.add(new HistoryEvent.TokensUsed("all", fleet.tokensSpent()));
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/FaultsCommand.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/FaultsCommand.java
@@ -68,7 +68,7 @@
       List<FaultRun.Result> results =
           LongStream.range(from, to)
               .parallel()
-              .mapToObj(each -> play(FaultPlan.draw(each, chosen, kinds)))
+              .mapToObj(each -> execute(FaultPlan.draw(each, chosen, kinds)))
               .toList();
       for (FaultRun.Result result : results) {
         report(result, out);
@@ -78,8 +78,8 @@
     return failures == 0 ? ExitStatus.OK : ExitStatus.REFUSED;
   }
 
-  private static FaultRun.Result play(FaultPlan plan) {
-    return FaultRun.play(plan, UnaryOperator.identity());
+  private static FaultRun.Result execute(FaultPlan plan) {
+    return FaultRun.execute(plan, UnaryOperator.identity());
   }
 
   private void report(FaultRun.Result result, PrintStream out) throws CommandException {
@@ -110,12 +110,12 @@
   private void explain(FaultRun.Result result, List<String> violations, PrintStream out) {
     violations.forEach(each -> out.println("  " + each));
     FaultPlan shortest =
-        new Shrinker(plan -> !Promise.allViolations(play(plan).history()).isEmpty())
+        new Shrinker(plan -> !Promise.allViolations(execute(plan).history()).isEmpty())
             .shrink(result.plan());
     out.println("  shortest plan found:");
     shortest.faults().forEach(each -> out.println("    " + each));
     shortest.calls().forEach(each -> out.println("    " + each));
-    Promise.allViolations(play(shortest).history()).forEach(each -> out.println("    " + each));
+    Promise.allViolations(execute(shortest).history()).forEach(each -> out.println("    " + each));
     out.printf(
         "  again: bin/teaseldeal-bench faults --seed %d --deployment %s%s%n",
         result.plan().seed(),
@@ -123,8 +123,8 @@
         faults.isEmpty() ? "" : " --fault " + String.join(",", faults));
   }
 
-  private void add(FaultSummary summary, History played) {
-    coverage.add(played);
+  private void add(FaultSummary summary, History runHistory) {
+    coverage.add(runHistory);
     requests += summary.requests();
     whole += summary.whole();
     summary.refused().forEach((cause, count) -> refused.merge(cause, (long) count, Long::sum));
@@ -148,12 +148,12 @@
     out.println(coverage.format());
   }
 
-  private void write(History played) throws CommandException {
+  private void write(History runHistory) throws CommandException {
     if (history == null) {
       return;
     }
     try {
-      Files.writeString(history, played.toLines());
+      Files.writeString(history, runHistory.toLines());
     } catch (IOException e) {
       throw new CommandException(ExitStatus.WRONG_FILE, "could not write " + history + ": " + e);
     }
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/HistoryEvent.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/HistoryEvent.java
@@ -18,7 +18,7 @@
   @JsonSubTypes.Type(value = HistoryEvent.Sent.class, name = "sent"),
   @JsonSubTypes.Type(value = HistoryEvent.HungUp.class, name = "hung-up"),
   @JsonSubTypes.Type(value = HistoryEvent.Ended.class, name = "ended"),
-  @JsonSubTypes.Type(value = HistoryEvent.Ran.class, name = "ran"),
+  @JsonSubTypes.Type(value = HistoryEvent.RunStarted.class, name = "ran"),
   @JsonSubTypes.Type(value = HistoryEvent.TokensUsed.class, name = "used"),
   @JsonSubTypes.Type(value = HistoryEvent.TokensGranted.class, name = "granted"),
   @JsonSubTypes.Type(value = HistoryEvent.Charged.class, name = "charged"),
@@ -74,7 +74,7 @@
   }
 
   /** A backend server started to run a request. */
-  record Ran(long at, String server, String request) implements HistoryEvent {}
+  record RunStarted(long at, String server, String request) implements HistoryEvent {}
 
   /** The tokens that all requests run by a backend server have used in total. */
   record TokensUsed(String server, long tokens) implements HistoryEvent {}
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/Promise.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/Promise.java
@@ -17,8 +17,8 @@
 import org.teaseldeal.bench.fault.HistoryEvent.FaultInjected;
 import org.teaseldeal.bench.fault.HistoryEvent.HungUp;
 import org.teaseldeal.bench.fault.HistoryEvent.Lifecycle;
-import org.teaseldeal.bench.fault.HistoryEvent.Ran;
 import org.teaseldeal.bench.fault.HistoryEvent.RevisionInForce;
+import org.teaseldeal.bench.fault.HistoryEvent.RunStarted;
 import org.teaseldeal.bench.fault.HistoryEvent.Sent;
 import org.teaseldeal.bench.fault.HistoryEvent.ServerLeaving;
 import org.teaseldeal.bench.fault.HistoryEvent.SettingsPublished;
@@ -156,7 +156,7 @@
           .all(ServerLeaving.class)
           .forEach(each -> leaving.putIfAbsent(each.server(), each.at()));
       history
-          .all(Ran.class)
+          .all(RunStarted.class)
           .filter(run -> leaving.containsKey(run.server()))
           .filter(run -> run.at() > leaving.getOrDefault(run.server(), 0L) + LEAVING_BOUND_MILLIS)
           .forEach(
@@ -275,7 +275,7 @@
 
   private static Map<String, Integer> runsByRequest(History history) {
     Map<String, Integer> runs = new TreeMap<>();
-    history.all(Ran.class).forEach(run -> runs.merge(run.request(), 1, Integer::sum));
+    history.all(RunStarted.class).forEach(run -> runs.merge(run.request(), 1, Integer::sum));
     return runs;
   }
 
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/load/AnswerListener.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/load/AnswerListener.java
@@ -42,7 +42,7 @@
   private int status;
   private @Nullable String requestId;
   private boolean streamed;
-  private boolean closedByDone;
+  private boolean receivedDone;
   private @Nullable String streamError;
   private boolean ended;
 
@@ -87,7 +87,7 @@
       finishWithError();
     } else if (streamed) {
       finishComplete(
-          closedByDone ? check.problem(arrival.flow().outputTokens()) : Optional.of("no [DONE]"));
+          receivedDone ? check.problem(arrival.flow().outputTokens()) : Optional.of("no [DONE]"));
     } else if (arrival.flow().kind() == Flow.Kind.MODEL) {
       check.onWhole(body.toString(StandardCharsets.UTF_8));
       finishComplete(check.problem(arrival.flow().outputTokens()));
@@ -115,7 +115,7 @@
     if (error) {
       streamError = label(data).orElse("broken");
     } else if (data.equals("[DONE]")) {
-      closedByDone = true;
+      receivedDone = true;
     } else {
       long before = check.frames();
       check.onChunk(data);
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/slope/InstanceSlopes.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/slope/InstanceSlopes.java
@@ -33,26 +33,26 @@
   List<Slope> measure() {
     warmUp();
     List<Slope> slopes = new ArrayList<>();
-    slopes.add(heartbeats());
-    slopes.addAll(idle("peer", PEERS, peers -> new SimulatedInstance(peers, FEW_SERVERS)));
+    slopes.add(heartbeatSlope());
+    slopes.addAll(idleSlopes("peer", PEERS, peers -> new SimulatedInstance(peers, FEW_SERVERS)));
     slopes.addAll(
-        idle("backend server", SERVERS, count -> new SimulatedInstance(FEW_PEERS, count)));
-    slopes.addAll(streams());
+        idleSlopes("backend server", SERVERS, count -> new SimulatedInstance(FEW_PEERS, count)));
+    slopes.addAll(streamSlopes());
     slopes.add(streamHeap());
     slopes.add(peerTrafficByServersInUse());
-    slopes.addAll(requests());
-    slopes.add(placements());
+    slopes.addAll(requestSlopes());
+    slopes.add(placementSlope());
     return slopes;
   }
 
   /** Runs the measured code before the measurement, because uncompiled code would distort it. */
   private static void warmUp() {
-    SimulatedInstance instance = settled(new SimulatedInstance(WARM_UP_SIZE, WARM_UP_SIZE));
+    SimulatedInstance instance = runUntilReady(new SimulatedInstance(WARM_UP_SIZE, WARM_UP_SIZE));
     serve(instance, WARM_UP_SIZE, WARM_UP);
     instance.tick(WARM_UP_TICKS);
   }
 
-  private static Slope heartbeats() {
+  private static Slope heartbeatSlope() {
     List<Point> bytes = new ArrayList<>();
     for (int streams : LEDGER_STREAMS) {
       bytes.add(point(streams, SimulatedInstance.heartbeat(1, streams).length));
@@ -60,13 +60,14 @@
     return Slope.fit("heartbeat, octets", "ledger stream", bytes);
   }
 
-  private static List<Slope> idle(String per, int[] sizes, IntFunction<SimulatedInstance> create) {
+  private static List<Slope> idleSlopes(
+      String per, int[] sizes, IntFunction<SimulatedInstance> create) {
     List<Point> micros = new ArrayList<>();
     List<Point> tick = new ArrayList<>();
     List<Point> sent = new ArrayList<>();
     List<Point> appends = new ArrayList<>();
     for (int size : sizes) {
-      SimulatedInstance instance = settled(create.apply(size));
+      SimulatedInstance instance = runUntilReady(create.apply(size));
       micros.add(point(size, ResourceMeter.minCpuMicros(REPETITIONS, () -> instance.run(SECOND))));
       tick.add(point(size, tickMicros(instance)));
       sent.add(point(size, perSecond(instance, SimulatedInstance::peerBytes)));
@@ -79,7 +80,7 @@
         Slope.fit("idle log records /s", per, appends));
   }
 
-  private static SimulatedInstance settled(SimulatedInstance instance) {
+  private static SimulatedInstance runUntilReady(SimulatedInstance instance) {
     instance.run(Duration.ofSeconds(SETTLE_SECONDS));
     if (!instance.ready()) {
       throw new IllegalStateException("the instance did not become ready");
@@ -87,7 +88,7 @@
     return instance;
   }
 
-  private static List<Slope> streams() {
+  private static List<Slope> streamSlopes() {
     List<Point> tick = new ArrayList<>();
     List<Point> second = new ArrayList<>();
     List<Point> frames = new ArrayList<>();
@@ -104,7 +105,7 @@
   }
 
   private static SimulatedInstance withStreams(int servers, int count) {
-    SimulatedInstance instance = settled(new SimulatedInstance(FEW_PEERS, servers));
+    SimulatedInstance instance = runUntilReady(new SimulatedInstance(FEW_PEERS, servers));
     for (int i = 0; i < count; i++) {
       instance.sendCall();
     }
@@ -151,13 +152,13 @@
     instance.step();
   }
 
-  private static List<Slope> requests() {
+  private static List<Slope> requestSlopes() {
     List<Point> micros = new ArrayList<>();
     List<Point> appends = new ArrayList<>();
     List<Point> appended = new ArrayList<>();
     List<Point> backups = new ArrayList<>();
     for (int rate : REQUESTS_PER_SECOND) {
-      SimulatedInstance instance = settled(new SimulatedInstance(FEW_PEERS, FEW_SERVERS));
+      SimulatedInstance instance = runUntilReady(new SimulatedInstance(FEW_PEERS, FEW_SERVERS));
       serve(instance, rate, SECOND);
       double seconds = LONG_RUN.toSeconds();
       long appendsBefore = instance.appends();
@@ -179,10 +180,10 @@
         Slope.fit("octets of charge backups /s", per, backups));
   }
 
-  private static Slope placements() {
+  private static Slope placementSlope() {
     List<Point> micros = new ArrayList<>();
     for (int size : SERVERS) {
-      SimulatedInstance instance = settled(new SimulatedInstance(FEW_PEERS, size));
+      SimulatedInstance instance = runUntilReady(new SimulatedInstance(FEW_PEERS, size));
       serve(instance, USUAL_RATE, SECOND);
       double fastest =
           ResourceMeter.minCpuMicros(REPETITIONS, () -> serve(instance, USUAL_RATE, SECOND));
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/slope/LedgerSlopes.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/slope/LedgerSlopes.java
@@ -26,14 +26,15 @@
 
   List<Slope> measure() {
     List<Slope> slopes = new ArrayList<>();
-    slopes.addAll(state("budget", budgets, SampleEntries::budget));
+    slopes.addAll(stateSlopes("budget", budgets, SampleEntries::budget));
     slopes.addAll(
-        state("settings subtree", budgets / 37, number -> SampleEntries.subtree(number, 0)));
-    slopes.addAll(state("lease", budgets / 10, LedgerSlopes::lease));
-    slopes.addAll(state("claim in its window", budgets / 10, EntryKind.CLAIM::entry));
-    slopes.addAll(state("remembered keyed charge", budgets / 5, EntryKind.KEYED_CHARGE::entry));
+        stateSlopes("settings subtree", budgets / 37, number -> SampleEntries.subtree(number, 0)));
+    slopes.addAll(stateSlopes("lease", budgets / 10, LedgerSlopes::lease));
+    slopes.addAll(stateSlopes("claim in its window", budgets / 10, EntryKind.CLAIM::entry));
+    slopes.addAll(
+        stateSlopes("remembered keyed charge", budgets / 5, EntryKind.KEYED_CHARGE::entry));
     for (EntryKind kind : EntryKind.values()) {
-      slopes.addAll(entries(kind));
+      slopes.addAll(entrySlopes(kind));
     }
     return slopes;
   }
@@ -46,7 +47,7 @@
     return new Entry.RequestLease(new ServiceId(EntryKind.TEAM, "service-" + number), 1_000, 1_000);
   }
 
-  private static List<Slope> state(String per, int most, IntFunction<Entry> entry) {
+  private static List<Slope> stateSlopes(String per, int most, IntFunction<Entry> entry) {
     List<StateCost> costs = new ArrayList<>();
     // The first use of an entry kind also fills caches, which later measurements do not repeat.
     stateCost(most / 8, entry);
@@ -92,7 +93,7 @@
         costs.stream().map(cost -> new Point(cost.size, value.applyAsDouble(cost))).toList());
   }
 
-  private static List<Slope> entries(EntryKind kind) {
+  private static List<Slope> entrySlopes(EntryKind kind) {
     List<Point> bytesPerRecord = new ArrayList<>();
     List<Point> times = new ArrayList<>();
     for (int size : BATCH_SIZES) {
--- a/teaseldeal-bench/src/test/java/org/teaseldeal/bench/demo/DemoChecksTests.java
+++ b/teaseldeal-bench/src/test/java/org/teaseldeal/bench/demo/DemoChecksTests.java
@@ -140,7 +140,7 @@
             sent, samples, ledger, servers, Map.of("wool", granted), Set.of(BIDS.toString()));
     assertEquals(
         List.of(promises),
-        checks.all().stream().filter(check -> !check.holds()).map(Check::promise).toList());
+        checks.all().stream().filter(check -> !check.holds()).map(Check::statement).toList());
   }
 
   private void append(Entry... entries) {
--- a/teaseldeal-bench/src/test/java/org/teaseldeal/bench/fault/FaultRunTests.java
+++ b/teaseldeal-bench/src/test/java/org/teaseldeal/bench/fault/FaultRunTests.java
@@ -17,9 +17,9 @@
   private static final Set<FaultKind> CRASHES = EnumSet.of(FaultKind.SERVER_CRASH);
   private static final int SEEDS = 48;
 
-  private static History play(long seed, Deployment deployment) {
+  private static History historyOf(long seed, Deployment deployment) {
     FaultPlan plan = FaultPlan.draw(seed, deployment, ALL);
-    return FaultRun.play(plan, UnaryOperator.identity()).history();
+    return FaultRun.execute(plan, UnaryOperator.identity()).history();
   }
 
   private static List<String> violations(UnaryOperator<InstanceParts> change) {
@@ -31,7 +31,7 @@
     return LongStream.rangeClosed(1, seeds)
         .parallel()
         .mapToObj(seed -> FaultPlan.draw(seed, Deployment.AARHUS, kinds))
-        .map(plan -> Promise.allViolations(FaultRun.play(plan, change).history()))
+        .map(plan -> Promise.allViolations(FaultRun.execute(plan, change).history()))
         .flatMap(List::stream)
         .toList();
   }
@@ -44,8 +44,8 @@
 
   @Test
   void repeatsTheSameHistoryForTheSameSeed() {
-    String once = play(5, Deployment.ASSOCIATION).toLines();
-    assertEquals(once, play(5, Deployment.ASSOCIATION).toLines());
+    String once = historyOf(5, Deployment.ASSOCIATION).toLines();
+    assertEquals(once, historyOf(5, Deployment.ASSOCIATION).toLines());
   }
 
   /**
@@ -62,7 +62,7 @@
               seed ->
                   assertEquals(
                       List.of(),
-                      Promise.allViolations(play(seed, deployment)),
+                      Promise.allViolations(historyOf(seed, deployment)),
                       deployment + " seed " + seed));
     }
   }
--- a/teaseldeal-bench/src/test/java/org/teaseldeal/bench/fault/PromiseTests.java
+++ b/teaseldeal-bench/src/test/java/org/teaseldeal/bench/fault/PromiseTests.java
@@ -23,7 +23,7 @@
     history.add(new HistoryEvent.RevisionInForce(0, "r1-run1", 2));
     history.add(new HistoryEvent.TokensGranted(0, "wool", 1_000));
     send(1, "bids", "lot-4", false);
-    history.add(new HistoryEvent.Ran(5, "desk-a", REQUEST));
+    history.add(new HistoryEvent.RunStarted(5, "desk-a", REQUEST));
     endWithCompleteAnswer(1, REQUEST, "done lot-4");
     history.add(new HistoryEvent.Charged(REQUEST, 7));
     history.add(new HistoryEvent.TokensUsed("all", 7));
@@ -136,13 +136,13 @@
   void reportsANotRunRefusalOfARequestThatRan() {
     send(2, "bids", "lot-5", false);
     end(2, "k-2", End.REFUSED, 1, "not-run");
-    history.add(new HistoryEvent.Ran(6, "desk-a", "k-2"));
+    history.add(new HistoryEvent.RunStarted(6, "desk-a", "k-2"));
     assertReported("true-refusals: call 2 was told not-run and ran: some-error");
   }
 
   @Test
   void reportsASecondRunOfANonIdempotentRequest() {
-    history.add(new HistoryEvent.Ran(6, "desk-b", REQUEST));
+    history.add(new HistoryEvent.RunStarted(6, "desk-b", REQUEST));
     assertReported("at-most-once: k-1 ran 2 times");
   }
 
@@ -150,7 +150,7 @@
   void reportsNewWorkForALeavingServer() {
     history.add(new HistoryEvent.ServerLeaving(100, "desk-a"));
     send(2, "rates", "r", true);
-    history.add(new HistoryEvent.Ran(5_101, "desk-a", "k-2"));
+    history.add(new HistoryEvent.RunStarted(5_101, "desk-a", "k-2"));
     end(2, "k-2", End.REFUSED, 1, "unknown");
     assertReported("leaving-servers-rest: desk-a got work 5001 ms after it began to leave");
   }
--- a/teaseldeal-dist/src/test/java/org/teaseldeal/dist/Caller.java
+++ b/teaseldeal-dist/src/test/java/org/teaseldeal/dist/Caller.java
@@ -20,7 +20,7 @@
 
 /** A caller of the fleet's two services that checks its answers part by part. */
 final class Caller implements AutoCloseable {
-  private static final Duration BOUND = Duration.ofSeconds(60);
+  private static final Duration TIMEOUT = Duration.ofSeconds(60);
   private static final String DATA = "data: ";
 
   private final HttpClient client = HttpClient.newHttpClient();
@@ -62,7 +62,7 @@
       String router, String path, Optional<String> key, String body) {
     HttpRequest.Builder request =
         HttpRequest.newBuilder(URI.create("http://" + router + path))
-            .timeout(BOUND)
+            .timeout(TIMEOUT)
             .header("Authorization", "Bearer " + Fleet.TOKEN)
             .POST(BodyPublishers.ofString(body));
     key.ifPresent(value -> request.header("Idempotency-Key", value));
--- a/teaseldeal-dist/src/test/java/org/teaseldeal/dist/Fleet.java
+++ b/teaseldeal-dist/src/test/java/org/teaseldeal/dist/Fleet.java
@@ -107,7 +107,8 @@
         List.of(
             () -> publishFleet(lease),
             this::publishTeam,
-            () -> operate("budget", "create", "wool", Long.toString(budget), "--author", "ann")));
+            () ->
+                runOperator("budget", "create", "wool", Long.toString(budget), "--author", "ann")));
     return this;
   }
 
@@ -154,7 +155,7 @@
 
   private int publish(String subtree, String text) throws Exception {
     Path file = Files.writeString(folder.resolve(subtree.replace('/', '-') + ".toml"), text);
-    return operate("settings", "publish", subtree, file.toString(), "--author", "ann");
+    return runOperator("settings", "publish", subtree, file.toString(), "--author", "ann");
   }
 
   /** Starts routers and waits until each is ready. */
@@ -229,14 +230,14 @@
   }
 
   /** Runs the operator's command line. Fails unless it ends with status 0. */
-  int operate(String... arguments) throws Exception {
-    int status = tryOperate(arguments);
+  int runOperator(String... arguments) throws Exception {
+    int status = tryRunOperator(arguments);
     assertEquals(0, status, () -> String.join(" ", arguments));
     return status;
   }
 
   /** Runs the operator's command line and returns its exit status. */
-  int tryOperate(String... arguments) throws Exception {
+  int tryRunOperator(String... arguments) throws Exception {
     List<String> all = new ArrayList<>(List.of(arguments));
     all.addAll(List.of("--platform", platform()));
     Process process =
--- a/teaseldeal-dist/src/test/java/org/teaseldeal/dist/FleetAudit.java
+++ b/teaseldeal-dist/src/test/java/org/teaseldeal/dist/FleetAudit.java
@@ -26,7 +26,7 @@
   }
 
   /** Waits until the log contains the charges of all complete answers, and returns the audit. */
-  static FleetAudit settled(Fleet fleet, Collection<Answer> answers) throws Exception {
+  static FleetAudit awaitCharges(Fleet fleet, Collection<Answer> answers) throws Exception {
     Wait.until("all whole answers are charged", () -> of(fleet).uncharged(answers).isEmpty());
     return of(fleet);
   }
@@ -48,13 +48,13 @@
         "answers with missing parts or parts of another answer");
     assertEquals(
         List.of(),
-        answers.stream().filter(answer -> answer.reportsNotRun() && ran(answer)).toList(),
+        answers.stream().filter(answer -> answer.reportsNotRun() && wasRun(answer)).toList(),
         "not-run refusals of requests that ran");
     assertEquals(List.of(), ledger.imbalances(), "granted = charged + leased + remaining");
     assertNothingOverspent(budget);
   }
 
-  AccountView team() {
+  AccountView teamAccount() {
     return ledger.accounts().stream()
         .filter(account -> account.account().service().isEmpty())
         .findFirst()
@@ -62,7 +62,7 @@
   }
 
   private void assertNothingOverspent(long budget) {
-    AccountView team = team();
+    AccountView team = teamAccount();
     assertEquals(budget, team.granted());
     assertEquals(
         ledger.charges().values().stream().mapToLong(charges -> charges.getFirst().tokens()).sum(),
@@ -82,7 +82,7 @@
         .toList();
   }
 
-  private boolean ran(Answer answer) {
+  private boolean wasRun(Answer answer) {
     return !answer.requestId().isEmpty()
         && (servers.runs(answer.requestId()) > 0
             || servers.tokens(answer.requestId()).stream().anyMatch(tokens -> tokens > 0));
--- a/teaseldeal-dist/src/test/java/org/teaseldeal/dist/FleetFaultTests.java
+++ b/teaseldeal-dist/src/test/java/org/teaseldeal/dist/FleetFaultTests.java
@@ -70,13 +70,13 @@
         fleet.startRouters(List.of(router));
       }
       restarting.set(false);
-      List<Answer> answers = all(callers);
+      List<Answer> answers = awaitAll(callers);
       fleet.stopRouters(Fleet.ROUTERS);
 
       assertEquals(List.of(), answers.stream().filter(answer -> !answer.whole()).toList());
-      FleetAudit audit = FleetAudit.settled(fleet, answers);
+      FleetAudit audit = FleetAudit.awaitCharges(fleet, answers);
       audit.assertConsistentWith(answers, BUDGET);
-      assertEquals(0, audit.team().leased(), "leases that were not returned");
+      assertEquals(0, audit.teamAccount().leased(), "leases that were not returned");
     }
   }
 
@@ -96,29 +96,29 @@
       for (int i = 0; i < 6; i++) {
         String draft = "draft-" + i;
         String bid = "bid-" + i;
-        drafts.add(threads.submit(() -> draftFromVictim(fleet, draft, inFlight)));
-        bids.add(threads.submit(() -> bidFromVictim(fleet, bid)));
+        drafts.add(threads.submit(() -> draftAtKilledRouter(fleet, draft, inFlight)));
+        bids.add(threads.submit(() -> bidAtKilledRouter(fleet, bid)));
       }
       assertTrue(inFlight.await(30, TimeUnit.SECONDS));
       Wait.until("bids are at the service", () -> fleet.servers().serviceRuns() >= 1);
-      String dead = fleet.incarnation("router-1");
+      String killed = fleet.incarnation("router-1");
       fleet.daemon("router-1").kill();
 
-      List<Answer> answers = all(drafts, answer -> List.of(answer));
+      List<Answer> answers = awaitAll(drafts, answer -> List.of(answer));
       assertEquals(List.of(), answers.stream().filter(answer -> !answer.whole()).toList());
-      List<Answer> bidAnswers = all(bids, answer -> List.of(answer));
+      List<Answer> bidAnswers = awaitAll(bids, answer -> List.of(answer));
       assertEquals(List.of(), bidAnswers.stream().filter(answer -> !isFinal(answer)).toList());
       answers.addAll(bidAnswers);
-      Wait.until("the dead router's leases are released", () -> release(fleet, dead));
+      Wait.until("the killed router's leases are released", () -> release(fleet, killed));
       for (int i = 0; i < bids.size(); i++) {
         String bid = "bid-" + i;
         Wait.until("the outcome is reported for " + bid, () -> outcomeIsReported(fleet, bid));
       }
       fleet.stopRouters(List.of("router-2", "router-3"));
 
-      FleetAudit audit = FleetAudit.settled(fleet, answers);
+      FleetAudit audit = FleetAudit.awaitCharges(fleet, answers);
       audit.assertConsistentWith(answers, BUDGET);
-      assertEquals(0, audit.team().leased(), "leases that were not released or returned");
+      assertEquals(0, audit.teamAccount().leased(), "leases that were not released or returned");
     }
   }
 
@@ -159,12 +159,12 @@
       Collection<Answer> answers = new ConcurrentLinkedQueue<>();
       try {
         // The platform's list removes a silent instance after 3 s, and peers use the same time.
-        Wait.until("router-1 is off the list", () -> !listed(fleet, "router-1"));
+        Wait.until("router-1 is off the list", () -> !isListed(fleet, "router-1"));
         spend(fleet, List.of("router-2", "router-3"), "meanwhile", answers);
       } finally {
         fleet.daemon("router-1").wake();
       }
-      answers.addAll(all(frozen, answer -> List.of(answer)));
+      answers.addAll(awaitAll(frozen, answer -> List.of(answer)));
       Wait.until("router-1 is ready", () -> fleet.ready("router-1"));
       spend(fleet, Fleet.ROUTERS, "afterwards", answers);
       fleet.stopRouters(Fleet.ROUTERS);
@@ -173,7 +173,7 @@
       assertEquals(
           List.of(),
           answers.stream().filter(answer -> !answer.whole() && !answer.reportsNotRun()).toList());
-      FleetAudit.settled(fleet, answers).assertConsistentWith(answers, budget);
+      FleetAudit.awaitCharges(fleet, answers).assertConsistentWith(answers, budget);
     }
   }
 
@@ -203,7 +203,7 @@
         refused.add(threads.submit(() -> caller.bid(router, bid, bid)));
         answers.add(caller.draft(router, Optional.empty(), "outage " + i, STREAM));
       }
-      List<Answer> bids = all(refused, answer -> List.of(answer));
+      List<Answer> bids = awaitAll(refused, answer -> List.of(answer));
       fleet.fault("platform", "{\"log_outage\":false}");
 
       assertEquals(List.of(), answers.stream().filter(answer -> !answer.whole()).toList());
@@ -216,7 +216,7 @@
                           || !bid.kind().equals(Optional.of("log-unavailable")))
               .toList());
       answers.addAll(bids);
-      FleetAudit audit = FleetAudit.settled(fleet, answers);
+      FleetAudit audit = FleetAudit.awaitCharges(fleet, answers);
       audit.assertConsistentWith(answers, BUDGET);
       assertEquals(Fleet.ROUTERS.size(), fleet.servers().serviceRuns(), "bids that ran");
       fleet.stopRouters(Fleet.ROUTERS);
@@ -257,15 +257,16 @@
         fleet.stopRouters(List.of("router-1"));
 
         assertTrue(answer.whole(), answer::toString);
-        FleetAudit.settled(fleet, List.of(answer)).assertConsistentWith(List.of(answer), BUDGET);
+        FleetAudit.awaitCharges(fleet, List.of(answer))
+            .assertConsistentWith(List.of(answer), BUDGET);
         assertEquals(1, fleet.servers().tokens(answer.requestId()).size(), "runs at the engine");
       }
     }
   }
 
-  private List<Answer> sendWhile(Fleet fleet, AtomicBoolean going, String name) throws Exception {
+  private List<Answer> sendWhile(Fleet fleet, AtomicBoolean running, String name) throws Exception {
     List<Answer> answers = new ArrayList<>();
-    for (int i = 0; going.get(); i++) {
+    for (int i = 0; running.get(); i++) {
       String request = name + "-" + i;
       answers.add(
           i % 3 == 2
@@ -291,7 +292,7 @@
         Fleet.ROUTERS.get(nextRouterIndex.getAndIncrement() % Fleet.ROUTERS.size()));
   }
 
-  private Answer draftFromVictim(Fleet fleet, String name, CountDownLatch inFlight)
+  private Answer draftAtKilledRouter(Fleet fleet, String name, CountDownLatch inFlight)
       throws Exception {
     Optional<String> key = Optional.of(name);
     Answer answer =
@@ -300,7 +301,7 @@
     return retryAtOtherRouters(router -> caller.draft(router, key, name, LONG_STREAM), fleet);
   }
 
-  private Answer bidFromVictim(Fleet fleet, String name) throws Exception {
+  private Answer bidAtKilledRouter(Fleet fleet, String name) throws Exception {
     Answer answer = caller.bid(fleet.address("router-1"), name, name);
     return answer.whole()
         ? answer
@@ -335,15 +336,16 @@
       drafts.add(
           threads.submit(() -> caller.draft(router, Optional.empty(), prompt, LONG_STREAM / 2)));
     }
-    answers.addAll(all(drafts, answer -> List.of(answer)));
+    answers.addAll(awaitAll(drafts, answer -> List.of(answer)));
   }
 
-  private static boolean listed(Fleet fleet, String id) throws Exception {
+  private static boolean isListed(Fleet fleet, String id) throws Exception {
     return fleet.json(fleet.platform(), "/instances").toString().contains("\"%s\"".formatted(id));
   }
 
   private static boolean release(Fleet fleet, String incarnation) throws Exception {
-    return fleet.tryOperate("lease", "release", incarnation, "--confirm-gone", "--author", "ann")
+    return fleet.tryRunOperator(
+            "lease", "release", incarnation, "--confirm-gone", "--author", "ann")
         == 0;
   }
 
@@ -356,12 +358,12 @@
     };
   }
 
-  private static List<Answer> all(List<Future<List<Answer>>> futures) throws Exception {
-    return all(futures, answers -> answers);
+  private static List<Answer> awaitAll(List<Future<List<Answer>>> futures) throws Exception {
+    return awaitAll(futures, answers -> answers);
   }
 
-  private static <T> List<Answer> all(List<Future<T>> futures, Function<T, List<Answer>> answers)
-      throws Exception {
+  private static <T> List<Answer> awaitAll(
+      List<Future<T>> futures, Function<T, List<Answer>> answers) throws Exception {
     List<Answer> all = new ArrayList<>();
     for (Future<T> future : futures) {
       all.addAll(answers.apply(future.get(90, TimeUnit.SECONDS)));
--- a/teaseldeal-dist/src/test/java/org/teaseldeal/dist/StandinProcessTests.java
+++ b/teaseldeal-dist/src/test/java/org/teaseldeal/dist/StandinProcessTests.java
@@ -22,7 +22,7 @@
 
 /** Starts the stand-ins by their launcher and checks their interfaces and exit statuses. */
 class StandinProcessTests {
-  private static final Duration BOUND = Duration.ofSeconds(20);
+  private static final Duration TIMEOUT = Duration.ofSeconds(20);
 
   private final HttpClient client = HttpClient.newHttpClient();
   private LaunchedProcess platform;
@@ -169,7 +169,7 @@
   }
 
   private void await(String address, String path, String part) throws Exception {
-    long end = System.nanoTime() + BOUND.toNanos();
+    long end = System.nanoTime() + TIMEOUT.toNanos();
     String body = get(address, path).body();
     while (!body.contains(part)) {
       assertTrue(System.nanoTime() < end, "waited for " + part + ", last was " + body);
@@ -189,6 +189,6 @@
   }
 
   private static HttpRequest.Builder request(String address, String path) {
-    return HttpRequest.newBuilder(URI.create("http://" + address + path)).timeout(BOUND);
+    return HttpRequest.newBuilder(URI.create("http://" + address + path)).timeout(TIMEOUT);
   }
 }
--- a/teaseldeal-dist/src/test/java/org/teaseldeal/dist/Wait.java
+++ b/teaseldeal-dist/src/test/java/org/teaseldeal/dist/Wait.java
@@ -5,17 +5,17 @@
 
 /** Waits for conditions that other processes bring about. */
 final class Wait {
-  private static final Duration BOUND = Duration.ofSeconds(30);
+  private static final Duration TIMEOUT = Duration.ofSeconds(30);
   private static final Duration POLL = Duration.ofMillis(20);
 
   private Wait() {}
 
-  /** Waits until {@code condition} holds. Fails if it does not hold within {@link #BOUND}. */
+  /** Waits until {@code condition} holds. Fails if it does not hold within {@link #TIMEOUT}. */
   static void until(String what, Callable<Boolean> condition) throws Exception {
-    long end = System.nanoTime() + BOUND.toNanos();
+    long end = System.nanoTime() + TIMEOUT.toNanos();
     while (!condition.call()) {
       if (System.nanoTime() > end) {
-        throw new AssertionError("waited %s for: %s".formatted(BOUND, what));
+        throw new AssertionError("waited %s for: %s".formatted(TIMEOUT, what));
       }
       Thread.sleep(POLL);
     }
