--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/Demo.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/Demo.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
 import java.util.concurrent.TimeUnit;
-import org.teaseldeal.bench.demo.Children.CommandRun;
+import org.teaseldeal.bench.demo.ChildProcesses.CommandRun;
 import org.teaseldeal.bench.demo.DemoChecks.Check;
 import org.teaseldeal.bench.load.ArrivalSchedule;
 import org.teaseldeal.bench.load.Sample;
@@ -19,7 +19,10 @@
 import org.teaseldeal.net.HttpClient;
 import org.teaseldeal.settings.SettingsParser.Parsed;
 
-/** Plays the whole path once and says whether everything adds up. */
+/**
+ * Runs the demo: sends a load to a fleet of processes, kills one router and checks that charges,
+ * budgets and answers are consistent.
+ */
 final class Demo {
   private static final List<String> TEAMS = List.of("licensing", "auction");
   private static final Map<String, Long> BUDGETS =
@@ -32,29 +35,30 @@
   private static final Set<String> NON_IDEMPOTENT =
       Set.of("licensing/licence-tag", "auction/bid-confirmation");
   private static final String RUN = "demo";
-  private static final Duration RELEASE_BOUND = Duration.ofSeconds(20);
+  private static final Duration RELEASE_TIMEOUT = Duration.ofSeconds(20);
   private static final Duration POLL = Duration.ofMillis(500);
 
   private final PrintStream out;
   private final long seed;
-  private final DemoFiles files;
+  private final SettingsFiles files;
   private final DemoFleet fleet;
   private final HttpClient client;
-  private final Web web;
+  private final JsonClient web;
 
-  Demo(PrintStream out, long seed, DemoFiles files, Children children, HttpClient client) {
+  Demo(
+      PrintStream out, long seed, SettingsFiles files, ChildProcesses children, HttpClient client) {
     this.out = out;
     this.seed = seed;
     this.files = files;
     this.client = client;
-    this.web = new Web(client);
+    this.web = new JsonClient(client);
     this.fleet = new DemoFleet(children, files, web);
   }
 
-  /** Returns whether all checks hold. */
+  /** Runs the demo and returns whether all checks hold. */
   boolean run() throws DemoException, InterruptedException {
     out.println("Starting a platform, two engines, a plain service and three routers ...");
-    fleet.startSurroundings();
+    fleet.startPlatformAndServers();
     prepareLedger();
     fleet.startRouters();
     Scenario scenario = scenario();
@@ -63,12 +67,12 @@
         scenario.duration().toSeconds());
     DemoCallers callers = new DemoCallers(client, fleet::serving, RUN);
     CompletableFuture<String> killed = killInTheMiddle(scenario);
-    callers.play(scenario);
+    callers.send(scenario);
     String incarnation = await(killed);
     out.println("Releasing what the killed router held, and ending the others ...");
     release(incarnation);
-    List<String> endings = new ArrayList<>(fleet.endRouters());
-    return report(callers, ArrivalSchedule.of(scenario).size(), incarnation, endings);
+    List<String> routerProblems = new ArrayList<>(fleet.stopRouters());
+    return report(callers, ArrivalSchedule.of(scenario).size(), incarnation, routerProblems);
   }
 
   private void prepareLedger() throws DemoException, InterruptedException {
@@ -77,7 +81,7 @@
       publish("team/" + team, team + ".toml");
     }
     for (Map.Entry<String, Long> budget : BUDGETS.entrySet()) {
-      fleet.operate(
+      fleet.runOperator(
           "budget-" + budget.getKey().replace('/', '-'),
           "budget",
           "create",
@@ -90,7 +94,7 @@
 
   private void publish(String subtree, String resource) throws DemoException, InterruptedException {
     String file = files.resource(resource).toString();
-    fleet.operate(
+    fleet.runOperator(
         "publish-" + subtree.replace('/', '-'),
         "settings",
         "publish",
@@ -119,16 +123,17 @@
     try {
       return killed.join();
     } catch (CompletionException e) {
-      throw new DemoException("the router could not be killed: " + e.getCause());
+      throw new DemoException("could not kill the router: " + e.getCause());
     }
   }
 
-  // The operator's command refuses while the lagging list still has the dead incarnation.
+  // The operator's command is refused as long as the platform's list, which lags behind, still
+  // contains the killed incarnation.
   private void release(String incarnation) throws DemoException, InterruptedException {
-    long end = System.nanoTime() + RELEASE_BOUND.toNanos();
+    long end = System.nanoTime() + RELEASE_TIMEOUT.toNanos();
     while (true) {
       CommandRun run =
-          fleet.tryOperate(
+          fleet.tryRunOperator(
               "release", "lease", "release", incarnation, "--confirm-gone", "--author", "demo");
       if (run.status() == 0) {
         return;
@@ -141,7 +146,8 @@
     }
   }
 
-  private boolean report(DemoCallers callers, int sent, String incarnation, List<String> endings)
+  private boolean report(
+      DemoCallers callers, int sent, String incarnation, List<String> routerProblems)
       throws DemoException, InterruptedException {
     List<Sample> samples = callers.samples();
     LedgerAudit ledger = LedgerAudit.read(web, fleet.platform());
@@ -149,7 +155,7 @@
     List<Check> checks =
         new ArrayList<>(
             new DemoChecks(sent, samples, ledger, servers, BUDGETS, NON_IDEMPOTENT).all());
-    checks.add(new Check("every process ended with status 0", endings(endings)));
+    checks.add(new Check("every process ended with status 0", exitProblems(routerProblems)));
     out.println();
     out.println(DemoTables.requests(samples, ledger));
     out.println(DemoTables.causes(samples));
@@ -157,21 +163,21 @@
     out.printf(
         "  %s was killed; callers sent %d requests again; %d repeated charges did not count;"
             + " %d records on the log%n%n",
-        incarnation, callers.repeats(), ledger.repeatedCharges(), ledger.records());
-    checks.forEach(check -> out.println(check.text()));
-    boolean all = checks.stream().allMatch(Check::holds);
-    out.println(all ? "\nEverything adds up." : "\nNOT everything adds up.");
-    return all;
+        incarnation, callers.resends(), ledger.repeatedCharges(), ledger.records());
+    checks.forEach(check -> out.println(check.format()));
+    boolean allHold = checks.stream().allMatch(Check::holds);
+    out.println(allHold ? "\nEverything adds up." : "\nNOT everything adds up.");
+    return allHold;
   }
 
-  private List<String> endings(List<String> routers) throws InterruptedException {
+  private List<String> exitProblems(List<String> routers) throws InterruptedException {
     List<String> problems = new ArrayList<>(routers);
-    problems.addAll(fleet.endSurroundings());
+    problems.addAll(fleet.stopPlatformAndServers());
     return problems;
   }
 
   private Scenario scenario() throws DemoException {
-    return switch (ScenarioParser.parse(DemoFiles.text("scenario.toml"))) {
+    return switch (ScenarioParser.parse(SettingsFiles.text("scenario.toml"))) {
       case Parsed.Valid<Scenario>(Scenario scenario) -> scenario.withSeed(seed);
       case Parsed.Invalid<Scenario> invalid ->
           throw new DemoException(invalid.problems().toString());
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/DemoCallers.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/DemoCallers.java
@@ -16,75 +16,77 @@
 import org.teaseldeal.net.HttpClient;
 
 /**
- * The callers of the demo: each sends its request at its time, and sends it again, with the same
- * key, if it has one and its connection broke before the answer was whole.
+ * The callers of the demo. Each caller sends its request when it is due. It resends a request that
+ * has an idempotency key, with the same key, if the connection broke before the answer was
+ * complete.
  *
- * <p>A caller whose request was never sent sends it again too: there was nothing that could run.
+ * <p>A caller also resends a request that could not be sent, because such a request cannot have
+ * been run.
  */
 final class DemoCallers {
-  private static final int MAX_REPEATS = 5;
-  private static final long REPEAT_AFTER_MILLIS = 500;
-  private static final Duration REPEATS_BOUND = Duration.ofSeconds(45);
+  private static final int MAX_RESENDS = 5;
+  private static final long RESEND_DELAY_MILLIS = 500;
+  private static final Duration RESEND_TIMEOUT = Duration.ofSeconds(45);
   private static final Duration POLL = Duration.ofMillis(50);
 
   private final LoadRunner runner;
   private final String run;
-  private final Map<Arrival, Sample> last = new HashMap<>();
-  private final Map<Arrival, Integer> repeats = new HashMap<>();
-  private int waiting;
+  private final Map<Arrival, Sample> lastSamples = new HashMap<>();
+  private final Map<Arrival, Integer> resends = new HashMap<>();
+  private int pendingResends;
 
   DemoCallers(HttpClient client, Supplier<List<String>> balancer, String run) {
     this.runner = new LoadRunner(client, balancer, this::onSample);
     this.run = run;
   }
 
-  /** Sends the scenario's requests and waits until each caller knows where it stands. */
-  void play(Scenario scenario) throws InterruptedException {
+  /** Sends the scenario's requests and waits a limited time until no request is to be resent. */
+  void send(Scenario scenario) throws InterruptedException {
     runner.run(scenario, run, "demo", progress -> {});
-    long end = System.nanoTime() + REPEATS_BOUND.toNanos();
-    while (waiting() > 0 && System.nanoTime() < end) {
+    long end = System.nanoTime() + RESEND_TIMEOUT.toNanos();
+    while (pendingResends() > 0 && System.nanoTime() < end) {
       Thread.sleep(POLL);
     }
   }
 
-  /** Requests whose last answer neither ended nor failed. */
-  synchronized int waiting() {
-    return waiting;
+  /** Returns the number of resent requests that have not ended yet. */
+  synchronized int pendingResends() {
+    return pendingResends;
   }
 
-  /** What each caller saw in the end. */
+  /** Returns the last sample of each request. */
   synchronized List<Sample> samples() {
-    return new ArrayList<>(last.values());
+    return new ArrayList<>(lastSamples.values());
   }
 
-  synchronized int repeats() {
-    return repeats.values().stream().mapToInt(Integer::intValue).sum();
+  synchronized int resends() {
+    return resends.values().stream().mapToInt(Integer::intValue).sum();
   }
 
   private synchronized void onSample(Sample sample) {
-    last.put(sample.arrival(), sample);
-    int before = repeats.getOrDefault(sample.arrival(), 0);
-    if (!mayRepeat(sample) || before >= MAX_REPEATS) {
+    lastSamples.put(sample.arrival(), sample);
+    int before = resends.getOrDefault(sample.arrival(), 0);
+    if (!mayResend(sample) || before >= MAX_RESENDS) {
       return;
     }
-    repeats.put(sample.arrival(), before + 1);
-    waiting++;
-    CompletableFuture.delayedExecutor(REPEAT_AFTER_MILLIS, TimeUnit.MILLISECONDS)
-        .execute(() -> runner.repeat(sample.arrival(), run, this::onRepeated));
+    resends.put(sample.arrival(), before + 1);
+    pendingResends++;
+    CompletableFuture.delayedExecutor(RESEND_DELAY_MILLIS, TimeUnit.MILLISECONDS)
+        .execute(() -> runner.resend(sample.arrival(), run, this::onResentSample));
   }
 
-  private synchronized void onRepeated(Sample sample) {
-    waiting--;
+  private synchronized void onResentSample(Sample sample) {
+    pendingResends--;
     onSample(sample);
   }
 
-  // A refusal is an answer: whoever gets one knows where it stands.
-  private static boolean mayRepeat(Sample sample) {
+  // A refusal is a final answer, so a refused request is not resent.
+  private static boolean mayResend(Sample sample) {
     boolean neverSent = sample.cause().filter("connection-not_sent"::equals).isPresent();
-    boolean broke =
+    boolean interrupted =
         sample.outcome() == Outcome.SILENT
             || sample.outcome() == Outcome.BROKEN
             || sample.cause().filter("already-claimed"::equals).isPresent();
-    return neverSent || (broke && sample.arrival().flow().keyed());
+    return neverSent || (interrupted && sample.arrival().flow().keyed());
   }
 }
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/DemoTables.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/DemoTables.java
@@ -12,11 +12,11 @@
 import org.teaseldeal.ledger.outcome.Outcome.Charged;
 import org.teaseldeal.ledger.state.AccountView;
 
-/** The demo's tables for people. */
+/** Formats the tables that the demo prints. */
 final class DemoTables {
   private DemoTables() {}
 
-  /** What callers saw, by service, and what was charged for it. */
+  /** Returns the outcomes of requests and the number of charges, by service. */
   static String requests(List<Sample> samples, LedgerAudit ledger) {
     List<List<String>> rows = new ArrayList<>();
     rows.add(
@@ -28,18 +28,18 @@
                     sample -> sample.arrival().flow().service().toString(),
                     TreeMap::new,
                     Collectors.toList()));
-    byService.forEach((service, some) -> rows.add(requestRow(service, some, ledger)));
+    byService.forEach((service, ofService) -> rows.add(requestRow(service, ofService, ledger)));
     rows.add(requestRow("all", samples, ledger));
     return table(rows);
   }
 
-  /** How many were refused, failed or broke, by cause. */
+  /** Returns the number of requests without a complete answer, by outcome and cause. */
   static String causes(List<Sample> samples) {
     List<List<String>> rows = new ArrayList<>();
     rows.add(List.of("not answered whole", "cause", "requests"));
     Map<String, Long> counts =
         samples.stream()
-            .filter(sample -> !DemoChecks.whole(sample))
+            .filter(sample -> !DemoChecks.isComplete(sample))
             .collect(
                 Collectors.groupingBy(
                     sample ->
@@ -57,7 +57,7 @@
     return counts.isEmpty() ? "all requests were answered whole\n" : table(rows);
   }
 
-  /** The budgets at the end of the log. */
+  /** Returns the state of the budgets at the end of the log. */
   static String budgets(List<AccountView> accounts) {
     List<List<String>> rows = new ArrayList<>();
     rows.add(List.of("budget", "granted", "charged", "written off", "leased", "remaining"));
@@ -76,15 +76,15 @@
     return table(rows);
   }
 
-  private static List<String> requestRow(String name, List<Sample> some, LedgerAudit ledger) {
+  private static List<String> requestRow(String name, List<Sample> samples, LedgerAudit ledger) {
     return List.of(
         name,
-        number(some.size()),
-        number(some.stream().filter(DemoChecks::whole).count()),
-        number(count(some, Outcome.REFUSED)),
-        number(count(some, Outcome.FAILED) + count(some, Outcome.WRONG)),
-        number(count(some, Outcome.BROKEN)),
-        number(count(some, Outcome.SILENT)),
+        number(samples.size()),
+        number(samples.stream().filter(DemoChecks::isComplete).count()),
+        number(count(samples, Outcome.REFUSED)),
+        number(count(samples, Outcome.FAILED) + count(samples, Outcome.WRONG)),
+        number(count(samples, Outcome.BROKEN)),
+        number(count(samples, Outcome.SILENT)),
         number(name.equals("all") ? charges(ledger, "") : charges(ledger, name)));
   }
 
@@ -96,8 +96,8 @@
         .count();
   }
 
-  private static long count(List<Sample> some, Outcome outcome) {
-    return some.stream().filter(sample -> sample.outcome() == outcome).count();
+  private static long count(List<Sample> samples, Outcome outcome) {
+    return samples.stream().filter(sample -> sample.outcome() == outcome).count();
   }
 
   private static String number(long value) {
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/FaultsCommand.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/FaultsCommand.java
@@ -20,23 +20,25 @@
 import org.teaseldeal.cli.CommandException;
 import org.teaseldeal.cli.ExitStatus;
 
-/** Plays seeds of faults and checks every promise of the brief on each. */
-@Parameters(commandDescription = "Play faults in virtual time from seeds and check every promise")
+/** Executes a fault plan for each seed and checks every promise against its history. */
+@Parameters(commandDescription = "Simulate faults in virtual time and check every promise")
 public final class FaultsCommand extends Command {
-  private static final int BATCH = 64;
+  private static final int BATCH_SIZE = 64;
 
   @Parameter(names = "--seed", description = "The first seed")
   private long seed = 1;
 
-  @Parameter(names = "--seeds", description = "How many seeds to play")
+  @Parameter(names = "--seeds", description = "Number of seeds to run")
   private long seeds = 1;
 
   @Parameter(
       names = "--fault",
-      description = "Faults to draw from, separated by commas; all if none")
+      description = "Faults to draw from, separated by commas; all if not given")
   private List<String> faults = new ArrayList<>();
 
-  @Parameter(names = "--deployment", description = "Whose lease policy: aarhus or association")
+  @Parameter(
+      names = "--deployment",
+      description = "Deployment whose lease policy is used: aarhus or association")
   private String deployment = "aarhus";
 
   @Parameter(names = "--history", description = "File for the history of the last seed")
@@ -58,13 +60,15 @@
   protected ExitStatus run(PrintStream out, PrintStream err) throws CommandException {
     Set<FaultKind> kinds = kinds();
     Deployment chosen = chosenDeployment();
-    for (long from = seed; from < seed + seeds; from += BATCH) {
-      long to = Math.min(from + BATCH, seed + seeds);
-      // Seeds share nothing, so several are played at once; they are reported in order.
+    for (long from = seed; from < seed + seeds; from += BATCH_SIZE) {
+      long to = Math.min(from + BATCH_SIZE, seed + seeds);
+      // Runs share no state, so a batch of seeds is executed in parallel. Results are reported in
+      // the
+      // order of the seeds.
       List<FaultRun.Result> results =
           LongStream.range(from, to)
               .parallel()
-              .mapToObj(each -> play(FaultPlan.draw(each, chosen, kinds)))
+              .mapToObj(each -> execute(FaultPlan.draw(each, chosen, kinds)))
               .toList();
       for (FaultRun.Result result : results) {
         report(result, out);
@@ -74,8 +78,8 @@
     return failures == 0 ? ExitStatus.OK : ExitStatus.REFUSED;
   }
 
-  private static FaultRun.Result play(FaultPlan plan) {
-    return FaultRun.play(plan, UnaryOperator.identity());
+  private static FaultRun.Result execute(FaultPlan plan) {
+    return FaultRun.execute(plan, UnaryOperator.identity());
   }
 
   private void report(FaultRun.Result result, PrintStream out) throws CommandException {
@@ -106,12 +110,12 @@
   private void explain(FaultRun.Result result, List<String> violations, PrintStream out) {
     violations.forEach(each -> out.println("  " + each));
     FaultPlan shortest =
-        new Shrinker(plan -> !Promise.allViolations(play(plan).history()).isEmpty())
+        new Shrinker(plan -> !Promise.allViolations(execute(plan).history()).isEmpty())
             .shrink(result.plan());
     out.println("  shortest plan found:");
     shortest.faults().forEach(each -> out.println("    " + each));
     shortest.calls().forEach(each -> out.println("    " + each));
-    Promise.allViolations(play(shortest).history()).forEach(each -> out.println("    " + each));
+    Promise.allViolations(execute(shortest).history()).forEach(each -> out.println("    " + each));
     out.printf(
         "  again: bin/teaseldeal-bench faults --seed %d --deployment %s%s%n",
         result.plan().seed(),
@@ -119,8 +123,8 @@
         faults.isEmpty() ? "" : " --fault " + String.join(",", faults));
   }
 
-  private void add(FaultSummary summary, History played) {
-    coverage.add(played);
+  private void add(FaultSummary summary, History runHistory) {
+    coverage.add(runHistory);
     requests += summary.requests();
     whole += summary.whole();
     summary.refused().forEach((cause, count) -> refused.merge(cause, (long) count, Long::sum));
@@ -141,15 +145,15 @@
         (double) stranded / seeds,
         1e3 * appends / Math.max(1, requests));
     out.println("faults by the stage that requests were in as they struck:");
-    out.println(coverage.text());
+    out.println(coverage.format());
   }
 
-  private void write(History played) throws CommandException {
+  private void write(History runHistory) throws CommandException {
     if (history == null) {
       return;
     }
     try {
-      Files.writeString(history, played.toLines());
+      Files.writeString(history, runHistory.toLines());
     } catch (IOException e) {
       throw new CommandException(ExitStatus.WRONG_FILE, "could not write " + history + ": " + e);
     }
