--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/LossReport.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/LossReport.java
@@ -80,7 +80,7 @@
   @Override
   public String text() {
     List<String> columns = columns();
-    List<String> headers = new ArrayList<>(List.of("cause", "requests (worth)", "state age"));
+    List<String> headers = new ArrayList<>(List.of("cause", "requests (worth)", "belief"));
     headers.addAll(columns);
     TextTable table = new TextTable(headers.toArray(String[]::new));
     for (Row row : rows) {
