--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/AdmissionQueue.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/AdmissionQueue.java
@@ -74,9 +74,9 @@
   }
 
   /**
-   * One in this many starts goes to a lower priority class that urgent ones would otherwise starve.
-   * At 5 % the urgent class loses less than the variation of its own waits, and batch work still
-   * ends within twenty times its own duration instead of never.
+   * One in this many starts is given to a lower priority class, which more urgent ones would
+   * otherwise starve. At 5 % the urgent class loses less than the variation of its own waits, and
+   * batch work still ends within twenty times its own duration instead of never.
    */
   private static final int STARTS_PER_LOWER_CLASS_START = 20;
 
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/DrainPhases.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/DrainPhases.java
@@ -13,9 +13,9 @@
  * prevents this: first all requests are refused, and only then is it checked whether answers are
  * outstanding. After that, only refusals can become outstanding.
  *
- * <p>The clock has to continue while the process is suspended, because the time until the process
- * is killed continues too. It must not follow steps of the wall clock, which would end the shutdown
- * before its answers have been sent.
+ * <p>The clock has to continue while the process is suspended, because the process is killed at the
+ * same moment whether or not it was suspended. It must not follow steps of the wall clock, which
+ * would end the shutdown before its answers have been sent.
  */
 public final class DrainPhases {
   /** A phase of the shutdown. A phase is only ever followed by a later one. */
@@ -67,10 +67,7 @@
    */
   private static final Duration MAX_RETURN_WAIT = Duration.ofMillis(800);
 
-  /**
-   * Time for the requests on connections that were just accepted; they arrive within some
-   * milliseconds.
-   */
+  /** Time for the requests on newly accepted connections, which arrive within some milliseconds. */
   private static final Duration LAST_REQUESTS_WAIT = Duration.ofMillis(60);
 
   /**
@@ -86,15 +83,15 @@
   /**
    * Begins a shutdown.
    *
-   * @param began when the shutdown began
-   * @param grace time from {@code began} until the process is killed
+   * @param drainStart when the shutdown began
+   * @param grace time from {@code drainStart} until the process is killed
    */
-  public DrainPhases(Instant began, Duration grace) {
+  public DrainPhases(Instant drainStart, Duration grace) {
     Duration part = grace.dividedBy(RESERVE_DIVISOR);
     Duration reserve = part.compareTo(MAX_RESERVE) < 0 ? part : MAX_RESERVE;
-    admission = new DrainAdmission(began, began.plus(grace).minus(reserve));
-    flushDeadline = admission.ends().plus(reserve.dividedBy(FLUSH_DIVISOR));
-    phaseSince = began;
+    admission = new DrainAdmission(drainStart, drainStart.plus(grace).minus(reserve));
+    flushDeadline = admission.abortTime().plus(reserve.dividedBy(FLUSH_DIVISOR));
+    phaseSince = drainStart;
   }
 
   /**
@@ -138,7 +135,7 @@
         && (outstanding.tokensReturned() || hasLasted(now, MAX_RETURN_WAIT))) {
       return Phase.CLOSING;
     }
-    return now.isBefore(admission.ends()) ? phase : Phase.ABORTING;
+    return now.isBefore(admission.abortTime()) ? phase : Phase.ABORTING;
   }
 
   private boolean pastFlushDeadline(Instant now) {
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/DrawOrder.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/DrawOrder.java
@@ -16,8 +16,8 @@
  * may use immediately.
  *
  * <p>Many instances may lack tokens of the same customer at the same moment. If all asked the peer
- * with the most tokens, all but the first would ask in vain. Therefore the order is random, and
- * peers with more tokens are only more likely to be asked first.
+ * with the most tokens, all but the first would get none. Therefore the order is random, and peers
+ * with more tokens are only more likely to be asked first.
  */
 public final class DrawOrder {
   /**
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/IdleTokenRelease.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/IdleTokenRelease.java
@@ -50,10 +50,10 @@
    * Factor by which the release is faster than its normal rate until it has caught up with the time
    * before its beginning.
    *
-   * <p>If the release began with all tokens that the rate gives for the time since the note, the
-   * successor on a machine that is back 0.1 s after that moment would write off three seconds of
-   * use for an instance that had no power for two of them. With a gradual increase, a successor
-   * that starts a little later writes off little.
+   * <p>If the release began with all tokens that the rate gives for the time since the note, a
+   * successor that starts 0.1 s after the beginning of the release would write off three seconds of
+   * use, although its machine had no power for two of them. With a gradual increase, a successor
+   * that starts a little late writes off few tokens.
    */
   private static final int CATCH_UP_FACTOR = 5;
 
@@ -64,8 +64,8 @@
   private static final double RATE_OVER_DEMAND = 1.5;
 
   /**
-   * Part of the release rate, in largest recent requests per second. It lets a request through that
-   * is larger than two seconds of demand when the release begins.
+   * Part of the release rate, in largest recent requests per second. It allows a request that is
+   * larger than two seconds of demand when the release begins.
    */
   private static final double LARGEST_REQUESTS_PER_SECOND = 0.5;
 
@@ -77,7 +77,7 @@
 
   /**
    * Age of a note at which all tokens are released. By then the demand may have grown beyond what
-   * the note says, and nearly all partitions are more than half over.
+   * the note says, and nearly all partitions have lasted more than half of their total duration.
    */
   private static final Duration ALL_RELEASED_AFTER = Duration.ofSeconds(6);
 
@@ -162,7 +162,7 @@
   }
 
   private static Duration until(Duration at, Duration since) {
-    Duration left = at.minus(since);
-    return left.isNegative() ? Duration.ZERO : left;
+    Duration remaining = at.minus(since);
+    return remaining.isNegative() ? Duration.ZERO : remaining;
   }
 }
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/PrefillTime.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/PrefillTime.java
@@ -3,16 +3,16 @@
 import java.time.Duration;
 
 /**
- * Tells whether an engine can have processed a prompt by the time at which its answer broke off.
+ * Decides whether an engine can have processed a prompt before its answer was interrupted.
  *
  * <p>Engines may reset the connections of many requests within milliseconds of their arrival, while
  * a customer's total is nearly used up. If each such prompt were charged in full, the customer
  * would pay for tokens that were never used, and its later requests would be refused although the
  * total covers them.
  *
- * <p>A run begins with its first token, for which the whole prompt has to be processed. So an
- * engine that broke off sooner than any engine could have processed the prompt has not used any of
- * its tokens.
+ * <p>A run begins with its first token, for which the whole prompt has to be processed. Therefore
+ * an engine that aborted the answer sooner than any engine could have processed the prompt has not
+ * used any of its tokens.
  */
 public final class PrefillTime {
   /**
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/PromptPlacement.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/PromptPlacement.java
@@ -28,8 +28,8 @@
  * <p>One subject may account for a third of the requests, or a prompt of 50 000 tokens may keep an
  * engine busy for a second. At the engine with the cached prefix callers would wait while other
  * engines are idle. Therefore an engine is skipped as soon as its first token is expected later
- * than the target time; the prefix of a hot subject is then cached at just as many engines as it
- * needs.
+ * than the target time; the prefix of a hot subject is then cached at only as many engines as its
+ * load requires.
  */
 public final class PromptPlacement {
   /**
@@ -70,9 +70,9 @@
    * A prompt to place.
    *
    * @param prefix identifies the prefix that the prompt shares with others; empty if it shares none
-   * @param aim time within which the first token counts as on time
+   * @param targetTime time within which the first token counts as on time
    */
-  public record Prompt(String prefix, Duration aim) {}
+  public record Prompt(String prefix, Duration targetTime) {}
 
   /**
    * Prompt tokens that an engine processes per millisecond, according to the data sheets of the
@@ -91,7 +91,7 @@
    * whole target time, because processing the prefix again elsewhere costs that engine as much time
    * as it saves the caller.
    */
-  private static final double CACHED_AIM_FRACTION = 1.0;
+  private static final double CACHED_TARGET_FRACTION = 1.0;
 
   /** Number of homes of a prefix that are tried in order before any other engine is used. */
   private static final int HOMES_TRIED = 3;
@@ -113,7 +113,8 @@
       return soonest.map(Candidate::id);
     }
     double soonestMillis = soonest.get().expectedMillis();
-    double keepMillis = Math.max(soonestMillis, prompt.aim().toMillis() * CACHED_AIM_FRACTION);
+    double keepMillis =
+        Math.max(soonestMillis, prompt.targetTime().toMillis() * CACHED_TARGET_FRACTION);
     List<Candidate> holders = engines.stream().filter(Candidate::holdsPrefix).toList();
     return soonest(holders, random)
         .filter(holder -> holder.expectedMillis() <= keepMillis)
--- a/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/ServerHealth.java
+++ b/teaseldeal-decisions/src/main/java/org/teaseldeal/decisions/ServerHealth.java
@@ -176,7 +176,7 @@
    * Returns the fraction of its limit that a server may be given, from a tenth to 1.
    *
    * <p>A server that is new or returns has cold caches and looks idle. If it were given its whole
-   * limit at once, it would get a batch of uncached work that all ends late.
+   * limit at once, it would get a batch of uncached requests that are all answered late.
    */
   public double rampShare(BackendServerId server, Instant now) {
     Observations observations = records.get(server);
@@ -221,7 +221,7 @@
         now.plus(ejection.compareTo(longestEjection) > 0 ? longestEjection : ejection);
     observations.rampStart = observations.ejectedUntil;
     // A returning server is judged by its new answers. Until the first one it is assumed to be as
-    // slow as before; otherwise each return would cost a batch of slow answers.
+    // slow as before; otherwise each return of a slow server would cause a batch of slow answers.
     observations.consecutiveFailures = 0;
     observations.samples = 0;
     medianValid = false;
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/DrainPhasesTests.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/DrainPhasesTests.java
@@ -57,7 +57,7 @@
   @Test
   void leavesMostOfAShortGraceToCallers() {
     DrainPhases shortGrace = new DrainPhases(BEGAN, Duration.ofSeconds(1));
-    assertEquals(BEGAN.plusMillis(750), shortGrace.admission().ends());
+    assertEquals(BEGAN.plusMillis(750), shortGrace.admission().abortTime());
     assertEquals(Phase.SHORT_ONLY, shortGrace.advance(BEGAN.plusMillis(375), NOTHING));
   }
 
--- a/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/StoppingInstance.java
+++ b/teaseldeal-decisions/src/test/java/org/teaseldeal/decisions/StoppingInstance.java
@@ -196,7 +196,7 @@
    * instance did after accepting it.
    */
   boolean hadNoTime(Request request) {
-    Instant ends = phases.admission().ends();
+    Instant ends = phases.admission().abortTime();
     boolean tooLong = request.sent().plus(request.runTime).isAfter(ends);
     boolean early = request.read.isBefore(phases.admission().balancerNoticed());
     return (tooLong && early) || (wasSuspended() && !suspendedAt.plus(suspension).isBefore(ends));
