--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/ClockReading.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/ClockReading.java
@@ -7,10 +7,10 @@
  * A reading of a machine's monotonic clock and of its wall clock, taken together.
  *
  * <p>The monotonic clock continues while a process is replaced by another on the same machine, and
- * starts anew when the machine loses power. Comparing it with the wall clock tells these cases
- * apart: if both advanced by the same amount, the machine has been running without interruption and
- * the difference of the monotonic clock is exact. A step of the wall clock, a suspension or a loss
- * of power makes the two differ, and then the elapsed time is unknown.
+ * restarts when the machine loses power. Comparing it with the wall clock tells these cases apart:
+ * if both advanced by the same amount, the machine has been running without interruption and the
+ * difference of the monotonic clock is exact. A step of the wall clock, a suspension or a loss of
+ * power makes the two differ, and then the elapsed time is unknown.
  *
  * @param steadyNanos monotonic clock in nanoseconds, with an arbitrary origin
  * @param wallMillis wall clock in milliseconds since 1970
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/CustomerAccount.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/CustomerAccount.java
@@ -166,8 +166,8 @@
   }
 
   /**
-   * Reclaims tokens that a previous process had idle when the machine lost power, if the wall clock
-   * and the heartbeats of backend servers agree on how long ago its last note was written.
+   * Reclaims tokens that were idle at a previous process when the machine lost power, if the wall
+   * clock and the heartbeats of backend servers agree on how long ago its last note was written.
    *
    * <p>If all machines lose power, all idle tokens, which can be half of the remaining total, would
    * count as spent. Customers would then be refused for the rest of the day although most of their
@@ -388,18 +388,18 @@
 
   /** Counts the used tokens, first out of the part that other instances have given. */
   void settle(Reservation reservation, long used) {
-    long ofDrawn = Math.min(used, reservation.drawn());
-    long ofOwn = used - ofDrawn;
-    drawn += reservation.drawn() - ofDrawn;
+    long usedDrawn = Math.min(used, reservation.drawn());
+    long usedOwn = used - usedDrawn;
+    drawn += reservation.drawn() - usedDrawn;
     reserved -= reservation.ownTokens();
-    spent += ofOwn;
-    idle += reservation.ownTokens() - ofOwn;
+    spent += usedOwn;
+    idle += reservation.ownTokens() - usedOwn;
   }
 
   /**
    * Moves unused tokens that other instances gave into this instance's account: they become idle
-   * own tokens, and as many own tokens fewer count as spent. The sum in the next note stays the
-   * same.
+   * own tokens, and the number of spent tokens decreases by as many. The sum in the next note stays
+   * the same.
    *
    * <p>Tokens that are in no note are lost when this process ends. Without this exchange, each
    * network partition would cost the customer the tokens that were given to other instances and not
@@ -453,9 +453,10 @@
     boolean urgent = claim > 0 || awaitsRelease(total, now);
     boolean scarce = unmetElsewhere(remaining) > 0;
     long surplus = surplus(remaining);
-    boolean low = remaining > 0 && idle < target * REFILL_THRESHOLD && !scarce;
+    boolean belowRefillThreshold = remaining > 0 && idle < target * REFILL_THRESHOLD && !scarce;
     boolean published = shortfall() > 0 == shortfallPublished && absorbableDrawn() == 0;
-    boolean optional = noteDue || low || surplus > 0 || !published || noteOutdated(now);
+    boolean optional =
+        noteDue || belowRefillThreshold || surplus > 0 || !published || noteOutdated(now);
     if (!urgent && !(refill && optional)) {
       return Optional.empty();
     }
@@ -475,8 +476,8 @@
    */
   Optional<SharedNote> renewal(
       String instance, long total, ClockReading reading, long heartbeats, Instant now) {
-    boolean fresh = !now.isAfter(releaseLimit.pending().composedAt().plus(MAX_USED_NOTE_AGE));
-    return idle == 0 || fresh
+    boolean recentNote = !now.isAfter(releaseLimit.pending().composedAt().plus(MAX_USED_NOTE_AGE));
+    return idle == 0 || recentNote
         ? Optional.empty()
         : Optional.of(compose(instance, total, reading, heartbeats, now));
   }
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/PrepaidAccounts.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/PrepaidAccounts.java
@@ -391,7 +391,7 @@
           onOwnNote(account(accountNote.customer()), accountNote);
       case SharedNote.Account accountNote ->
           account(accountNote.customer()).peerAccounts().update(accountNote);
-      // For other instances nothing was missed: what the note before this one said is still valid.
+      // No note of another instance was missed: the content of its previous note is still valid.
       case SharedNote.UnreadableAccount unreadable when own ->
           account(unreadable.customer()).renewNote();
       default -> {}
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/ReleaseLimit.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/ReleaseLimit.java
@@ -14,12 +14,12 @@
  * get more than its total. Therefore both notes limit the use.
  */
 final class ReleaseLimit {
-  /** What the newest note says that is known to be on the log. */
+  /** The content of the newest note that is known to be on the log. */
   private PublishedRelease confirmed = PublishedRelease.NONE;
 
   private long takenSinceConfirmed;
 
-  /** What the note says that is being written; that note may be on the log already. */
+  /** The content of the note that is being written; that note may already be on the log. */
   private PublishedRelease pending = PublishedRelease.NONE;
 
   private long takenSincePending;
@@ -62,7 +62,7 @@
     takenSincePending += tokens;
   }
 
-  /** Records what the note says that is about to be written. */
+  /** Records the content of the note that is about to be written. */
   void recordPending(PublishedRelease release) {
     pending = release;
     takenSincePending = 0;
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/TokenRequests.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/account/TokenRequests.java
@@ -49,7 +49,7 @@
   private final PrepaidAccounts accounts;
   private final TokenHolders holders;
   private final HolderPort port;
-  private final BooleanSupplier peersHeard;
+  private final BooleanSupplier hasRecentPeerMessages;
   private final EventSink events;
   private final InstantSource clock;
   private final Set<PendingRequest> pending = new HashSet<>();
@@ -60,19 +60,19 @@
    * Creates an instance that uses {@code accounts} for customers of whose total this instance holds
    * a part.
    *
-   * @param peersHeard whether a message of any other instance has arrived recently
+   * @param hasRecentPeerMessages whether a message of any other instance has arrived recently
    */
   public TokenRequests(
       PrepaidAccounts accounts,
       TokenHolders holders,
       HolderPort port,
-      BooleanSupplier peersHeard,
+      BooleanSupplier hasRecentPeerMessages,
       EventSink events,
       InstantSource clock) {
     this.accounts = accounts;
     this.holders = holders;
     this.port = port;
-    this.peersHeard = peersHeard;
+    this.hasRecentPeerMessages = hasRecentPeerMessages;
     this.events = events;
     this.clock = clock;
   }
@@ -90,7 +90,7 @@
       PendingRequest request =
           new PendingRequest(customer, tokens, callerTimeout, deadline, listener);
       pending.add(request);
-      request.askNext();
+      request.requestFromNext();
     }
   }
 
@@ -124,15 +124,15 @@
   }
 
   /**
-   * Returns tokens to holders that they gave and no request has used.
+   * Returns to the holders the tokens that they gave and that no request has used.
    *
    * <p>Some instances may reach the shared log and their callers but no other instance. Each
-   * request would then find out anew that no holder answers, and wait until the log has been
+   * request would then find out again that no holder answers, and wait until the log has been
    * loaded. Therefore the log is read as soon as no messages of other instances arrive any more.
    */
   public void tick() {
     Instant now = clock.instant();
-    accounts.requireLog(!peersHeard.getAsBoolean());
+    accounts.requireLog(!hasRecentPeerMessages.getAsBoolean());
     if (now.isBefore(nextReturn)) {
       return;
     }
@@ -176,7 +176,7 @@
       this.deadline = deadline;
       this.listener = listener;
       this.remainingHolders =
-          peersHeard.getAsBoolean()
+          hasRecentPeerMessages.getAsBoolean()
               ? holders.otherHolders(customer).stream()
                   .filter(TokenRequests.this::reachable)
                   .limit(MAX_HOLDERS_ASKED)
@@ -184,20 +184,20 @@
               : Collections.emptyIterator();
     }
 
-    boolean isFor(String wanted) {
-      return customer.equals(wanted);
+    boolean isFor(String otherCustomer) {
+      return customer.equals(otherCustomer);
     }
 
-    void askNext() {
+    void requestFromNext() {
       if (remainingHolders.hasNext() && clock.instant().isBefore(callerTimeout)) {
-        ask(remainingHolders.next());
+        requestFrom(remainingHolders.next());
       } else {
         pending.remove(this);
         accounts.reserve(customer, tokens, callerTimeout, deadline, listener);
       }
     }
 
-    private void ask(String holder) {
+    private void requestFrom(String holder) {
       Instant now = clock.instant();
       long missing = tokens - Math.min(accounts.drawn(customer), tokens - 1);
       Duration maxWait = shorter(MAX_WAIT, Duration.between(now, callerTimeout));
@@ -206,14 +206,14 @@
       port.request(holder, request, answer -> onAnswer(holder, missing, answer));
     }
 
-    private void onAnswer(String holder, long asked, HolderPort.Answer answer) {
+    private void onAnswer(String holder, long requestedTokens, HolderPort.Answer answer) {
       switch (answer) {
-        case HolderPort.Answer.Granted granted -> onGranted(holder, asked);
+        case HolderPort.Answer.Granted granted -> onGranted(holder, requestedTokens);
         case HolderPort.Answer.Refused refused -> onRefused(refused.problem());
         case HolderPort.Answer.Unreachable unreachable -> {
           events.accept(new GatewayEvent.HolderUnreachable(customer, holder, unreachable.detail()));
           unreachableUntil.put(holder, clock.instant().plus(UNREACHABLE_SKIP_TIME));
-          continueUnlessCancelled(this::askNext);
+          continueUnlessCancelled(this::requestFromNext);
         }
       }
     }
@@ -229,7 +229,7 @@
             pending.remove(this);
             if (!accounts.reserveDrawn(customer, tokens, listener)) {
               pending.add(this);
-              ask(holder);
+              requestFrom(holder);
             }
           });
     }
@@ -241,7 +241,7 @@
       continueUnlessCancelled(
           () -> {
             if (otherHolderMayGrant && inTime) {
-              askNext();
+              requestFromNext();
             } else {
               pending.remove(this);
               listener.onRefused(problem);
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/event/EventLog.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/event/EventLog.java
@@ -32,8 +32,8 @@
   private static final int BUFFERED_LINES = 2048;
 
   /**
-   * The divisor of the sampling. One request in eight yields some two lines a second for the served
-   * requests of a busy instance.
+   * The divisor of the sampling. One request in eight produces about two lines a second for the
+   * served requests of a busy instance.
    */
   private static final int SAMPLING_DIVISOR = 8;
 
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/Attempt.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/Attempt.java
@@ -165,7 +165,7 @@
     if (isEventStream()) {
       flow.onStreamEnd(status, headers, eventSplitter.remainder());
     } else {
-      flow.onWholeAnswer(status, headers, body.toByteArray());
+      flow.onCompleteAnswer(status, headers, body.toByteArray());
     }
   }
 
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/RequestFlow.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/RequestFlow.java
@@ -350,7 +350,7 @@
     end(ANSWERED, status, "");
   }
 
-  void onWholeAnswer(int status, Map<String, String> headers, byte[] body) {
+  void onCompleteAnswer(int status, Map<String, String> headers, byte[] body) {
     if (stage == Stage.ENDED) {
       return;
     }
@@ -438,17 +438,18 @@
   /**
    * Handles an attempt that may have run.
    *
-   * <p>An attempt that ran out of time counts against its server only if the server was silent for
-   * longer than the route allows. If every attempt that ran out of time counted, a route whose
-   * timeout is shorter than its requests take would get healthy servers ejected for all routes.
+   * <p>An attempt that exceeded the deadline counts as a failure of its server only if the server
+   * was silent for longer than the route allows. If every attempt that exceeded the deadline
+   * counted, a route whose timeout is shorter than its requests take would get healthy servers
+   * ejected for all routes.
    */
   private void onMayHaveRun(Attempt failed, String detail) {
-    boolean outOfTime = !now().isBefore(deadline.minus(TIMER_TOLERANCE));
-    if (!outOfTime || isOverdue(failed)) {
+    boolean deadlinePassed = !now().isBefore(deadline.minus(TIMER_TOLERANCE));
+    if (!deadlinePassed || isOverdue(failed)) {
       dispatcher.selector().onFailed(failed.server());
       components.quarantine().onConnectionLost(fingerprint(), failed.server().incarnation());
     }
-    if (outOfTime) {
+    if (deadlinePassed) {
       fail(Problem.of(ErrorKind.DEADLINE_PASSED, detail));
     } else {
       resendIf(route.repeatable() && mayRetry(), ErrorKind.BACKEND_FAILED, detail);
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/ServerSelector.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/flow/ServerSelector.java
@@ -126,14 +126,14 @@
    * Chooses a server of {@code service}.
    *
    * @param prompt the prompt; empty for a service without prompts
-   * @param aim the time within which the answer should begin
+   * @param targetTime the time within which the answer should begin
    * @param tried the incarnations that failed this request before; a server that has restarted
    *     since may be chosen again
    */
   Optional<Selection> select(
       String service,
       Optional<PromptDescription> prompt,
-      Duration aim,
+      Duration targetTime,
       Set<ServerIncarnation> tried,
       Instant now) {
     refreshFromList(now);
@@ -152,7 +152,7 @@
             .map(server -> candidate(server, loads.at(server.id()), prompt))
             .toList();
     String prefix = prompt.map(PromptDescription::lastSharedPartId).orElse("");
-    return PromptPlacement.choose(views, new PromptPlacement.Prompt(prefix, aim), random)
+    return PromptPlacement.choose(views, new PromptPlacement.Prompt(prefix, targetTime), random)
         .flatMap(servers::find)
         .map(
             server ->
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/metrics/FleetTrafficMeter.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/metrics/FleetTrafficMeter.java
@@ -73,7 +73,7 @@
    * @param stall the delay of the tick
    */
   public void tick(Duration stall) {
-    longestStall = longerOf(longestStall, stall);
+    longestStall = longer(longestStall, stall);
     Instant now = clock.instant();
     if (now.isBefore(periodEnd)) {
       return;
@@ -114,7 +114,7 @@
     appends++;
     notesWritten += notes;
     totalAppendTime = totalAppendTime.plus(took);
-    slowestAppend = longerOf(slowestAppend, took);
+    slowestAppend = longer(slowestAppend, took);
   }
 
   private void onRead(SharedLog.ReadOutcome outcome) {
@@ -124,7 +124,7 @@
     }
   }
 
-  private static Duration longerOf(Duration one, Duration other) {
+  private static Duration longer(Duration one, Duration other) {
     return one.compareTo(other) >= 0 ? one : other;
   }
 
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/LoadExchange.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/peer/LoadExchange.java
@@ -129,7 +129,7 @@
    * from. A collector receives messages from the other collectors, any other instance from its
    * collector, both at least every half second.
    */
-  public boolean peersHeard() {
+  public boolean hasRecentPeerMessages() {
     Instant last = lastReceivedAt;
     return collectors.otherCollectors().isEmpty()
         || last == null
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/plan/CurrentPlan.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/plan/CurrentPlan.java
@@ -8,7 +8,7 @@
  * Holds the current plan, which never returns to a lower version.
  *
  * <p>Plans arrive over several channels, and a slow one may deliver an older version after a newer
- * one. Without the check a caller could find a route or a key gone that it has just used.
+ * one. Without the check, a route or a key that a caller has just used could be missing again.
  */
 public final class CurrentPlan {
   private final EventSink events;
--- a/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/server/ServerDirectory.java
+++ b/teaseldeal-gateway/src/main/java/org/teaseldeal/gateway/server/ServerDirectory.java
@@ -138,7 +138,7 @@
    *
    * <p>While the list can't be written, servers can't renew their listings, so all listings expire.
    * Without the grace period the list would be empty for some seconds after the outage, and every
-   * request would be refused although all servers are healthy. A server that is really gone fails
+   * request would be refused although all servers are healthy. A server that is really down fails
    * fast, and one that left continues to serve for as long as the grace period, so keeping them
    * costs a second attempt at most.
    */
--- a/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/account/TokenRequestsTests.java
+++ b/teaseldeal-gateway/src/test/java/org/teaseldeal/gateway/account/TokenRequestsTests.java
@@ -38,7 +38,7 @@
 
   private record Returned(String holder, long tokens) {}
 
-  private boolean peersHeard = true;
+  private boolean hasRecentPeerMessages = true;
   private final ManualClock clock = new ManualClock();
   private final List<SentRequest> sentRequests = new ArrayList<>();
   private final List<Returned> returned = new ArrayList<>();
@@ -56,7 +56,8 @@
           () -> new ClockReading(0, 0),
           Optional::empty);
   private final TokenRequests requests =
-      new TokenRequests(accounts, holders, new Port(), () -> peersHeard, event -> {}, clock);
+      new TokenRequests(
+          accounts, holders, new Port(), () -> hasRecentPeerMessages, event -> {}, clock);
   private final ReservationListener listener = new Listener();
 
   @Test
@@ -100,7 +101,7 @@
    */
   @Test
   void asksNoHolderIfNoPeerIsHeard() {
-    peersHeard = false;
+    hasRecentPeerMessages = false;
     requests.tick();
     assertTrue(accounts.needsLog(), "expected the log to be read before a request arrives");
     request();
--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelInstance.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelInstance.java
@@ -233,7 +233,7 @@
   }
 
   private boolean peersReachable() {
-    return !fleet.isEnabled(Mechanism.ISOLATION) || loadExchange.peersHeard();
+    return !fleet.isEnabled(Mechanism.ISOLATION) || loadExchange.hasRecentPeerMessages();
   }
 
   private void onEvent(GatewayEvent event) {
