--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/part/InstancePolicies.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/part/InstancePolicies.java
@@ -15,7 +15,7 @@
    * Two failed servers are enough evidence that the request causes the failures. Callers usually
    * repeat a failed request, and without a quarantine it would take down a third server.
    */
-  private static final int GONE_SERVERS_BEFORE_QUARANTINE = 2;
+  private static final int DOWN_SERVERS_BEFORE_QUARANTINE = 2;
 
   private SettingsValidator validator = SettingsValidator.STANDARD;
   private PlacementPolicy placementPolicy = PlacementPolicy.TWO_CHOICES;
@@ -28,7 +28,7 @@
   private AbandonedRunRule abandonedRunRule = AbandonedRunRule.KEEP_RESERVED;
   private RerunRule rerunRule = RerunRule.IDEMPOTENT_ONLY;
   private Predicate<SuspectRow> quarantineRule =
-      suspect -> suspect.goneServers.size() >= GONE_SERVERS_BEFORE_QUARANTINE;
+      suspect -> suspect.downServers.size() >= DOWN_SERVERS_BEFORE_QUARANTINE;
   private OrderAuthority orderAuthority = OrderAuthority.HOLDER_IN_CONTACT;
   private EngineRecheckRule engineRecheckRule = EngineRecheckRule.ALWAYS;
 
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/part/LeavingServerRule.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/part/LeavingServerRule.java
@@ -7,8 +7,8 @@
 @FunctionalInterface
 public interface LeavingServerRule {
   /**
-   * Keeps every leaving server for good. The platform's list lags, and a stale copy of it would
-   * otherwise give a server new work just before it shuts down.
+   * Treats every leaving server as leaving permanently. The platform's list lags, and a stale copy
+   * of it would otherwise make the server eligible for new work shortly before it shuts down.
    */
   LeavingServerRule KEEP_FOREVER = (known, listed) -> {};
 
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/AttemptSystem.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/AttemptSystem.java
@@ -174,7 +174,7 @@
     AttemptRow attempt = context.tables.attempts.get(event.attempt());
     if (event.failure() == AttemptFailure.NOT_SENT && attempt != null) {
       attempt.server.unreachableUntil = context.now().plus(UNREACHABLE_DURATION);
-      quarantine.onServerGone(attempt.server.id);
+      quarantine.onServerDown(attempt.server.id);
     }
     if (attempt == null) {
       context.count(Counter.DROPPED_ATTEMPT_EVENTS);
@@ -200,7 +200,7 @@
       case LOST_BEFORE_ANSWER, LOST_MID_ANSWER -> onConnectionLost(attempt, event.detail());
       case SERVER_ERROR -> recovery.onServerError(attempt, event.detail());
       case RESUME_UNKNOWN -> {
-        quarantine.onServerGone(attempt.server.id);
+        quarantine.onServerDown(attempt.server.id);
         recovery.abandon(attempt, event.detail());
       }
     }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/BackupSystem.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/BackupSystem.java
@@ -66,7 +66,7 @@
 
   private boolean isPending(ChargeRow row) {
     return context.tables.charges.containsKey(row.number)
-        || context.tables.handedOverBackups.containsKey(row.number);
+        || context.tables.reofferedBackups.containsKey(row.number);
   }
 
   private void repeatOffers() {
@@ -110,7 +110,7 @@
    * <p>An instance that stops loses the charges it stores. If their origin stopped as well, no
    * instance could append them, although the callers have their answers.
    */
-  void handOver() {
+  void reofferAll() {
     for (ChargeRow row : context.tables.charges.values()) {
       row.heldByPeer = false;
       row.offerCount = 0;
@@ -120,7 +120,7 @@
     for (BackupRow backup : context.tables.backups) {
       ChargeRow row =
           new ChargeRow(context.nextCharge(), backup.id, backup.entry, null, context.now());
-      context.tables.handedOverBackups.put(row.number, row);
+      context.tables.reofferedBackups.put(row.number, row);
       context.tables.unofferedCharges.put(row.number, row);
     }
   }
@@ -131,7 +131,7 @@
       for (ChargeRow row : rows) {
         row.heldByPeer = true;
         context.tables.unacknowledgedCharges.remove(row.number);
-        context.tables.handedOverBackups.remove(row.number);
+        context.tables.reofferedBackups.remove(row.number);
         settlement.onChargeSafe(row);
       }
     }
@@ -167,7 +167,7 @@
       if (ledger.state(team).charged(row.id)) {
         rows.remove();
         context.tables.backupsById.remove(row.id);
-      } else if (!row.appended && originGone(team, row.id.origin())) {
+      } else if (!row.appended && isOriginUnavailable(team, row.id.origin())) {
         row.appended = true;
         context.count(Counter.BACKUPS_APPENDED);
         ledger.submit(team, row.entry);
@@ -175,7 +175,7 @@
     }
   }
 
-  private boolean originGone(TeamId team, IncarnationId origin) {
+  private boolean isOriginUnavailable(TeamId team, IncarnationId origin) {
     return peers.isSilent(origin) || ledger.hasEnded(team, origin);
   }
 
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/DrainSystem.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/DrainSystem.java
@@ -28,7 +28,7 @@
   private final LedgerSystem ledger;
   private final BudgetSystem budgets;
   private final BackupSystem backups;
-  private boolean backupsHandedOver;
+  private boolean backupsReoffered;
   private Phase phase = Phase.WORKING;
   private @Nullable Instant idleSince;
 
@@ -53,10 +53,10 @@
     if (idleSince == null) {
       idleSince = context.now();
     }
-    if (!backupsHandedOver
+    if (!backupsReoffered
         && (ledger.retired() || !context.now().isBefore(idleSince.plus(IDLE_GRACE_PERIOD)))) {
-      backupsHandedOver = true;
-      backups.handOver();
+      backupsReoffered = true;
+      backups.reofferAll();
       return;
     }
     if (retiredWithChargesHeld() || logWaitExpired(idleSince)) {
@@ -79,7 +79,7 @@
   }
 
   private boolean allChargesHeldByPeers() {
-    return context.tables.handedOverBackups.isEmpty()
+    return context.tables.reofferedBackups.isEmpty()
         && context.tables.charges.values().stream().allMatch(row -> row.heldByPeer);
   }
 
@@ -92,9 +92,9 @@
   }
 
   private void returnLeases() {
-    boolean backupsLeft = !context.tables.backups.isEmpty() && !backupsHandedOver;
+    boolean backupsLeft = !context.tables.backups.isEmpty() && !backupsReoffered;
     if (!context.tables.charges.isEmpty()
-        || !context.tables.handedOverBackups.isEmpty()
+        || !context.tables.reofferedBackups.isEmpty()
         || backupsLeft
         || transfersMayStillCome()) {
       return;
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/Dumps.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/Dumps.java
@@ -172,7 +172,7 @@
             row ->
                 new InstanceDump.Suspect(
                     row.fingerprint,
-                    row.goneServers.stream().map(id -> id.name()).toList(),
+                    row.downServers.stream().map(id -> id.name()).toList(),
                     row.expiresAt))
         .toList();
   }
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/MembershipSystem.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/MembershipSystem.java
@@ -25,10 +25,10 @@
 /**
  * Maintains the tables of backend servers and peers, and sends heartbeats to peers.
  *
- * <p>A server that is leaving counts as leaving for good. The platform's list lags, and a stale
- * copy of it would otherwise bring the server back. Peers relay what they learn about leaving
- * servers, so that no new work is sent to such a server after a few seconds, even where the list is
- * late.
+ * <p>A server that is leaving counts as leaving permanently. The platform's list lags, and a stale
+ * copy of it would otherwise make the server eligible again. Peers relay what they learn about
+ * leaving servers, so that no new work is sent to such a server after a few seconds, even where the
+ * list is late.
  */
 final class MembershipSystem {
   private static final Duration PEER_RETENTION = Duration.ofHours(1);
@@ -62,7 +62,7 @@
     }
     tables.servers.values().stream()
         .filter(server -> !server.listed)
-        .forEach(server -> quarantine.onServerGone(server.id));
+        .forEach(server -> quarantine.onServerDown(server.id));
     tables.servers.values().removeIf(server -> !server.listed && server.outstandingHere == 0);
     tables.listedInstances.clear();
     list.instances().stream()
@@ -147,7 +147,7 @@
   }
 
   /**
-   * Sums up the requests that peers have in flight at each server. A peer that has gone silent no
+   * Sums up the requests that peers have in flight at each server. A peer that has become silent no
    * longer counts, because its requests end with it.
    */
   private void updateOutstandingAtPeers() {
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/OrderSystem.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/OrderSystem.java
@@ -54,8 +54,8 @@
   private static final Duration ORDER_ANSWER_TIMEOUT = Duration.ofSeconds(6);
 
   /**
-   * How long a term holder must seem gone before the first instance in the succession order takes
-   * over. Each further instance waits this long once more.
+   * How long a term holder must seem unavailable before the first instance in the succession order
+   * takes over. Each further instance waits this long once more.
    */
   private static final Duration SUCCESSION_GRACE = Duration.ofSeconds(2);
 
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/QuarantineSystem.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/QuarantineSystem.java
@@ -14,8 +14,8 @@
 /**
  * Refuses requests that crash the servers on which they run.
  *
- * <p>A lost connection alone says little and counts only once the server is found to be gone. Two
- * servers that are gone after the same request was in flight on them are enough evidence. The
+ * <p>A lost connection alone is weak evidence and counts only once the server is found to be down.
+ * Two servers that went down while the same request was in flight on them are enough evidence. The
  * caller usually repeats the request, and without a quarantine a third server would crash too.
  * Peers are notified of each such server, since the caller's next try may reach another instance.
  */
@@ -39,9 +39,9 @@
   }
 
   /** Handles a server that could not be reached or is no longer listed. */
-  void onServerGone(BackendServerId server) {
+  void onServerDown(BackendServerId server) {
     for (SuspectRow row : context.tables.suspects.values()) {
-      if (row.connectionLostOn.remove(server) && row.goneServers.add(server)) {
+      if (row.connectionLostOn.remove(server) && row.downServers.add(server)) {
         row.expiresAt = context.now().plus(context.limits().quarantineDuration());
         notifyPeers(row);
         countIfQuarantined(row);
@@ -58,7 +58,7 @@
     for (String server : report.getServers()) {
       BackendServerId id = new BackendServerId(server);
       row.connectionLostOn.remove(id);
-      added |= row.goneServers.add(id);
+      added |= row.downServers.add(id);
     }
     if (added) {
       countIfQuarantined(row);
@@ -84,7 +84,7 @@
   }
 
   private void notifyPeers(SuspectRow row) {
-    List<String> servers = row.goneServers.stream().map(BackendServerId::name).toList();
+    List<String> servers = row.downServers.stream().map(BackendServerId::name).toList();
     Quarantine report =
         new Quarantine(row.fingerprint, servers.size(), row.expiresAt.toEpochMilli(), servers);
     for (PeerRow peer : context.tables.peers.values()) {
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/system/TransferSystem.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/system/TransferSystem.java
@@ -27,8 +27,8 @@
  * Moves idle tokens between instances, each transfer at most once.
  *
  * <p>The donor debits the tokens before it replies, and repeats the same reply until it is
- * acknowledged. The receiver credits each transfer number once. A reply that a network partition
- * swallows leaves its tokens unused, but never duplicates them.
+ * acknowledged. The receiver credits each transfer number once. If a reply is lost in a network
+ * partition, its tokens remain unused, but they are never duplicated.
  */
 final class TransferSystem {
   private static final Duration RETRY_INTERVAL = Duration.ofMillis(500);
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/table/OrderPoolRow.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/table/OrderPoolRow.java
@@ -11,7 +11,7 @@
   public final String name;
   public DesiredEngineState desired;
 
-  /** Time since which the term holder has continuously seemed to be gone, or null. */
+  /** Time since which the term holder has continuously seemed unavailable, or null. */
   public @Nullable Instant holderUnavailableSince;
 
   /**
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/table/SuspectRow.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/table/SuspectRow.java
@@ -11,12 +11,12 @@
 
   /**
    * Servers to which the connection was lost while they ran the request, and which have not been
-   * found to be gone.
+   * found to be down.
    */
   public final Set<BackendServerId> connectionLostOn = new TreeSet<>();
 
-  /** Servers that ran the request and are gone. */
-  public final Set<BackendServerId> goneServers = new TreeSet<>();
+  /** Servers that ran the request and are down. */
+  public final Set<BackendServerId> downServers = new TreeSet<>();
 
   public Instant expiresAt;
 
--- a/teaseldeal-core/src/main/java/org/teaseldeal/core/table/Tables.java
+++ b/teaseldeal-core/src/main/java/org/teaseldeal/core/table/Tables.java
@@ -69,7 +69,7 @@
    * Charges of peers that this instance passes on to other peers before it stops. They are numbered
    * like its own.
    */
-  public final TreeMap<Long, ChargeRow> handedOverBackups = new TreeMap<>();
+  public final TreeMap<Long, ChargeRow> reofferedBackups = new TreeMap<>();
 
   public final TreeMap<String, SuspectRow> suspects = new TreeMap<>();
 
