--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/ExperimentCommand.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/ExperimentCommand.java
@@ -43,8 +43,8 @@
       for (int size : sizes) {
         List<Double> base = relativeWorths(scenario, size, EnumSet.noneOf(Mechanism.class), err);
         for (Mechanism mechanism : without) {
-          List<Double> off = relativeWorths(scenario, size, EnumSet.of(mechanism), err);
-          PairedDifference difference = PairedDifference.of(base, off);
+          List<Double> disabled = relativeWorths(scenario, size, EnumSet.of(mechanism), err);
+          PairedDifference difference = PairedDifference.of(base, disabled);
           out.printf(
               "%-22s %5d %-8s %7.4f %7.4f %+10.4f %8.4f%n",
               scenario.name(),
@@ -61,12 +61,13 @@
   }
 
   private List<Double> relativeWorths(
-      Scenario scenario, int size, EnumSet<Mechanism> off, PrintStream progress) {
+      Scenario scenario, int size, EnumSet<Mechanism> disabled, PrintStream progress) {
     List<Double> results = new ArrayList<>();
     for (int seed = 1; seed <= seeds; seed++) {
-      SimulationResult result = ModelFleet.simulate(scenario, size, seed, off);
+      SimulationResult result = ModelFleet.simulate(scenario, size, seed, disabled);
       results.add(result.relativeWorth());
-      progress.printf("%s, %d instances, seed %d, without %s%n", scenario.name(), size, seed, off);
+      progress.printf(
+          "%s, %d instances, seed %d, without %s%n", scenario.name(), size, seed, disabled);
       result.violations().forEach(violation -> progress.println("BROKEN: " + violation));
       allInvariantsHeld &= result.violations().isEmpty();
     }
--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/FaultInjector.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/FaultInjector.java
@@ -76,7 +76,7 @@
       }
       case CONFIGURATIONS -> {
         for (int i = 0; i < fault.factor(); i++) {
-          fleet.time().schedule(fault.gap().multipliedBy(i), fleet::publishConfiguration);
+          fleet.time().schedule(fault.gap().multipliedBy(i), fleet::publishPlan);
         }
       }
       case HOLDER_LOST -> {
@@ -93,11 +93,11 @@
   }
 
   private List<String> randomSubset(List<String> all, double share) {
-    List<String> left = new ArrayList<>(all);
+    List<String> remaining = new ArrayList<>(all);
     List<String> chosen = new ArrayList<>();
     long count = Math.round(all.size() * share);
     while (chosen.size() < count) {
-      chosen.add(left.remove(random.nextInt(left.size())));
+      chosen.add(remaining.remove(random.nextInt(remaining.size())));
     }
     return chosen;
   }
--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelCaller.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelCaller.java
@@ -45,17 +45,17 @@
 
   private void reachInstance() {
     Optional<ModelInstance> instance = fleet.randomReadyInstance();
-    Duration left = request.kind().deadline().minusNanos(time.elapsedNanos() - sentAtNanos);
-    if (instance.isEmpty() || left.isNegative() || left.isZero()) {
+    Duration timeLeft = request.kind().deadline().minusNanos(time.elapsedNanos() - sentAtNanos);
+    if (instance.isEmpty() || timeLeft.isNegative() || timeLeft.isZero()) {
       retryOrComplete(DEFAULT_RETRY_DELAY, Outcome.FAILED);
       return;
     }
     Attempt attempt = new Attempt();
     String id = request.number() + "-" + attempts;
-    ModelExchange exchange = new ModelExchange(id, request, left, attempt);
+    ModelExchange exchange = new ModelExchange(id, request, timeLeft, attempt);
     fleet.registerAttempt(id, request);
     time.schedule(
-        left,
+        timeLeft,
         () -> {
           if (!completed) {
             exchange.closeByCaller();
@@ -65,13 +65,13 @@
     instance.get().accept(exchange);
   }
 
-  private void retryOrComplete(Duration pause, Outcome otherwise) {
+  private void retryOrComplete(Duration delay, Outcome finalOutcome) {
     boolean inTime =
-        time.elapsedNanos() - sentAtNanos + pause.toNanos() < request.kind().deadline().toNanos();
+        time.elapsedNanos() - sentAtNanos + delay.toNanos() < request.kind().deadline().toNanos();
     if (attempts < 2 && inTime) {
-      time.schedule(pause, this::send);
+      time.schedule(delay, this::send);
     } else {
-      complete(otherwise);
+      complete(finalOutcome);
     }
   }
 
@@ -90,7 +90,7 @@
     @Override
     public void onResponse(int status, Map<String, String> headers) {
       if (status == OK) {
-        onPart();
+        onBodyPart();
         onEnd();
       } else if (status == NOT_FOUND || !headers.containsKey(ModelDialect.RETRY_AFTER_HEADER)) {
         Outcome outcome = status >= FIRST_SERVER_ERROR ? Outcome.FAILED : Outcome.REFUSED;
@@ -102,7 +102,7 @@
     }
 
     @Override
-    public void onPart() {
+    public void onBodyPart() {
       long now = time.elapsedNanos();
       if (firstPartAtNanos < 0) {
         firstPartAtNanos = now;
--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelDialect.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelDialect.java
@@ -64,14 +64,14 @@
   }
 
   @Override
-  public HttpCallRequest forward(CallerRequest request, ForwardingTerms handover) {
+  public HttpCallRequest forward(CallerRequest request, ForwardingTerms terms) {
     return new HttpCallRequest(
-        handover.address(),
+        terms.address(),
         request.method(),
         request.target(),
         Map.of(ATTEMPT_ID_HEADER, request.id()),
         request.body(),
-        handover.timeLeft());
+        terms.timeLeft());
   }
 
   @Override
--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelEngine.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelEngine.java
@@ -86,14 +86,14 @@
     waiting.clear();
     stepping = false;
     lost.forEach(this::recordUsage);
-    lost.forEach(each -> each.listener.onCrash());
+    lost.forEach(entry -> entry.listener.onCrash());
   }
 
   private void startStep() {
     if (stepping || down) {
       return;
     }
-    while (running.size() < settings.places() && !waiting.isEmpty()) {
+    while (running.size() < settings.maxConcurrentRequests() && !waiting.isEmpty()) {
       ActiveRequest next = waiting.remove();
       next.promptTokensLeft = uncachedTokens(next.request);
       running.add(next);
@@ -104,21 +104,21 @@
     stepping = true;
     long budget = settings.chunk();
     long read = 0;
-    for (ActiveRequest each : running) {
-      long part = Math.min(each.promptTokensLeft, budget);
-      each.promptTokensLeft -= part;
+    for (ActiveRequest entry : running) {
+      long part = Math.min(entry.promptTokensLeft, budget);
+      entry.promptTokensLeft -= part;
       budget -= part;
       read += part;
     }
     double nanos =
         settings.step().toNanos()
-            + (double) settings.stepPerPlace().toNanos() * running.size()
+            + (double) settings.stepPerRequest().toNanos() * running.size()
             + read / settings.promptTokensPerMilli() * 1e6;
-    long startedIn = incarnation;
+    long incarnationAtStart = incarnation;
     time.scheduleNanos(
         Math.round(nanos),
         () -> {
-          if (startedIn == incarnation) {
+          if (incarnationAtStart == incarnation) {
             endStep();
           }
         });
@@ -126,39 +126,39 @@
 
   private void endStep() {
     stepping = false;
-    for (ActiveRequest each : List.copyOf(running)) {
-      if (each.promptTokensLeft == 0 && running.contains(each)) {
-        generateToken(each);
+    for (ActiveRequest entry : List.copyOf(running)) {
+      if (entry.promptTokensLeft == 0 && running.contains(entry)) {
+        generateToken(entry);
       }
     }
     startStep();
   }
 
-  private void generateToken(ActiveRequest each) {
-    each.generatedTokens++;
-    boolean last = each.generatedTokens >= each.request.outputTokens();
-    if (last || each.generatedTokens % settings.tokensPerEvent() == 0) {
-      each.listener.onPart();
+  private void generateToken(ActiveRequest entry) {
+    entry.generatedTokens++;
+    boolean last = entry.generatedTokens >= entry.request.outputTokens();
+    if (last || entry.generatedTokens % settings.tokensPerEvent() == 0) {
+      entry.listener.onBodyPart();
     }
-    if (last && running.remove(each)) {
-      recordUsage(each);
-      each.listener.onEnd();
+    if (last && running.remove(entry)) {
+      recordUsage(entry);
+      entry.listener.onEnd();
     }
   }
 
-  private void recordUsage(ActiveRequest ended) {
-    if (!ended.usageRecorded) {
-      ended.usageRecorded = true;
-      boolean read = ended.promptTokensLeft == 0 && ended.generatedTokens > 0;
+  private void recordUsage(ActiveRequest entry) {
+    if (!entry.usageRecorded) {
+      entry.usageRecorded = true;
+      boolean read = entry.promptTokensLeft == 0 && entry.generatedTokens > 0;
       meter.usedTokens(
-          ended.request.customer(),
-          (read ? ended.request.inputTokens() : 0) + ended.generatedTokens);
+          entry.request.customer(),
+          (read ? entry.request.inputTokens() : 0) + entry.generatedTokens);
     }
   }
 
   /**
-   * Returns the number of prompt tokens that have to be read: all from the first shared part on
-   * that isn't cached, and at least one. Also caches the request's shared parts.
+   * Returns the number of prompt tokens that have to be read: those from the first shared part that
+   * is not cached to the end, and at least one. Also caches the request's shared parts.
    */
   private long uncachedTokens(ModelRequest request) {
     long tokens = request.inputTokens();
--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelExchange.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelExchange.java
@@ -13,7 +13,7 @@
   interface ResponseListener {
     void onResponse(int status, Map<String, String> headers);
 
-    void onPart();
+    void onBodyPart();
 
     void onEnd();
 
@@ -25,7 +25,7 @@
   private final ModelRequest request;
   private final Duration timeLeft;
   private final ResponseListener listener;
-  private Runnable onCallerGoneAction = () -> {};
+  private Runnable callerDisconnectAction = () -> {};
   private boolean responseStarted;
   private boolean ended;
 
@@ -58,7 +58,7 @@
   void closeByCaller() {
     if (!ended) {
       ended = true;
-      onCallerGoneAction.run();
+      callerDisconnectAction.run();
     }
   }
 
@@ -134,14 +134,14 @@
 
   @Override
   public void onCallerDisconnect(Runnable action) {
-    onCallerGoneAction = action;
+    callerDisconnectAction = action;
   }
 
   private final class Stream implements ResponseStream {
     @Override
     public void write(byte[] part) {
       if (!ended && part.length > 0) {
-        listener.onPart();
+        listener.onBodyPart();
       }
     }
 
--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelFleet.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelFleet.java
@@ -46,7 +46,7 @@
   /** Time until the instances' server lists show that a server went down or came up. */
   private static final Duration LISTING_DELAY = Duration.ofMillis(1_000);
 
-  private static final Duration MAX_CONFIGURATION_DELAY = Duration.ofMillis(200);
+  private static final Duration MAX_PLAN_DELAY = Duration.ofMillis(200);
 
   private final Scenario scenario;
   private final long seed;
@@ -72,11 +72,11 @@
   private long lastEpoch;
   private long planVersion = 1;
 
-  private ModelFleet(Scenario scenario, long seed, Set<Mechanism> off) {
+  private ModelFleet(Scenario scenario, long seed, Set<Mechanism> disabled) {
     this.scenario = scenario;
     this.seed = seed;
     this.enabledMechanisms = EnumSet.allOf(Mechanism.class);
-    this.enabledMechanisms.removeAll(off);
+    this.enabledMechanisms.removeAll(disabled);
     this.random = new SplittableRandom(seed);
     this.network = new ModelNetwork(time, scenario.links(), random.split());
     this.log = new ModelLog(time, network, scenario.log());
@@ -87,12 +87,12 @@
   /**
    * Simulates {@code scenario} with {@code size} instances.
    *
-   * @param off mechanisms that are switched off
+   * @param disabled mechanisms that are switched off
    */
   public static SimulationResult simulate(
-      Scenario scenario, int size, long seed, Set<Mechanism> off) {
+      Scenario scenario, int size, long seed, Set<Mechanism> disabled) {
     Scenario scaled = size == scenario.instances() ? scenario : scenario.scaledTo(size);
-    return new ModelFleet(scaled, seed, off).simulate();
+    return new ModelFleet(scaled, seed, disabled).simulate();
   }
 
   private SimulationResult simulate() {
@@ -130,7 +130,7 @@
     steadyClockOffsetsNanos.putIfAbsent(name, 0L);
     ModelInstance instance = new ModelInstance(name, this, ++lastEpoch);
     instances.put(name, instance);
-    time.schedule(MAX_CONFIGURATION_DELAY, () -> instance.configure(plan()));
+    time.schedule(MAX_PLAN_DELAY, () -> instance.applyPlan(plan()));
     planOrders.remove(name);
   }
 
@@ -176,8 +176,10 @@
     return serverStarts.getOrDefault(server.name(), Instant.EPOCH);
   }
 
-  int places(boolean engine) {
-    return engine ? scenario.engines().places() : scenario.services().places();
+  int maxConcurrentRequests(boolean engine) {
+    return engine
+        ? scenario.engines().maxConcurrentRequests()
+        : scenario.services().maxConcurrentRequests();
   }
 
   /** Returns the names of all instances, in ascending order. */
@@ -257,8 +259,8 @@
   private void scheduleNextRequest() {
     load.nextInterarrivalTime()
         .ifPresent(
-            pause -> {
-              time.schedule(pause, this::scheduleNextRequest);
+            interarrivalTime -> {
+              time.schedule(interarrivalTime, this::scheduleNextRequest);
               new ModelCaller(this, load.nextRequest()).send();
             });
   }
@@ -384,13 +386,13 @@
     }
   }
 
-  /** Publishes a configuration with the next version, which each instance gets after a delay. */
-  void publishConfiguration() {
+  /** Publishes a plan with the next version, which each instance receives after a delay. */
+  void publishPlan() {
     planVersion++;
     GatewayPlan next = plan();
     for (ModelInstance instance : instances.values()) {
-      long delay = random.nextLong(MAX_CONFIGURATION_DELAY.toNanos());
-      time.scheduleNanos(delay, () -> instance.configure(next));
+      long delay = random.nextLong(MAX_PLAN_DELAY.toNanos());
+      time.scheduleNanos(delay, () -> instance.applyPlan(next));
     }
   }
 
--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelInstance.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelInstance.java
@@ -53,7 +53,7 @@
   private static final Duration SHUTDOWN_GRACE = Duration.ofSeconds(8);
   private static final int CALL_BYTES = 250;
   private static final int EVENT_BYTES = 60;
-  private static final RetryLimits LIMITS = new RetryLimits(0.2, 100, Duration.ofSeconds(10));
+  private static final RetryLimits RETRY_LIMITS = new RetryLimits(0.2, 100, Duration.ofSeconds(10));
 
   private final String name;
   private final ModelFleet fleet;
@@ -119,7 +119,7 @@
                 fleet.isEnabled(Mechanism.LOADS) ? loadExchange::peerLoads : () -> PeerLoads.NONE,
                 cachedPrompts,
                 () -> fleet.memberNames().size(),
-                LIMITS,
+                RETRY_LIMITS,
                 this::onEvent,
                 time,
                 new Random(fleet.nextSeed())));
@@ -141,8 +141,8 @@
     return alive && drain == null && plan != null && accountLog.ready();
   }
 
-  /** Puts a configuration in force unless its version is in force already or out of date. */
-  void configure(GatewayPlan next) {
+  /** Puts a plan in force, unless the plan in force has the same or a later version. */
+  void applyPlan(GatewayPlan next) {
     if (plan == null || plan.version() < next.version()) {
       plan = next;
     }
@@ -162,7 +162,7 @@
             engine ? ModelFleet.ENGINE_SERVICE : ModelFleet.PLAIN_SERVICE,
             server.name(),
             "",
-            fleet.places(engine),
+            fleet.maxConcurrentRequests(engine),
             false,
             Optional.of(fleet.startTimeOf(server))));
   }
@@ -173,7 +173,9 @@
     dispatcher.handle(exchange);
   }
 
-  /** Ends this process at once, as a loss of power does; open exchanges are broken off. */
+  /**
+   * Ends this process at once, as a loss of power does; the connections of open exchanges break.
+   */
   void kill() {
     alive = false;
     List<ModelExchange> lost = new ArrayList<>(openExchanges);
@@ -202,13 +204,13 @@
     }
     dispatcher.tick();
     openExchanges.removeIf(ModelExchange::ended);
-    stepDrain();
+    advanceDrain();
     if (alive) {
       time.schedule(TICK_INTERVAL, this::tick);
     }
   }
 
-  private void stepDrain() {
+  private void advanceDrain() {
     DrainPhases phases = drain;
     if (phases == null) {
       return;
@@ -267,18 +269,18 @@
   }
 
   /**
-   * Calls another instance and passes its answer to {@code answer}, or {@code otherwise} if none
+   * Calls another instance and passes its answer to {@code answer}, or {@code fallback} if none
    * arrives in time.
    *
    * @param maxWait the time that the other instance may take to answer
-   * @param asked runs at the other instance and passes its answer to the consumer given
+   * @param remoteCall runs at the other instance and passes its answer to the consumer given
    */
   private <T> void callPeer(
       String to,
       Duration maxWait,
-      T otherwise,
+      T fallback,
       Consumer<T> answer,
-      BiConsumer<ModelInstance, Consumer<T>> asked) {
+      BiConsumer<ModelInstance, Consumer<T>> remoteCall) {
     boolean[] completed = new boolean[1];
     Consumer<T> once =
         result -> {
@@ -291,7 +293,7 @@
         fleet.network().isConnected(name, to) && fleet.runningInstance(to).isPresent();
     time.schedule(
         reached ? maxWait.plus(CALL_OVERHEAD_TIMEOUT) : CONNECT_TIMEOUT,
-        () -> once.accept(otherwise));
+        () -> once.accept(fallback));
     fleet
         .network()
         .sendOnConnection(
@@ -303,7 +305,7 @@
                     .runningInstance(to)
                     .ifPresent(
                         other ->
-                            asked.accept(
+                            remoteCall.accept(
                                 other,
                                 result ->
                                     fleet
@@ -313,26 +315,26 @@
   }
 
   private void drawTokens(
-      String from, String customer, long wanted, Consumer<OptionalLong> answer) {
+      String from, String customer, long requestedTokens, Consumer<OptionalLong> answer) {
     callPeer(
         from,
         CALL_OVERHEAD_TIMEOUT,
         OptionalLong.empty(),
         answer,
         (other, reply) ->
-            reply.accept(OptionalLong.of(other.accounts.giveToPeer(customer, wanted))));
+            reply.accept(OptionalLong.of(other.accounts.giveToPeer(customer, requestedTokens))));
   }
 
   /** Calls token holders over the simulated network, as the gateway's peer calls do. */
   private final class RemoteHolders implements HolderPort {
     @Override
-    public void request(String holder, Request ask, Consumer<Answer> answer) {
+    public void request(String holder, Request request, Consumer<Answer> answer) {
       callPeer(
           holder,
-          ask.maxWait(),
+          request.maxWait(),
           new Answer.Unreachable("no answer"),
           answer,
-          (other, reply) -> other.reserveForPeer(ask, reply));
+          (other, reply) -> other.reserveForPeer(request, reply));
     }
 
     @Override
@@ -350,12 +352,12 @@
     }
   }
 
-  private void reserveForPeer(HolderPort.Request ask, Consumer<HolderPort.Answer> reply) {
-    if (!accounts.mayGiveTokens(ask.customer())) {
+  private void reserveForPeer(HolderPort.Request request, Consumer<HolderPort.Answer> reply) {
+    if (!accounts.mayGiveTokens(request.customer())) {
       reply.accept(new HolderPort.Answer.Unreachable("the holder doesn't reserve for peers"));
       return;
     }
-    holderService.answer(ask, reply);
+    holderService.answer(request, reply);
   }
 
   /** Sends a request to a backend server; the returned call cancels it. */
@@ -437,7 +439,7 @@
     }
 
     @Override
-    public void onPart() {
+    public void onBodyPart() {
       int part = ++partCount;
       deliver(
           () -> {
--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelLog.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelLog.java
@@ -80,7 +80,8 @@
         long epoch, long sequence, List<KeyedRecord> batch, Consumer<AppendOutcome> outcome) {
       Call<AppendOutcome> call =
           new Call<>(outcome, new AppendOutcome.Unknown("no answer within " + CALL_TIMEOUT));
-      int bytes = batch.stream().mapToInt(each -> each.key().length() + each.value().length).sum();
+      int bytes =
+          batch.stream().mapToInt(record -> record.key().length() + record.value().length).sum();
       network.sendOnConnection(
           instance,
           NODE,
@@ -129,7 +130,7 @@
   private static int payloadBytes(SharedLog.ReadOutcome outcome) {
     return outcome instanceof SharedLog.ReadOutcome.Records records
         ? records.records().stream()
-            .mapToInt(each -> each.record().key().length() + each.record().value().length)
+            .mapToInt(entry -> entry.record().key().length() + entry.record().value().length)
             .sum()
         : 0;
   }
@@ -139,9 +140,9 @@
     private final Consumer<T> outcome;
     private boolean ended;
 
-    Call(Consumer<T> outcome, T otherwise) {
+    Call(Consumer<T> outcome, T timeoutResult) {
       this.outcome = outcome;
-      time.schedule(CALL_TIMEOUT, () -> complete(otherwise));
+      time.schedule(CALL_TIMEOUT, () -> complete(timeoutResult));
     }
 
     void complete(T result) {
@@ -182,11 +183,11 @@
   }
 
   private SharedLog.ReadOutcome recordsFrom(long offset) {
-    boolean kept =
+    boolean retained =
         offset >= records.size()
             || records.get((int) offset).atNanos()
                 >= time.elapsedNanos() - settings.history().toNanos();
-    if (!kept) {
+    if (!retained) {
       return new SharedLog.ReadOutcome.Expired();
     }
     return new SharedLog.ReadOutcome.Records(
--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelNetwork.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelNetwork.java
@@ -42,8 +42,8 @@
   }
 
   /** Partitions an instance from its peers and the log, or connects it again. */
-  void setPartitioned(String instance, boolean apart) {
-    if (apart) {
+  void setPartitioned(String instance, boolean partition) {
+    if (partition) {
       partitioned.add(instance);
     } else {
       partitioned.remove(instance);
@@ -51,8 +51,8 @@
   }
 
   /** Isolates an instance from its peers but not from the log, or connects it again. */
-  void setIsolated(String instance, boolean apart) {
-    if (apart) {
+  void setIsolated(String instance, boolean isolate) {
+    if (isolate) {
       isolated.add(instance);
     } else {
       isolated.remove(instance);
@@ -62,8 +62,8 @@
   /** Returns whether messages pass between two nodes, each an instance or the log. */
   boolean isConnected(String from, String to) {
     boolean withLog = from.equals(ModelLog.NODE) || to.equals(ModelLog.NODE);
-    boolean apart = !withLog && (isolated.contains(from) || isolated.contains(to));
-    return !apart && !partitioned.contains(from) && !partitioned.contains(to);
+    boolean separated = !withLog && (isolated.contains(from) || isolated.contains(to));
+    return !separated && !partitioned.contains(from) && !partitioned.contains(to);
   }
 
   /** Returns an instance's traffic with its peers and the log; backend servers don't count. */
@@ -122,10 +122,11 @@
       return 0;
     }
     long now = time.elapsedNanos();
-    long takes = Math.round((bytes + PACKET_HEADER_BYTES) * 8 * 1_000 / links.rateMbit());
-    long done = Math.max(now, freeAt) + takes;
-    linkFreeAtNanos.put(node, done);
-    return done - now;
+    long transmissionNanos =
+        Math.round((bytes + PACKET_HEADER_BYTES) * 8 * 1_000 / links.rateMbit());
+    long freeAfter = Math.max(now, freeAt) + transmissionNanos;
+    linkFreeAtNanos.put(node, freeAfter);
+    return freeAfter - now;
   }
 
   /** Returns the network delay in one direction. */
--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelServer.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelServer.java
@@ -10,7 +10,7 @@
   /** Receives a request's answer for the instance that sent the request. */
   interface Listener {
     /** Called for an event of a stream, or for the whole answer of a plain request. */
-    void onPart();
+    void onBodyPart();
 
     void onEnd();
 
--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelService.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/ModelService.java
@@ -45,7 +45,7 @@
   @Override
   public HttpCall run(ModelRequest request, Listener listener) {
     ActiveRequest entry = new ActiveRequest(request, listener);
-    if (running.size() >= settings.places() && waiting.size() >= settings.queue()) {
+    if (running.size() >= settings.maxConcurrentRequests() && waiting.size() >= settings.queue()) {
       listener.onQueueFull();
       return () -> {};
     }
@@ -64,30 +64,30 @@
     lost.addAll(waiting);
     running.clear();
     waiting.clear();
-    for (ActiveRequest each : lost) {
-      if (!each.ended) {
-        each.ended = true;
-        each.listener.onCrash();
+    for (ActiveRequest entry : lost) {
+      if (!entry.ended) {
+        entry.ended = true;
+        entry.listener.onCrash();
       }
     }
   }
 
   private void startNext() {
-    while (running.size() < settings.places() && !waiting.isEmpty()) {
+    while (running.size() < settings.maxConcurrentRequests() && !waiting.isEmpty()) {
       ActiveRequest next = waiting.remove();
       running.add(next);
       time.scheduleNanos(next.request.workNanos(), () -> complete(next));
     }
   }
 
-  private void complete(ActiveRequest ended) {
-    if (!running.remove(ended)) {
+  private void complete(ActiveRequest entry) {
+    if (!running.remove(entry)) {
       return;
     }
-    if (!ended.ended) {
-      ended.ended = true;
-      ended.listener.onPart();
-      ended.listener.onEnd();
+    if (!entry.ended) {
+      entry.ended = true;
+      entry.listener.onBodyPart();
+      entry.listener.onEnd();
     }
     startNext();
   }
--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/PlayCommand.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/PlayCommand.java
@@ -35,10 +35,10 @@
     boolean allInvariantsHeld = true;
     for (Path file : scenarios) {
       Scenario scenario = ScenarioFiles.read(file);
-      EnumSet<Mechanism> off = EnumSet.noneOf(Mechanism.class);
-      off.addAll(without);
+      EnumSet<Mechanism> disabled = EnumSet.noneOf(Mechanism.class);
+      disabled.addAll(without);
       SimulationResult result =
-          ModelFleet.simulate(scenario, size == 0 ? scenario.instances() : size, seed, off);
+          ModelFleet.simulate(scenario, size == 0 ? scenario.instances() : size, seed, disabled);
       out.print(result.text());
       allInvariantsHeld &= result.violations().isEmpty();
     }
--- a/teaseldeal-model/src/main/java/org/teaseldeal/model/Scenario.java
+++ b/teaseldeal-model/src/main/java/org/teaseldeal/model/Scenario.java
@@ -57,9 +57,9 @@
   /**
    * The inference engines.
    *
-   * @param places the number of requests that each engine runs at once
+   * @param maxConcurrentRequests the number of requests that each engine runs at once
    * @param step the basic duration of a step, in which each running request gets a token
-   * @param stepPerPlace the time that each running request adds to a step
+   * @param stepPerRequest the time that each running request adds to a step
    * @param promptTokensPerMilli the prompt tokens read per millisecond
    * @param chunk the maximum number of prompt tokens read within one step
    * @param cacheTokens the capacity of each engine's cache for shared prompt parts
@@ -67,22 +67,22 @@
    */
   public record Engines(
       int count,
-      int places,
+      int maxConcurrentRequests,
       Duration step,
-      Duration stepPerPlace,
+      Duration stepPerRequest,
       double promptTokensPerMilli,
       int chunk,
       long cacheTokens,
       int tokensPerEvent) {}
 
   /**
-   * The servers of the plain service, which refuse requests beyond their places and queue.
+   * The servers of the plain service, which refuse requests beyond those that run and wait.
    *
-   * @param places the number of requests that each server runs at once
+   * @param maxConcurrentRequests the number of requests that each server runs at once
    * @param queue the number of further requests that wait at each server
    * @param work the mean service time of a request
    */
-  public record Services(int count, int places, int queue, Duration work) {}
+  public record Services(int count, int maxConcurrentRequests, int queue, Duration work) {}
 
   /** How a kind of request is answered, and whether it may be run again. */
   public enum Answer {
@@ -143,7 +143,7 @@
     HOT_CUSTOMER,
     /** Half of the prompts of each kind share one prefix. */
     HOT_BEGINNING,
-    /** Configurations are published one after the other. */
+    /** Plans are published one after the other. */
     CONFIGURATIONS,
     /** The instances that hold the largest customer's total lose power, one after the other. */
     HOLDER_LOST
@@ -155,8 +155,8 @@
    * @param at the start, counted from the start of the load
    * @param lasting the duration
    * @param share the share of the instances or engines that are affected
-   * @param factor the factor by which the load is multiplied, or the number of configurations
-   * @param gap the time between consecutive stops, losses of power or configurations
+   * @param factor the factor by which the load is multiplied, or the number of plans
+   * @param gap the time between consecutive stops, losses of power or published plans
    */
   public record Fault(
       FaultKind kind, Duration at, Duration lasting, double share, double factor, Duration gap) {}
@@ -183,15 +183,18 @@
         links,
         new Engines(
             scaled(engines.count(), scale),
-            engines.places(),
+            engines.maxConcurrentRequests(),
             engines.step(),
-            engines.stepPerPlace(),
+            engines.stepPerRequest(),
             engines.promptTokensPerMilli(),
             engines.chunk(),
             engines.cacheTokens(),
             engines.tokensPerEvent()),
         new Services(
-            scaled(services.count(), scale), services.places(), services.queue(), services.work()),
+            scaled(services.count(), scale),
+            services.maxConcurrentRequests(),
+            services.queue(),
+            services.work()),
         kinds.stream().map(kind -> scaled(kind, scale)).toList(),
         faults);
   }
