--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/EngineSettings.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/EngineSettings.java
@@ -90,9 +90,9 @@
    *
    * @param minTokens the minimum length of an answer whose length the request doesn't state
    * @param maxTokens the maximum length of such an answer
-   * @param keepFor how long the answer and usage of an ended request can be read
+   * @param retention how long the answer and usage of an ended request can be read
    */
-  public record Answers(int minTokens, int maxTokens, Duration keepFor) {
+  public record Answers(int minTokens, int maxTokens, Duration retention) {
     private static final int MAX_ANSWER_TOKENS = 1_000_000;
 
     static Answers read(TomlReader table) {
--- a/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/InferenceEngine.java
+++ b/teaseldeal-standin/src/main/java/org/teaseldeal/standin/engine/InferenceEngine.java
@@ -182,7 +182,7 @@
   }
 
   private void removeExpired() {
-    Instant limit = clock.instant().minus(settings.answers().keepFor());
+    Instant limit = clock.instant().minus(settings.answers().retention());
     while (!recentlyEnded.isEmpty() && recentlyEnded.element().at.isBefore(limit)) {
       generations.remove(recentlyEnded.remove().generation.request().requestId());
     }
--- a/teaseldeal-standin/src/test/java/org/teaseldeal/standin/admin/package-info.java
+++ b/teaseldeal-standin/src/test/java/org/teaseldeal/standin/admin/package-info.java
@@ -1,4 +1,4 @@
-/** Tests of admin. */
+/** Tests of the admin address: fault updates and the history of events. */
 @NullMarked
 package org.teaseldeal.standin.admin;
 
--- a/teaseldeal-standin/src/test/java/org/teaseldeal/standin/engine/EngineTests.java
+++ b/teaseldeal-standin/src/test/java/org/teaseldeal/standin/engine/EngineTests.java
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void maxTokensCutsTheAnswer() {
+    void maxTokensLimitsTheAnswer() {
       FakeExchange answer =
           post("r1", "a1", body(PROMPT, "\"max_tokens\":2,\"x_output_tokens\":9"));
       time.advanceMillis(1_000);
--- a/teaseldeal-standin/src/test/java/org/teaseldeal/standin/engine/PrefixCacheTests.java
+++ b/teaseldeal-standin/src/test/java/org/teaseldeal/standin/engine/PrefixCacheTests.java
@@ -43,20 +43,20 @@
   }
 
   @Test
-  void wholeBlocksOfACommonPrefixAreFound() {
+  void completeBlocksOfACommonPrefixAreFound() {
     assertEquals(0, cache.matchAndStore(List.of("a", "b", "c", "d", "e")));
     assertEquals(4, cache.matchAndStore(List.of("a", "b", "c", "d", "x")));
     assertEquals(2, cache.matchAndStore(List.of("a", "b", "x", "y")));
   }
 
   @Test
-  void sameBlockBehindAnotherPrefixIsNotFound() {
+  void sameBlockAfterAnotherPrefixIsNotFound() {
     cache.matchAndStore(List.of("a", "b", "c", "d"));
     assertEquals(0, cache.matchAndStore(List.of("x", "y", "c", "d")));
   }
 
   @Test
-  void leastRecentlyUsedBlockIsEvictedAndAPrefixOutlivesItsContinuation() {
+  void leastRecentlyUsedBlockIsEvictedAndAPrefixOnlyAfterItsContinuation() {
     cache.matchAndStore(List.of("a", "b", "c", "d"));
     cache.matchAndStore(List.of("e", "f"));
     cache.matchAndStore(List.of("g", "h"));
--- a/teaseldeal-standin/src/test/java/org/teaseldeal/standin/engine/package-info.java
+++ b/teaseldeal-standin/src/test/java/org/teaseldeal/standin/engine/package-info.java
@@ -1,4 +1,4 @@
-/** Tests of engine. */
+/** Tests of the simulated inference engine, its prefix cache and its configuration. */
 @NullMarked
 package org.teaseldeal.standin.engine;
 
--- a/teaseldeal-standin/src/test/java/org/teaseldeal/standin/platform/package-info.java
+++ b/teaseldeal-standin/src/test/java/org/teaseldeal/standin/platform/package-info.java
@@ -1,4 +1,4 @@
-/** Tests of platform. */
+/** Tests of the platform's log and instance list. */
 @NullMarked
 package org.teaseldeal.standin.platform;
 
--- a/teaseldeal-standin/src/test/java/org/teaseldeal/standin/runtime/FakeExchange.java
+++ b/teaseldeal-standin/src/test/java/org/teaseldeal/standin/runtime/FakeExchange.java
@@ -21,7 +21,7 @@
   private int status;
   private boolean ended;
   private boolean aborted;
-  private Runnable callerGoneAction = () -> {};
+  private Runnable callerDisconnectAction = () -> {};
 
   public FakeExchange(String method, String path, String body) {
     this.method = method;
@@ -81,7 +81,7 @@
   }
 
   public void disconnectCaller() {
-    callerGoneAction.run();
+    callerDisconnectAction.run();
   }
 
   @Override
@@ -136,7 +136,7 @@
 
   @Override
   public void onCallerDisconnect(Runnable action) {
-    callerGoneAction = action;
+    callerDisconnectAction = action;
   }
 
   @Override
--- a/teaseldeal-standin/src/test/java/org/teaseldeal/standin/service/package-info.java
+++ b/teaseldeal-standin/src/test/java/org/teaseldeal/standin/service/package-info.java
@@ -1,4 +1,4 @@
-/** Tests of service. */
+/** Tests of the plain service and its run counts. */
 @NullMarked
 package org.teaseldeal.standin.service;
 
