--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/CommandContext.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/CommandContext.java
@@ -31,7 +31,12 @@
 
   LedgerSessions ledgers(PlatformOptions platform) {
     return LedgerSessions.open(
-        http, platform.address(environment), platform.streams(), platform.timeout(), clock, random);
+        http,
+        platform.address(environment),
+        platform.partitioning(),
+        platform.timeout(),
+        clock,
+        random);
   }
 
   PlatformList platformList(PlatformOptions platform) {
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/LedgerReads.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/LedgerReads.java
@@ -20,19 +20,21 @@
 final class LedgerReads {
   private LedgerReads() {}
 
-  /** Returns the result of {@code then} for the state of one stream. */
-  static CommandResult withState(LedgerSession session, Function<LedgerState, CommandResult> then) {
+  /** Returns the result of {@code command} for the state of one stream. */
+  static CommandResult withState(
+      LedgerSession session, Function<LedgerState, CommandResult> command) {
     return switch (session.catchUp()) {
-      case CatchUpResult.Done(LedgerState state) -> then.apply(state);
+      case CatchUpResult.Done(LedgerState state) -> command.apply(state);
       case CatchUpResult.Unreachable(String detail) -> unreachable(detail);
     };
   }
 
   /**
-   * Returns the result of {@code then} for the states of all streams, in the order of the streams.
+   * Returns the result of {@code command} for the states of all streams, in the order of the
+   * streams.
    */
   static CommandResult withAllStates(
-      LedgerSessions ledgers, Function<List<LedgerState>, CommandResult> then) {
+      LedgerSessions ledgers, Function<List<LedgerState>, CommandResult> command) {
     List<LedgerState> states = new ArrayList<>();
     for (LedgerSession session : ledgers.all()) {
       switch (session.catchUp()) {
@@ -42,17 +44,17 @@
         }
       }
     }
-    return then.apply(states);
+    return command.apply(states);
   }
 
   /**
-   * Returns the result of {@code then} for the publications of {@code subtree} that the log still
-   * retains.
+   * Returns the result of {@code command} for the publications of {@code subtree} that the log
+   * still retains.
    */
   static CommandResult withPublications(
-      LedgerSession session, SubtreeId subtree, Function<Publications, CommandResult> then) {
+      LedgerSession session, SubtreeId subtree, Function<Publications, CommandResult> command) {
     return switch (session.publications(subtree)) {
-      case PublicationsResult.Found(Publications publications) -> then.apply(publications);
+      case PublicationsResult.Found(Publications publications) -> command.apply(publications);
       case PublicationsResult.Unreachable(String detail) -> unreachable(detail);
     };
   }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/PlatformOptions.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/PlatformOptions.java
@@ -25,7 +25,7 @@
   private Duration timeout = Duration.ofSeconds(10);
 
   @Parameter(names = "--streams", description = "Number of streams of the ledger")
-  private int streams = 1;
+  private int streamCount = 1;
 
   String address(Map<String, String> environment) {
     String value = address == null ? environment.get(ENVIRONMENT_VARIABLE) : address;
@@ -41,10 +41,10 @@
     return timeout;
   }
 
-  StreamPartitioning streams() {
-    if (streams < 1) {
-      throw new ParameterException("--streams was %d, expected 1 or more".formatted(streams));
+  StreamPartitioning partitioning() {
+    if (streamCount < 1) {
+      throw new ParameterException("--streams was %d, expected 1 or more".formatted(streamCount));
     }
-    return new StreamPartitioning(streams);
+    return new StreamPartitioning(streamCount);
   }
 }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/SettingsDiff.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/command/SettingsDiff.java
@@ -108,17 +108,17 @@
 
   private static DiffSide side(
       @Nullable Long revision, Optional<SubtreeView> current, List<Publication> accepted) {
-    long wanted = revision == null ? current.map(SubtreeView::revision).orElse(0L) : revision;
-    String name = "revision " + wanted;
-    if (wanted == 0) {
+    long number = revision == null ? current.map(SubtreeView::revision).orElse(0L) : revision;
+    String name = "revision " + number;
+    if (number == 0) {
       return new DiffSide(name, Optional.of(""));
     }
-    if (current.isPresent() && current.get().revision() == wanted) {
+    if (current.isPresent() && current.get().revision() == number) {
       return new DiffSide(name, Optional.of(current.get().toml()));
     }
     return new DiffSide(
         name,
-        accepted.stream().filter(p -> p.revision() == wanted).map(Publication::toml).findFirst());
+        accepted.stream().filter(p -> p.revision() == number).map(Publication::toml).findFirst());
   }
 
   @Override
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/explain/RequestHistory.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/explain/RequestHistory.java
@@ -84,8 +84,8 @@
         .toList();
   }
 
-  /** Describes the last failed attempt; returns {@code otherwise} if no attempt failed. */
-  String lastFailure(String otherwise) {
+  /** Describes the last failed attempt; returns {@code fallback} if no attempt failed. */
+  String lastFailure(String fallback) {
     return lines.reversed().stream()
         .filter(line -> line.event().equals("AttemptFailed"))
         .findFirst()
@@ -98,7 +98,7 @@
                         line.text("failure"),
                         line.fields().path("after_ms").asDouble(),
                         line.text("detail")))
-        .orElse(otherwise);
+        .orElse(fallback);
   }
 
   /** Returns a field of the last logged level of the customer's account; 0 if none was logged. */
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/InstanceLogAnalyzer.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/InstanceLogAnalyzer.java
@@ -232,8 +232,8 @@
   }
 
   private Assessment assessFailed(
-      OpenRequest request, LossCause otherwise, LogReader.LogEntry entry) {
-    LossCause cause = request.lastFailure.equals("NOT_SENT") ? isolatedOr(otherwise) : otherwise;
+      OpenRequest request, LossCause fallback, LogReader.LogEntry entry) {
+    LossCause cause = request.lastFailure.equals("NOT_SENT") ? isolatedOr(fallback) : fallback;
     return new Assessment(
         AttemptOutcome.FAILED,
         stopping ? LossCause.INSTANCE_STOPPING : cause,
@@ -261,10 +261,10 @@
 
   /**
    * Returns {@link LossCause#CUT} if the instance has lost more than one dependency, which is taken
-   * to mean that its network is isolated; otherwise {@code otherwise}.
+   * to mean that its network is isolated; otherwise {@code fallback}.
    */
-  private LossCause isolatedOr(LossCause otherwise) {
-    return unreachableSince.size() > 1 ? LossCause.CUT : otherwise;
+  private LossCause isolatedOr(LossCause fallback) {
+    return unreachableSince.size() > 1 ? LossCause.CUT : fallback;
   }
 
   private Duration longestUnreachable(LogReader.LogEntry entry) {
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/LossReport.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/losses/LossReport.java
@@ -129,7 +129,7 @@
     List<String> causes = new ArrayList<>(rows.stream().map(Row::cause).toList());
     earlier.keySet().stream().filter(cause -> !causes.contains(cause)).forEach(causes::add);
     for (String cause : causes) {
-      Cell then = earlier.containsKey(cause) ? earlier.get(cause).all() : Cell.NONE;
+      Cell earlierCell = earlier.containsKey(cause) ? earlier.get(cause).all() : Cell.NONE;
       Cell now =
           rows.stream()
               .filter(row -> row.cause().equals(cause))
@@ -138,10 +138,10 @@
               .orElse(Cell.NONE);
       table.addRow(
           cause,
-          then.text(),
+          earlierCell.text(),
           now.text(),
-          "%+d".formatted(now.requests() - then.requests()),
-          "%+.1f".formatted(now.worth() - then.worth()));
+          "%+d".formatted(now.requests() - earlierCell.requests()),
+          "%+.1f".formatted(now.worth() - earlierCell.worth()));
     }
     return new Difference(before, this, table.toString());
   }
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/session/LedgerSession.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/session/LedgerSession.java
@@ -134,7 +134,7 @@
         }
         case LogEvent.OffsetExpired expired -> from = expired.earliestOffset();
         case LogEvent.ReadFailed failed -> lastFailure = failed.detail();
-        case LogEvent.AppendAcknowledged answered -> {}
+        case LogEvent.AppendAcknowledged acknowledged -> {}
         case LogEvent.AppendFailed failed -> {}
       }
     }
@@ -193,8 +193,8 @@
       mayBeWritten |= completion.mayBeWritten();
     }
     recordFailure(completion.event());
-    for (EntryOutcome settled : client.handle(completion.event())) {
-      client.ticket(settled).ifPresent(ticket -> outcomes.put(ticket, settled.outcome()));
+    for (EntryOutcome entryOutcome : client.handle(completion.event())) {
+      client.ticket(entryOutcome).ifPresent(ticket -> outcomes.put(ticket, entryOutcome.outcome()));
     }
     if (completion.event() instanceof LogEvent.RecordsRead read) {
       recordProgress(read);
@@ -203,8 +203,8 @@
   }
 
   private void recordEndOfLog(LogEvent.RecordsRead read, long readNumber) {
-    // Only a read that started after the caller asked counts. An older read may have been answered
-    // before the record that the operator wants to see was written.
+    // Only a read that started after the call of catchUp() counts. An older read may have been
+    // answered before the record that the operator wants to see was written.
     if (client.problem().isEmpty() && client.foldedTo() + 1 >= read.nextOffset()) {
       lastReadThatReachedEnd = Math.max(lastReadThatReachedEnd, readNumber);
     }
@@ -215,7 +215,7 @@
         switch (event) {
           case LogEvent.AppendFailed failed -> failed.detail();
           case LogEvent.ReadFailed failed -> failed.detail();
-          case LogEvent.AppendAcknowledged answered -> null;
+          case LogEvent.AppendAcknowledged acknowledged -> null;
           case LogEvent.RecordsRead read -> null;
           case LogEvent.OffsetExpired expired -> null;
         };
--- a/teaseldeal-operator/src/main/java/org/teaseldeal/operator/session/LedgerSessions.java
+++ b/teaseldeal-operator/src/main/java/org/teaseldeal/operator/session/LedgerSessions.java
@@ -15,11 +15,11 @@
 
 /** One session for each of the ledger's streams; all sessions share one writer id. */
 public final class LedgerSessions {
-  private final StreamPartitioning streams;
+  private final StreamPartitioning partitioning;
   private final List<LedgerSession> sessions;
 
-  private LedgerSessions(StreamPartitioning streams, List<LedgerSession> sessions) {
-    this.streams = streams;
+  private LedgerSessions(StreamPartitioning partitioning, List<LedgerSession> sessions) {
+    this.partitioning = partitioning;
     this.sessions = List.copyOf(sessions);
   }
 
@@ -32,28 +32,28 @@
   public static LedgerSessions open(
       HttpClient client,
       String address,
-      StreamPartitioning streams,
+      StreamPartitioning partitioning,
       Duration timeout,
       InstantSource clock,
       RandomGenerator random) {
     IncarnationId writer = newWriterId(random);
     List<LedgerSession> sessions = new ArrayList<>();
-    for (int i = 0; i < streams.count(); i++) {
+    for (int i = 0; i < partitioning.count(); i++) {
       sessions.add(
           new LedgerSession(
               writer, new StreamId(i), new HttpLogClient(client, address), timeout, clock));
     }
-    return new LedgerSessions(streams, sessions);
+    return new LedgerSessions(partitioning, sessions);
   }
 
   /** Returns the session of the stream that holds {@code subtree}. */
   public LedgerSession session(SubtreeId subtree) {
-    return sessions.get(streams.of(subtree).index());
+    return sessions.get(partitioning.of(subtree).index());
   }
 
   /** Returns the session of the stream that holds {@code team}. */
   public LedgerSession session(TeamId team) {
-    return sessions.get(streams.of(team).index());
+    return sessions.get(partitioning.of(team).index());
   }
 
   /** Returns all sessions, in the order of the streams. */
--- a/teaseldeal-operator/src/test/java/org/teaseldeal/operator/SettingsCommandTests.java
+++ b/teaseldeal-operator/src/test/java/org/teaseldeal/operator/SettingsCommandTests.java
@@ -185,18 +185,18 @@
       transcript.verify();
     }
 
-    // Two instances are frozen: they accept connections but never respond. Both must be queried
+    // Two instances are suspended: they accept connections but never respond. Both must be queried
     // concurrently and time out after the same second, and the instance that responds must still be
     // reported as up to date.
     @Test
-    void frozenDoNotHideOthers() throws IOException {
+    void suspendedDoNotHideOthers() throws IOException {
       try (FakeInstance quick = new FakeInstance(100);
-          FakeInstance frozen = new FakeInstance(100);
-          FakeInstance frozenToo = new FakeInstance(100)) {
-        frozen.freeze();
-        frozenToo.freeze();
-        platform.list("frozen", "run-frozen", frozen.address());
-        platform.list("frozen-too", "run-frozen-too", frozenToo.address());
+          FakeInstance suspended = new FakeInstance(100);
+          FakeInstance suspendedToo = new FakeInstance(100)) {
+        suspended.suspend();
+        suspendedToo.suspend();
+        platform.list("frozen", "run-frozen", suspended.address());
+        platform.list("frozen-too", "run-frozen-too", suspendedToo.address());
         platform.list("quick", "run-quick", quick.address());
 
         assertEquals(
--- a/teaseldeal-operator/src/test/java/org/teaseldeal/operator/fake/FakeInstance.java
+++ b/teaseldeal-operator/src/test/java/org/teaseldeal/operator/fake/FakeInstance.java
@@ -16,7 +16,7 @@
   private final HttpServer server;
   private volatile long foldedTo;
   private volatile boolean draining;
-  private volatile boolean frozen;
+  private volatile boolean suspended;
 
   /** Starts a listener that reports {@code foldedTo} as the folded offset. */
   public FakeInstance(long foldedTo) throws IOException {
@@ -34,9 +34,9 @@
     foldedTo = offset;
   }
 
-  /** Accepts requests from now on without responding to any, like a frozen process. */
-  public void freeze() {
-    frozen = true;
+  /** Accepts requests from now on without responding to any, like a suspended process. */
+  public void suspend() {
+    suspended = true;
   }
 
   /** Returns whether the instance has been asked to drain. */
@@ -50,7 +50,7 @@
   }
 
   private void handle(HttpExchange exchange) {
-    if (frozen) {
+    if (suspended) {
       return;
     }
     if (!exchange.header("Authorization").equals(Optional.of("Bearer " + TOKEN))) {
