--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/cost/AnswerTimer.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/cost/AnswerTimer.java
@@ -11,7 +11,7 @@
   private static final String DONE = "[DONE]";
 
   /** The times in microseconds since the request was sent, and whether the answer was complete. */
-  record Times(long toFirst, long toEnd, boolean whole) {}
+  record Times(long toFirst, long toEnd, boolean isComplete) {}
 
   final CompletableFuture<Times> times = new CompletableFuture<>();
   private final StringBuilder text = new StringBuilder();
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/cost/CostRun.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/cost/CostRun.java
@@ -27,10 +27,10 @@
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final String CUSTOMER = "mill-buyers";
   private static final Duration TIMEOUT = Duration.ofSeconds(5);
-  private static final Duration PACE = Duration.ofMillis(2);
+  private static final Duration CALL_INTERVAL = Duration.ofMillis(2);
   private static final int WARM_UP_CALLS = 300;
-  private static final int TOKENS = 4;
-  private static final Duration RATE_TIME = Duration.ofSeconds(10);
+  private static final int ANSWER_TOKENS = 4;
+  private static final Duration THROUGHPUT_TIME = Duration.ofSeconds(10);
   private static final double CLOCK_TICKS_PER_SECOND = 100;
 
   private final HttpClient client;
@@ -110,12 +110,12 @@
   private long measureCall(
       String address, String service, Map<String, String> headers, Aggregate aggregate)
       throws InterruptedException {
-    Thread.sleep(PACE);
+    Thread.sleep(CALL_INTERVAL);
     HttpCallRequest request = request(address, service, headers);
     AnswerTimer answer = new AnswerTimer();
     client.send(request, answer);
     AnswerTimer.Times times = answer.times.join();
-    if (!times.whole()) {
+    if (!times.isComplete()) {
       return 1;
     }
     aggregate.toFirst.recordValue(times.toFirst());
@@ -139,8 +139,8 @@
     ObjectNode body = JSON.createObjectNode();
     body.put("model", service);
     body.put("stream", true);
-    body.put("max_tokens", TOKENS);
-    body.put("x_output_tokens", TOKENS);
+    body.put("max_tokens", ANSWER_TOKENS);
+    body.put("x_output_tokens", ANSWER_TOKENS);
     body.putArray("messages")
         .addObject()
         .put("role", "user")
@@ -163,7 +163,8 @@
             TIMEOUT,
             false,
             true);
-    return new Scenario("rate", "Moderate rate", 1, RATE_TIME, List.of(flow), List.of(), List.of());
+    return new Scenario(
+        "rate", "Moderate rate", 1, THROUGHPUT_TIME, List.of(flow), List.of(), List.of());
   }
 
   /**
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/ChildProcess.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/ChildProcess.java
@@ -14,7 +14,7 @@
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final String LISTENING = "{\"event\":\"listening\"";
   private static final Duration START_TIMEOUT = Duration.ofSeconds(20);
-  private static final Duration POLL = Duration.ofMillis(20);
+  private static final Duration POLL_INTERVAL = Duration.ofMillis(20);
 
   private final String name;
   private final Process process;
@@ -42,7 +42,7 @@
       if (line.isPresent()) {
         return parse(line.get());
       }
-      Thread.sleep(POLL);
+      Thread.sleep(POLL_INTERVAL);
     }
     throw new DemoException("%s did not start to listen; see %s".formatted(name, output));
   }
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/Demo.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/Demo.java
@@ -36,7 +36,7 @@
       Set.of("licensing/licence-tag", "auction/bid-confirmation");
   private static final String RUN = "demo";
   private static final Duration RELEASE_TIMEOUT = Duration.ofSeconds(20);
-  private static final Duration POLL = Duration.ofMillis(500);
+  private static final Duration POLL_INTERVAL = Duration.ofMillis(500);
 
   private final PrintStream out;
   private final long seed;
@@ -66,7 +66,7 @@
         "Sending requests for %d s; one router is killed in the middle ...%n",
         scenario.duration().toSeconds());
     DemoCallers callers = new DemoCallers(client, fleet::serving, RUN);
-    CompletableFuture<String> killed = killInTheMiddle(scenario);
+    CompletableFuture<String> killed = killRouterUnderLoad(scenario);
     callers.send(scenario);
     String incarnation = await(killed);
     out.println("Releasing what the killed router held, and ending the others ...");
@@ -104,7 +104,7 @@
         "demo");
   }
 
-  private CompletableFuture<String> killInTheMiddle(Scenario scenario) {
+  private CompletableFuture<String> killRouterUnderLoad(Scenario scenario) {
     return CompletableFuture.supplyAsync(
         this::kill,
         CompletableFuture.delayedExecutor(
@@ -142,7 +142,7 @@
         throw new DemoException(
             "%s could not be released: %s%s".formatted(incarnation, run.output(), run.errors()));
       }
-      Thread.sleep(POLL);
+      Thread.sleep(POLL_INTERVAL);
     }
   }
 
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/DemoCallers.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/DemoCallers.java
@@ -27,7 +27,7 @@
   private static final int MAX_RESENDS = 5;
   private static final long RESEND_DELAY_MILLIS = 500;
   private static final Duration RESEND_TIMEOUT = Duration.ofSeconds(45);
-  private static final Duration POLL = Duration.ofMillis(50);
+  private static final Duration POLL_INTERVAL = Duration.ofMillis(50);
 
   private final LoadRunner runner;
   private final String run;
@@ -45,7 +45,7 @@
     runner.run(scenario, run, "demo", progress -> {});
     long end = System.nanoTime() + RESEND_TIMEOUT.toNanos();
     while (pendingResends() > 0 && System.nanoTime() < end) {
-      Thread.sleep(POLL);
+      Thread.sleep(POLL_INTERVAL);
     }
   }
 
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/DemoFleet.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/DemoFleet.java
@@ -18,7 +18,7 @@
   private static final List<String> ROUTERS = List.of("router-1", "router-2", "router-3");
   private static final Duration READY_TIMEOUT = Duration.ofSeconds(30);
   private static final Duration STOP_TIMEOUT = Duration.ofSeconds(40);
-  private static final Duration POLL = Duration.ofMillis(100);
+  private static final Duration POLL_INTERVAL = Duration.ofMillis(100);
 
   private final ChildProcesses children;
   private final SettingsFiles files;
@@ -173,7 +173,7 @@
       if (System.nanoTime() > end) {
         throw new DemoException("%s was not ready in time".formatted(router.child().name()));
       }
-      Thread.sleep(POLL);
+      Thread.sleep(POLL_INTERVAL);
     }
   }
 
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/IdleFleet.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/IdleFleet.java
@@ -17,7 +17,7 @@
   private static final Duration READY_TIMEOUT = Duration.ofSeconds(40);
   private static final Duration SETTLE_TIME = Duration.ofSeconds(8);
   private static final Duration MEASURED_TIME = Duration.ofSeconds(10);
-  private static final Duration POLL = Duration.ofMillis(100);
+  private static final Duration POLL_INTERVAL = Duration.ofMillis(100);
   private static final double CLOCK_TICKS_PER_SECOND = 100;
 
   private final ChildProcesses children;
@@ -93,7 +93,7 @@
       if (System.nanoTime() > end) {
         throw new DemoException("%s was not ready in time".formatted(router.name()));
       }
-      Thread.sleep(POLL);
+      Thread.sleep(POLL_INTERVAL);
     }
   }
 
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/LedgerAudit.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/LedgerAudit.java
@@ -95,7 +95,7 @@
   /** Folds the next record of the log. */
   void fold(LogRecord record) {
     records++;
-    fold.fold(record).forEach(settled -> addOutcome(settled.outcome()));
+    fold.fold(record).forEach(entry -> addOutcome(entry.outcome()));
   }
 
   private static LogRecord logRecord(JsonNode record) throws DemoException {
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/LoadFleet.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/demo/LoadFleet.java
@@ -29,7 +29,7 @@
  */
 public final class LoadFleet implements AutoCloseable {
   private static final Duration READY_TIMEOUT = Duration.ofSeconds(60);
-  private static final Duration POLL = Duration.ofMillis(100);
+  private static final Duration POLL_INTERVAL = Duration.ofMillis(100);
   private static final long TEAM_BUDGET = 100_000_000_000L;
   private static final String AUTHOR = "bench";
 
@@ -229,7 +229,7 @@
       if (System.nanoTime() > end) {
         throw new DemoException(router + " was not ready in time");
       }
-      Thread.sleep(POLL);
+      Thread.sleep(POLL_INTERVAL);
     }
   }
 
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/FaultKind.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/FaultKind.java
@@ -58,7 +58,7 @@
   RETIRE_FROZEN {
     @Override
     void inject(FaultRun run, FaultStep step) {
-      run.retireFrozen(step);
+      run.retireWhileSuspended(step);
     }
   },
   SERVER_CRASH {
@@ -92,13 +92,13 @@
   LEAVING_SERVER {
     @Override
     void inject(FaultRun run, FaultStep step) {
-      run.startLeaving(step.targetIndex());
+      run.beginServerRemoval(step.targetIndex());
     }
   },
   STALE_LIST {
     @Override
     void inject(FaultRun run, FaultStep step) {
-      run.freezeList(step);
+      run.freezePlatformList(step);
     }
   },
   CRASHING_REQUEST {
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/FaultPlan.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/FaultPlan.java
@@ -53,12 +53,12 @@
         key = service.label() + "-" + keys;
       }
       Duration at = Duration.ofMillis(random.nextLong(ACTIVE_TIME.toMillis()));
-      calls.add(new CallStep(at, service, random.nextInt(64), key, hangUp(random)));
+      calls.add(new CallStep(at, service, random.nextInt(64), key, drawDisconnectTime(random)));
     }
     return calls;
   }
 
-  private static @Nullable Duration hangUp(SplittableRandom random) {
+  private static @Nullable Duration drawDisconnectTime(SplittableRandom random) {
     return random.nextInt(12) == 0 ? Duration.ofMillis(random.nextInt(150)) : null;
   }
 
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/FaultRun.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/FaultRun.java
@@ -84,7 +84,7 @@
   /**
    * Executes a plan.
    *
-   * @param change replaces parts of the instances, for tests that expect a promise to be broken
+   * @param change replaces policies of the instances, for tests that expect a violated promise
    */
   static Result execute(FaultPlan plan, UnaryOperator<InstancePolicies> change) {
     FaultRun run = new FaultRun(plan, change);
@@ -238,14 +238,14 @@
     }
     history.add(new HistoryEvent.TokensUsed("all", fleet.tokensSpent()));
     fleet.outcomes(
-        settled -> {
-          switch (settled.outcome()) {
+        entry -> {
+          switch (entry.outcome()) {
             case Outcome.Charged charged ->
                 history.add(new HistoryEvent.Charged(charged.request().value(), charged.tokens()));
             case Outcome.SettingsAccepted accepted ->
-                history.add(published(settled.writer().value(), accepted.revision(), true));
+                history.add(published(entry.writer().value(), accepted.revision(), true));
             case Outcome.SettingsOutdated outdated ->
-                history.add(published(settled.writer().value(), outdated.currentRevision(), false));
+                history.add(published(entry.writer().value(), outdated.currentRevision(), false));
             default -> {}
           }
         });
@@ -313,15 +313,15 @@
   }
 
   /**
-   * Freezes an instance, lets an operator retire it as if it had ended, and wakes it after the
+   * Suspends an instance, lets an operator retire it as if it had ended, and resumes it after the
    * fault's duration.
    */
-  void retireFrozen(FaultStep step) {
-    FakeInstance frozen = instance(step.targetIndex());
-    applyForDuration(step, frozen::suspend, frozen::resume);
-    fleet.log().write("ops", new Entry.Retire(frozen.incarnation(), "ops"));
-    recordLifecycle(frozen, Change.RETIRED);
-    replaceOnceStopped(frozen);
+  void retireWhileSuspended(FaultStep step) {
+    FakeInstance suspended = instance(step.targetIndex());
+    applyForDuration(step, suspended::suspend, suspended::resume);
+    fleet.log().write("ops", new Entry.Retire(suspended.incarnation(), "ops"));
+    recordLifecycle(suspended, Change.RETIRED);
+    replaceOnceStopped(suspended);
   }
 
   private void recordLifecycle(FakeInstance instance, Change change) {
@@ -345,7 +345,7 @@
     recordLifecycle(instances.get(index), Change.STARTED);
   }
 
-  void startLeaving(int index) {
+  void beginServerRemoval(int index) {
     // One server of each pool stays, because otherwise no server could run requests.
     FakeServer server = fleet.serverOf(index % 2 == 0 ? "engine-b" : "desk-b");
     server.leaving = true;
@@ -353,7 +353,7 @@
     fleet.simulation().after(LEAVE_TIME, () -> server.down = true);
   }
 
-  void freezeList(FaultStep step) {
+  void freezePlatformList(FaultStep step) {
     FakeInstance instance = instance(step.targetIndex());
     applyForDuration(
         step, () -> fleet.freezeListOf(instance), () -> fleet.unfreezeListOf(instance));
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/FaultSummary.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/FaultSummary.java
@@ -17,7 +17,7 @@
  */
 record FaultSummary(
     int requests,
-    int whole,
+    int complete,
     Map<String, Integer> refused,
     int falseRefusals,
     long overspend,
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/FaultsCommand.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/FaultsCommand.java
@@ -50,7 +50,7 @@
   private final Coverage coverage = new Coverage();
   private final Map<String, Long> refused = new TreeMap<>();
   private long requests;
-  private long whole;
+  private long complete;
   private long falseRefusals;
   private long stranded;
   private long appends;
@@ -63,8 +63,7 @@
     for (long from = seed; from < seed + seeds; from += BATCH_SIZE) {
       long to = Math.min(from + BATCH_SIZE, seed + seeds);
       // Runs share no state, so a batch of seeds is executed in parallel. Results are reported in
-      // the
-      // order of the seeds.
+      // the order of the seeds.
       List<FaultRun.Result> results =
           LongStream.range(from, to)
               .parallel()
@@ -93,7 +92,7 @@
           result.plan().seed(),
           violations.isEmpty() ? "holds" : "BROKEN",
           summary.requests(),
-          summary.whole(),
+          summary.complete(),
           summary.refused(),
           summary.falseRefusals(),
           summary.overspend(),
@@ -126,7 +125,7 @@
   private void add(FaultSummary summary, History runHistory) {
     coverage.add(runHistory);
     requests += summary.requests();
-    whole += summary.whole();
+    complete += summary.complete();
     summary.refused().forEach((cause, count) -> refused.merge(cause, (long) count, Long::sum));
     falseRefusals += summary.falseRefusals();
     stranded += summary.stranded();
@@ -136,7 +135,7 @@
   private void printTotals(PrintStream out) {
     out.printf(
         "%d seeds, %d broken: %d requests, %d whole, refused %s%n",
-        seeds, failures, requests, whole, refused);
+        seeds, failures, requests, complete, refused);
     out.printf(
         Locale.ROOT,
         "per 10,000 requests %.1f refused for tokens falsely; per seed %.0f tokens"
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/Promise.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/fault/Promise.java
@@ -158,7 +158,10 @@
       history
           .all(RunStarted.class)
           .filter(run -> leaving.containsKey(run.server()))
-          .filter(run -> run.at() > leaving.getOrDefault(run.server(), 0L) + LEAVING_BOUND_MILLIS)
+          .filter(
+              run ->
+                  run.at()
+                      > leaving.getOrDefault(run.server(), 0L) + MAX_NEW_WORK_AFTER_LEAVING_MILLIS)
           .forEach(
               run ->
                   found.add(
@@ -238,7 +241,7 @@
       since.forEach(
           (incarnation, when) -> {
             long from = Math.max(at, started.getOrDefault(incarnation, 0L));
-            if (when > Math.max(from, lastFaultEnd) + IN_FORCE_BOUND_MILLIS) {
+            if (when > Math.max(from, lastFaultEnd) + MAX_PROPAGATION_MILLIS) {
               found.add(
                   "%s had revision %d in force %d ms after it was published"
                       .formatted(incarnation, revision, when - at));
@@ -247,8 +250,8 @@
     }
   };
 
-  private static final long LEAVING_BOUND_MILLIS = 5_000;
-  private static final long IN_FORCE_BOUND_MILLIS = 4_000;
+  private static final long MAX_NEW_WORK_AFTER_LEAVING_MILLIS = 5_000;
+  private static final long MAX_PROPAGATION_MILLIS = 4_000;
 
   /** Returns the violations of this promise in a history; an empty list means that it held. */
   public abstract List<String> violations(History history);
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/load/AnswerCheck.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/load/AnswerCheck.java
@@ -17,7 +17,7 @@
  */
 public final class AnswerCheck {
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final int DIGITS = 8;
+  private static final int DIGEST_DIGITS = 8;
 
   private final String promptDigest;
   private @Nullable String requestDigest;
@@ -26,7 +26,7 @@
 
   /** Creates a check for the answer to {@code prompt}. */
   public AnswerCheck(String prompt) {
-    promptDigest = Sha256.hex(prompt).substring(0, DIGITS);
+    promptDigest = Sha256.hex(prompt).substring(0, DIGEST_DIGITS);
   }
 
   /** Checks the JSON text of one server-sent event. */
@@ -51,7 +51,7 @@
   }
 
   /** Checks a chat completion that was not streamed. */
-  void onWhole(String json) {
+  void onCompleteAnswer(String json) {
     try {
       onText(JSON.readTree(json).at("/choices/0/message/content").asText(""));
     } catch (JsonProcessingException e) {
@@ -90,16 +90,16 @@
 
   private void onFrame(String frame) {
     int colon = frame.indexOf(':');
-    if (colon != 2 * DIGITS) {
+    if (colon != 2 * DIGEST_DIGITS) {
       problem = "a frame of unknown form";
       return;
     }
-    String request = frame.substring(0, DIGITS);
+    String request = frame.substring(0, DIGEST_DIGITS);
     if (requestDigest == null) {
       requestDigest = request;
     }
     boolean own =
-        request.equals(requestDigest) && frame.substring(DIGITS, colon).equals(promptDigest);
+        request.equals(requestDigest) && frame.substring(DIGEST_DIGITS, colon).equals(promptDigest);
     if (!own) {
       problem = "a frame of another answer";
     } else if (!frame.substring(colon + 1).equals(Long.toString(frames))) {
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/load/AnswerListener.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/load/AnswerListener.java
@@ -89,7 +89,7 @@
       finishComplete(
           receivedDone ? check.problem(arrival.flow().outputTokens()) : Optional.of("no [DONE]"));
     } else if (arrival.flow().kind() == Flow.Kind.MODEL) {
-      check.onWhole(body.toString(StandardCharsets.UTF_8));
+      check.onCompleteAnswer(body.toString(StandardCharsets.UTF_8));
       finishComplete(check.problem(arrival.flow().outputTokens()));
     } else {
       check.onPlain(body.toString(StandardCharsets.UTF_8), prompt);
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/load/LoadRecorder.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/load/LoadRecorder.java
@@ -82,7 +82,7 @@
             all.count(Outcome.IN_TIME),
             all.count(Outcome.LATE),
             all.count(Outcome.REFUSED),
-            others(all));
+            notInTime(all));
   }
 
   /** Returns the result of the samples recorded so far. */
@@ -113,11 +113,11 @@
         aggregate.count(Outcome.IN_TIME),
         aggregate.count(Outcome.LATE),
         aggregate.count(Outcome.REFUSED),
-        others(aggregate),
+        notInTime(aggregate),
         aggregate.toFirst.getValueAtPercentile(95) / 1000.0);
   }
 
-  private static long others(Aggregate aggregate) {
+  private static long notInTime(Aggregate aggregate) {
     return aggregate.sent
         - aggregate.count(Outcome.IN_TIME)
         - aggregate.count(Outcome.LATE)
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/slope/FoldedLog.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/slope/FoldedLog.java
@@ -50,8 +50,8 @@
   /** Folds records. Throws if an entry is rejected, because all figures would then be wrong. */
   void fold(List<LogRecord> records) {
     for (LogRecord record : records) {
-      for (EntryOutcome settled : fold.fold(record)) {
-        if (settled.outcome() instanceof Outcome.Rejected rejected) {
+      for (EntryOutcome entry : fold.fold(record)) {
+        if (entry.outcome() instanceof Outcome.Rejected rejected) {
           throw new IllegalStateException("the ledger rejected an entry: " + rejected);
         }
       }
--- a/teaseldeal-bench/src/main/java/org/teaseldeal/bench/slope/SlopesCommand.java
+++ b/teaseldeal-bench/src/main/java/org/teaseldeal/bench/slope/SlopesCommand.java
@@ -25,9 +25,9 @@
 @Parameters(commandDescription = "Measure how an instance's cost grows with state and load")
 public final class SlopesCommand extends Command {
   /** The heap differences of smaller states are lost in measurement noise. */
-  private static final int LEAST_BUDGETS = 1_000;
+  private static final int MIN_BUDGETS = 1_000;
 
-  private static final int MOST_BUDGETS = 1_000_000;
+  private static final int MAX_BUDGETS = 1_000_000;
 
   @Parameter(names = "--budgets", description = "Budgets of the largest state")
   private int budgets = 370_000;
@@ -42,10 +42,10 @@
 
   @Override
   protected ExitStatus run(PrintStream console, PrintStream err) throws CommandException {
-    if (budgets < LEAST_BUDGETS || budgets > MOST_BUDGETS) {
+    if (budgets < MIN_BUDGETS || budgets > MAX_BUDGETS) {
       throw new CommandException(
           ExitStatus.WRONG_COMMAND_LINE,
-          "--budgets was %d, expected %d to %d".formatted(budgets, LEAST_BUDGETS, MOST_BUDGETS));
+          "--budgets was %d, expected %d to %d".formatted(budgets, MIN_BUDGETS, MAX_BUDGETS));
     }
     List<Slope> slopes = new ArrayList<>(new LedgerSlopes(budgets).measure());
     slopes.addAll(new InstanceSlopes().measure());
--- a/teaseldeal-bench/src/test/java/org/teaseldeal/bench/demo/DemoChecksTests.java
+++ b/teaseldeal-bench/src/test/java/org/teaseldeal/bench/demo/DemoChecksTests.java
@@ -102,7 +102,7 @@
   }
 
   @Test
-  void wholeAnswerWithoutAChargeIsFound() {
+  void completeAnswerWithoutAChargeIsFound() {
     samples.add(sample(Flow.Kind.MODEL, DRAFTS, "r3", Outcome.LATE));
     sent = 3;
     assertBroken("every whole answer is charged");
--- a/teaseldeal-bench/src/test/java/org/teaseldeal/bench/fault/FaultRunTests.java
+++ b/teaseldeal-bench/src/test/java/org/teaseldeal/bench/fault/FaultRunTests.java
@@ -50,7 +50,7 @@
 
   /**
    * Guards all promises, as callers, operators and servers observe them, under overlapping faults:
-   * instances are killed, frozen, partitioned and retired while the log is down, slow or loses
+   * instances are killed, suspended, partitioned and retired while the log is down, slow or loses
    * answers and while backend servers fail.
    */
   @Test
@@ -75,8 +75,8 @@
   void reportsASecondRunIfClaimsAreNotReadBack() {
     assertReports(
         violations(
-            parts ->
-                parts.withClaimConfirmation(
+            policies ->
+                policies.withClaimConfirmation(
                     (claim, ledger, then) -> {
                       ledger.submit(claim, outcome -> {});
                       then.accept(new Outcome.ClaimWon(claim.key()));
@@ -91,7 +91,7 @@
   @Test
   void reportsOverspendIfLessThanTheWorstCaseIsReserved() {
     assertReports(
-        violations(parts -> parts.withReservationRule((payload, service, cap) -> 1)),
+        violations(policies -> policies.withReservationRule((payload, service, cap) -> 1)),
         Promise.NO_OVERSPEND);
   }
 
@@ -102,7 +102,7 @@
   @Test
   void reportsASecondRunIfNonIdempotentRequestsAreRetried() {
     assertReports(
-        violations(CRASHES, 4 * SEEDS, parts -> parts.withRerunRule(service -> true)),
+        violations(CRASHES, 4 * SEEDS, policies -> policies.withRerunRule(service -> true)),
         Promise.AT_MOST_ONCE);
     assertEquals(List.of(), violations(CRASHES, 4 * SEEDS, UnaryOperator.identity()));
   }
--- a/teaseldeal-bench/src/test/java/org/teaseldeal/bench/slope/SlopeTests.java
+++ b/teaseldeal-bench/src/test/java/org/teaseldeal/bench/slope/SlopeTests.java
@@ -10,17 +10,17 @@
 import org.teaseldeal.bench.slope.Slope.Point;
 
 class SlopeTests {
-  private static final double CLOSE = 1e-9;
+  private static final double TOLERANCE = 1e-9;
 
   @Test
   void lineThroughItsPointsHasNoSpread() {
     Slope slope =
         Slope.fit("octets", "budget", List.of(new Point(1, 7), new Point(2, 9), new Point(5, 15)));
 
-    assertEquals(2, slope.slope(), CLOSE);
-    assertEquals(5, slope.intercept(), CLOSE);
-    assertEquals(2, slope.least(), CLOSE);
-    assertEquals(2, slope.most(), CLOSE);
+    assertEquals(2, slope.slope(), TOLERANCE);
+    assertEquals(5, slope.intercept(), TOLERANCE);
+    assertEquals(2, slope.least(), TOLERANCE);
+    assertEquals(2, slope.most(), TOLERANCE);
   }
 
   @Test
@@ -28,9 +28,9 @@
     Slope slope =
         Slope.fit("octets", "budget", List.of(new Point(0, 0), new Point(1, 1), new Point(2, 4)));
 
-    assertEquals(2, slope.slope(), CLOSE);
-    assertEquals(1, slope.least(), CLOSE);
-    assertEquals(3, slope.most(), CLOSE);
+    assertEquals(2, slope.slope(), TOLERANCE);
+    assertEquals(1, slope.least(), TOLERANCE);
+    assertEquals(3, slope.most(), TOLERANCE);
   }
 
   @Test
