--- a/teaseldeal-dist/src/test/java/org/teaseldeal/dist/Answer.java
+++ b/teaseldeal-dist/src/test/java/org/teaseldeal/dist/Answer.java
@@ -12,7 +12,7 @@
 record Answer(End end, int status, String requestId, String detail) {
   enum End {
     /** The complete answer to this request arrived. */
-    WHOLE,
+    COMPLETE,
     /** A problem document arrived instead of an answer. */
     PROBLEM,
     /** The connection broke, or the stream ended with an error event. */
@@ -23,8 +23,8 @@
     WRONG
   }
 
-  boolean whole() {
-    return end == End.WHOLE;
+  boolean isComplete() {
+    return end == End.COMPLETE;
   }
 
   boolean reportsNotRun() {
--- a/teaseldeal-dist/src/test/java/org/teaseldeal/dist/Caller.java
+++ b/teaseldeal-dist/src/test/java/org/teaseldeal/dist/Caller.java
@@ -124,7 +124,7 @@
       Optional<String> wrong = check.problem(check.frames());
       return new Answer(wrong.isPresent() ? End.WRONG : End.BROKEN, 200, id, wrong.orElse(error));
     }
-    return new Answer(fault.isPresent() ? End.WRONG : End.WHOLE, 200, id, fault.orElse(""));
+    return new Answer(fault.isPresent() ? End.WRONG : End.COMPLETE, 200, id, fault.orElse(""));
   }
 
   private static Answer readPlain(HttpResponse<InputStream> answer, String body)
@@ -132,7 +132,7 @@
     String id = answer.headers().firstValue("Request-Id").orElse("");
     String text = text(answer);
     boolean own = text.contains("\"body\":\"%s\"".formatted(body));
-    return new Answer(own ? End.WHOLE : End.WRONG, 200, id, text);
+    return new Answer(own ? End.COMPLETE : End.WRONG, 200, id, text);
   }
 
   private static String text(HttpResponse<InputStream> answer) throws IOException {
--- a/teaseldeal-dist/src/test/java/org/teaseldeal/dist/FleetAudit.java
+++ b/teaseldeal-dist/src/test/java/org/teaseldeal/dist/FleetAudit.java
@@ -27,7 +27,7 @@
 
   /** Waits until the log contains the charges of all complete answers, and returns the audit. */
   static FleetAudit awaitCharges(Fleet fleet, Collection<Answer> answers) throws Exception {
-    Wait.until("all whole answers are charged", () -> of(fleet).uncharged(answers).isEmpty());
+    Wait.until("all complete answers are charged", () -> of(fleet).uncharged(answers).isEmpty());
     return of(fleet);
   }
 
@@ -36,7 +36,7 @@
    * overspent.
    */
   void assertConsistentWith(Collection<Answer> answers, long budget) {
-    assertEquals(List.of(), uncharged(answers), "whole answers without a charge");
+    assertEquals(List.of(), uncharged(answers), "complete answers without a charge");
     assertEquals(
         List.of(),
         ledger.charges().values().stream().filter(charges -> charges.size() > 1).toList(),
@@ -76,7 +76,7 @@
 
   private List<String> uncharged(Collection<Answer> answers) {
     return answers.stream()
-        .filter(Answer::whole)
+        .filter(Answer::isComplete)
         .map(Answer::requestId)
         .filter(id -> !ledger.charges().containsKey(new RequestId(id)))
         .toList();
--- a/teaseldeal-dist/src/test/java/org/teaseldeal/dist/FleetFaultTests.java
+++ b/teaseldeal-dist/src/test/java/org/teaseldeal/dist/FleetFaultTests.java
@@ -32,9 +32,9 @@
       horizon = "10s"
       minimum_tokens = 5_000
       """;
-  private static final long BUDGET = 1_000_000;
-  private static final int LONG_STREAM = 200;
-  private static final int STREAM = 30;
+  private static final long BUDGET_TOKENS = 1_000_000;
+  private static final int LONG_STREAM_FRAMES = 200;
+  private static final int STREAM_FRAMES = 30;
   private static final Set<String> FINAL_KINDS = Set.of("already-claimed", "outcome-unknown");
   private static final int MAX_TRIES = 100;
   private static final long RETRY_MILLIS = 100;
@@ -53,12 +53,11 @@
 
   // Routers are restarted one by one while callers send requests. A stopping router refuses new
   // requests with a retry delay, finishes its streams, returns its leases and exits. A refused
-  // caller
-  // sends its request to the next router, so every caller gets its answer, and each answer must be
-  // charged by exactly one router.
+  // caller sends its request to the next router, so every caller gets its answer, and each answer
+  // must be charged by exactly one router.
   @Test
   void rollingRestartLosesNoAnswer() throws Exception {
-    try (Fleet fleet = Fleet.startComplete(folder, LEASE, BUDGET)) {
+    try (Fleet fleet = Fleet.startComplete(folder, LEASE, BUDGET_TOKENS)) {
       AtomicBoolean restarting = new AtomicBoolean(true);
       List<Future<List<Answer>>> callers = new ArrayList<>();
       for (int i = 0; i < 8; i++) {
@@ -73,22 +72,20 @@
       List<Answer> answers = awaitAll(callers);
       fleet.stopRouters(Fleet.ROUTERS);
 
-      assertEquals(List.of(), answers.stream().filter(answer -> !answer.whole()).toList());
+      assertEquals(List.of(), answers.stream().filter(answer -> !answer.isComplete()).toList());
       FleetAudit audit = FleetAudit.awaitCharges(fleet, answers);
-      audit.assertConsistentWith(answers, BUDGET);
+      audit.assertConsistentWith(answers, BUDGET_TOKENS);
       assertEquals(0, audit.teamAccount().leased(), "leases that were not returned");
     }
   }
 
   // A router is killed with streams and bids in flight, so the connections of its callers break.
-  // The
-  // callers retry with their keys at the other routers. Those routers continue the drafts that the
-  // engine still has and run no bid a second time. A caller whose bid has no recoverable answer
-  // must
-  // receive the error that the outcome is unknown.
+  // The callers retry with their keys at the other routers. Those routers continue the drafts that
+  // the engine still has and run no bid a second time. A caller whose bid has no recoverable answer
+  // must receive the error that the outcome is unknown.
   @Test
-  void killedRoutersCallersGetWholeAnswersElsewhere() throws Exception {
-    try (Fleet fleet = Fleet.startComplete(folder, LEASE, BUDGET)) {
+  void callersOfKilledRouterGetCompleteAnswersElsewhere() throws Exception {
+    try (Fleet fleet = Fleet.startComplete(folder, LEASE, BUDGET_TOKENS)) {
       fleet.fault("service", "{\"latency_ms\":2000}");
       CountDownLatch inFlight = new CountDownLatch(6);
       List<Future<Answer>> drafts = new ArrayList<>();
@@ -105,7 +102,7 @@
       fleet.daemon("router-1").kill();
 
       List<Answer> answers = awaitAll(drafts, answer -> List.of(answer));
-      assertEquals(List.of(), answers.stream().filter(answer -> !answer.whole()).toList());
+      assertEquals(List.of(), answers.stream().filter(answer -> !answer.isComplete()).toList());
       List<Answer> bidAnswers = awaitAll(bids, answer -> List.of(answer));
       assertEquals(List.of(), bidAnswers.stream().filter(answer -> !isFinal(answer)).toList());
       answers.addAll(bidAnswers);
@@ -117,21 +114,18 @@
       fleet.stopRouters(List.of("router-2", "router-3"));
 
       FleetAudit audit = FleetAudit.awaitCharges(fleet, answers);
-      audit.assertConsistentWith(answers, BUDGET);
+      audit.assertConsistentWith(answers, BUDGET_TOKENS);
       assertEquals(0, audit.teamAccount().leased(), "leases that were not released or returned");
     }
   }
 
-  // A router is frozen with streams in flight until its peers consider it gone and past the time at
-  // which its leases would have been returned. Meanwhile callers spend the rest of a small budget
-  // at
-  // the other routers. The router then wakes with a clock that jumped, and its streams continue.
-  // Its
-  // leases must not have been granted to another router, so that the engine's token use stays
-  // within
-  // the budget and nothing is charged twice.
+  // A router is suspended with streams in flight. It stays suspended until its peers consider it
+  // dead and past the time at which its leases would have been returned. Meanwhile callers spend
+  // the rest of a small budget at the other routers. The router is then resumed, sees its clock
+  // jump, and its streams continue. Its leases must not have been granted to another router, so
+  // that the engine's token use stays within the budget and nothing is charged twice.
   @Test
-  void routerFrozenAcrossItsLeasesOverspendsNothing() throws Exception {
+  void routerSuspendedPastItsLeasesOverspendsNothing() throws Exception {
     long budget = 5_000;
     String lease =
         """
@@ -141,46 +135,49 @@
         """;
     try (Fleet fleet = Fleet.startComplete(folder, lease, budget)) {
       CountDownLatch inFlight = new CountDownLatch(2);
-      List<Future<Answer>> frozen = new ArrayList<>();
+      List<Future<Answer>> inFlightAnswers = new ArrayList<>();
       for (int i = 0; i < 2; i++) {
         String name = "frozen-" + i;
-        frozen.add(
+        inFlightAnswers.add(
             threads.submit(
                 () ->
                     caller.draft(
                         fleet.address("router-1"),
                         Optional.of(name),
                         name,
-                        LONG_STREAM,
+                        LONG_STREAM_FRAMES,
                         onFirst(inFlight))));
       }
       assertTrue(inFlight.await(30, TimeUnit.SECONDS));
-      fleet.daemon("router-1").freeze();
+      fleet.daemon("router-1").suspend();
       Collection<Answer> answers = new ConcurrentLinkedQueue<>();
       try {
         // The platform's list removes a silent instance after 3 s, and peers use the same time.
         Wait.until("router-1 is off the list", () -> !isListed(fleet, "router-1"));
         spend(fleet, List.of("router-2", "router-3"), "meanwhile", answers);
       } finally {
-        fleet.daemon("router-1").wake();
+        fleet.daemon("router-1").resume();
       }
-      answers.addAll(awaitAll(frozen, answer -> List.of(answer)));
+      answers.addAll(awaitAll(inFlightAnswers, answer -> List.of(answer)));
       Wait.until("router-1 is ready", () -> fleet.ready("router-1"));
       spend(fleet, Fleet.ROUTERS, "afterwards", answers);
       fleet.stopRouters(Fleet.ROUTERS);
 
-      assertTrue(answers.stream().anyMatch(answer -> !answer.whole()), "the budget never ran out");
+      assertTrue(
+          answers.stream().anyMatch(answer -> !answer.isComplete()), "the budget never ran out");
       assertEquals(
           List.of(),
-          answers.stream().filter(answer -> !answer.whole() && !answer.reportsNotRun()).toList());
+          answers.stream()
+              .filter(answer -> !answer.isComplete() && !answer.reportsNotRun())
+              .toList());
       FleetAudit.awaitCharges(fleet, answers).assertConsistentWith(answers, budget);
     }
   }
 
   // The platform's log is unavailable for longer than the horizon of a lease. The routers must
-  // serve
-  // drafts from their leases. A bid needs a claim on the log, so it must be refused immediately and
-  // must not reach the service. After the outage, each draft must be charged exactly once.
+  // serve drafts from their leases. A bid needs a claim on the log, so it must be refused
+  // immediately and must not reach the service. After the outage, each draft must be charged
+  // exactly once.
   @Test
   void draftsAreServedThroughAnOutageOfTheLog() throws Exception {
     String lease =
@@ -188,10 +185,10 @@
         horizon = "1s"
         minimum_tokens = 20_000
         """;
-    try (Fleet fleet = Fleet.startComplete(folder, lease, BUDGET)) {
+    try (Fleet fleet = Fleet.startComplete(folder, lease, BUDGET_TOKENS)) {
       List<Answer> answers = new ArrayList<>();
       for (String router : Fleet.ROUTERS) {
-        answers.add(caller.draft(fleet.address(router), Optional.empty(), "before", STREAM));
+        answers.add(caller.draft(fleet.address(router), Optional.empty(), "before", STREAM_FRAMES));
         answers.add(caller.bid(fleet.address(router), router, "before"));
       }
       fleet.fault("platform", "{\"log_outage\":true}");
@@ -201,12 +198,12 @@
         String router = fleet.address(Fleet.ROUTERS.get(i % Fleet.ROUTERS.size()));
         String bid = "bid-" + i;
         refused.add(threads.submit(() -> caller.bid(router, bid, bid)));
-        answers.add(caller.draft(router, Optional.empty(), "outage " + i, STREAM));
+        answers.add(caller.draft(router, Optional.empty(), "outage " + i, STREAM_FRAMES));
       }
       List<Answer> bids = awaitAll(refused, answer -> List.of(answer));
       fleet.fault("platform", "{\"log_outage\":false}");
 
-      assertEquals(List.of(), answers.stream().filter(answer -> !answer.whole()).toList());
+      assertEquals(List.of(), answers.stream().filter(answer -> !answer.isComplete()).toList());
       assertEquals(
           List.of(),
           bids.stream()
@@ -217,10 +214,10 @@
               .toList());
       answers.addAll(bids);
       FleetAudit audit = FleetAudit.awaitCharges(fleet, answers);
-      audit.assertConsistentWith(answers, BUDGET);
+      audit.assertConsistentWith(answers, BUDGET_TOKENS);
       assertEquals(Fleet.ROUTERS.size(), fleet.servers().serviceRuns(), "bids that ran");
       fleet.stopRouters(Fleet.ROUTERS);
-      FleetAudit.of(fleet).assertConsistentWith(answers, BUDGET);
+      FleetAudit.of(fleet).assertConsistentWith(answers, BUDGET_TOKENS);
     }
   }
 
@@ -228,7 +225,7 @@
   // timeout the router must continue the stream from the next position on a new connection, so that
   // the caller receives the remaining frames after a pause and no frame twice.
   @Test
-  void streamGoesOnAfterItsConnectionWentSilent() throws Exception {
+  void streamContinuesAfterItsConnectionWentSilent() throws Exception {
     try (Fleet fleet = new Fleet(folder, "60s")) {
       fleet.startHiddenEngine();
       fleet.startServer("service", "service", "apps");
@@ -240,7 +237,7 @@
             {"incarnation":"engine.relayed","role":"engine","pool":"language","address":"%s",\
             "data_centre":"hall-a"}"""
                 .formatted(relay.address()));
-        fleet.prepareLedger(LEASE, BUDGET).startRouters(List.of("router-1"));
+        fleet.prepareLedger(LEASE, BUDGET_TOKENS).startRouters(List.of("router-1"));
         CountDownLatch frames = new CountDownLatch(10);
         Future<Answer> draft =
             threads.submit(
@@ -249,16 +246,16 @@
                         fleet.address("router-1"),
                         Optional.empty(),
                         "silent",
-                        LONG_STREAM,
+                        LONG_STREAM_FRAMES,
                         frames::countDown));
         assertTrue(frames.await(30, TimeUnit.SECONDS));
         relay.discardTraffic();
         Answer answer = draft.get(60, TimeUnit.SECONDS);
         fleet.stopRouters(List.of("router-1"));
 
-        assertTrue(answer.whole(), answer::toString);
+        assertTrue(answer.isComplete(), answer::toString);
         FleetAudit.awaitCharges(fleet, List.of(answer))
-            .assertConsistentWith(List.of(answer), BUDGET);
+            .assertConsistentWith(List.of(answer), BUDGET_TOKENS);
         assertEquals(1, fleet.servers().tokens(answer.requestId()).size(), "runs at the engine");
       }
     }
@@ -272,7 +269,7 @@
           i % 3 == 2
               ? retryWhileRefused(router -> caller.bid(router, request, request), fleet)
               : retryWhileRefused(
-                  router -> caller.draft(router, Optional.empty(), request, STREAM), fleet));
+                  router -> caller.draft(router, Optional.empty(), request, STREAM_FRAMES), fleet));
     }
     return answers;
   }
@@ -296,14 +293,15 @@
       throws Exception {
     Optional<String> key = Optional.of(name);
     Answer answer =
-        caller.draft(fleet.address("router-1"), key, name, LONG_STREAM, onFirst(inFlight));
+        caller.draft(fleet.address("router-1"), key, name, LONG_STREAM_FRAMES, onFirst(inFlight));
     assertEquals(Answer.End.BROKEN, answer.end(), answer::toString);
-    return retryAtOtherRouters(router -> caller.draft(router, key, name, LONG_STREAM), fleet);
+    return retryAtOtherRouters(
+        router -> caller.draft(router, key, name, LONG_STREAM_FRAMES), fleet);
   }
 
   private Answer bidAtKilledRouter(Fleet fleet, String name) throws Exception {
     Answer answer = caller.bid(fleet.address("router-1"), name, name);
-    return answer.whole()
+    return answer.isComplete()
         ? answer
         : retryAtOtherRouters(router -> caller.bid(router, name, name), fleet);
   }
@@ -319,12 +317,12 @@
   }
 
   private static boolean isFinal(Answer answer) {
-    return answer.whole() || answer.kind().filter(FINAL_KINDS::contains).isPresent();
+    return answer.isComplete() || answer.kind().filter(FINAL_KINDS::contains).isPresent();
   }
 
   private boolean outcomeIsReported(Fleet fleet, String bid) throws Exception {
     Answer answer = caller.bid(fleet.address("router-2"), bid, bid);
-    return answer.whole() || answer.kind().equals(Optional.of("outcome-unknown"));
+    return answer.isComplete() || answer.kind().equals(Optional.of("outcome-unknown"));
   }
 
   private void spend(Fleet fleet, List<String> routers, String name, Collection<Answer> answers)
@@ -334,7 +332,8 @@
       String router = fleet.address(routers.get(i % routers.size()));
       String prompt = name + " " + i;
       drafts.add(
-          threads.submit(() -> caller.draft(router, Optional.empty(), prompt, LONG_STREAM / 2)));
+          threads.submit(
+              () -> caller.draft(router, Optional.empty(), prompt, LONG_STREAM_FRAMES / 2)));
     }
     answers.addAll(awaitAll(drafts, answer -> List.of(answer)));
   }
--- a/teaseldeal-dist/src/test/java/org/teaseldeal/dist/LaunchedProcess.java
+++ b/teaseldeal-dist/src/test/java/org/teaseldeal/dist/LaunchedProcess.java
@@ -11,7 +11,7 @@
 
 /** A process started by one of the launchers. Closing kills it. */
 final class LaunchedProcess implements AutoCloseable {
-  private static final long END_SECONDS = 30;
+  private static final long EXIT_TIMEOUT_SECONDS = 30;
 
   private final Process process;
   private final JsonNode listening;
@@ -91,8 +91,9 @@
 
   /** Waits for the process to exit and returns its exit status. */
   int awaitExit() throws InterruptedException {
-    if (!process.waitFor(END_SECONDS, TimeUnit.SECONDS)) {
-      throw new AssertionError("the process did not end within %d s".formatted(END_SECONDS));
+    if (!process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
+      throw new AssertionError(
+          "the process did not end within %d s".formatted(EXIT_TIMEOUT_SECONDS));
     }
     return process.exitValue();
   }
@@ -104,12 +105,12 @@
   }
 
   /** Sends SIGSTOP. */
-  void freeze() throws IOException, InterruptedException {
+  void suspend() throws IOException, InterruptedException {
     signal("STOP");
   }
 
   /** Sends SIGCONT. */
-  void wake() throws IOException, InterruptedException {
+  void resume() throws IOException, InterruptedException {
     signal("CONT");
   }
 
--- a/teaseldeal-dist/src/test/java/org/teaseldeal/dist/StandinProcessTests.java
+++ b/teaseldeal-dist/src/test/java/org/teaseldeal/dist/StandinProcessTests.java
@@ -48,8 +48,7 @@
   }
 
   // With the fault of lost answers, the connection of the writer closes without an answer although
-  // the
-  // record is stored.
+  // the record is stored.
   @Test
   void lostAnswerClosesTheConnectionAfterTheWrite() throws Exception {
     HttpRequest faults =
@@ -62,8 +61,7 @@
   }
 
   // An engine receives SIGTERM while it streams an answer. It must be listed as leaving, complete
-  // the
-  // answer, and exit with status 0 only afterwards.
+  // the answer, and exit with status 0 only afterwards.
   @Test
   void leavingEngineIsListedAsLeavingAndCompletesItsRequests(@TempDir Path folder)
       throws Exception {
@@ -93,8 +91,7 @@
   }
 
   // A request crashes the engine. The caller's connection must break, and the process must exit
-  // with
-  // status 70.
+  // with status 70.
   @Test
   void crashingRequestEndsTheEngineProcess() throws Exception {
     try (LaunchedProcess engine = LaunchedProcess.daemon("teaseldeal-standin", "engine")) {
--- a/teaseldeal-dist/src/test/java/org/teaseldeal/dist/Wait.java
+++ b/teaseldeal-dist/src/test/java/org/teaseldeal/dist/Wait.java
@@ -6,7 +6,7 @@
 /** Waits for conditions that other processes bring about. */
 final class Wait {
   private static final Duration TIMEOUT = Duration.ofSeconds(30);
-  private static final Duration POLL = Duration.ofMillis(20);
+  private static final Duration POLL_INTERVAL = Duration.ofMillis(20);
 
   private Wait() {}
 
@@ -17,7 +17,7 @@
       if (System.nanoTime() > end) {
         throw new AssertionError("waited %s for: %s".formatted(TIMEOUT, what));
       }
-      Thread.sleep(POLL);
+      Thread.sleep(POLL_INTERVAL);
     }
   }
 }
